--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -125,7 +125,7 @@
 	planned     time.Time
 	placer      *placer.Placer
 	// lender lends of customers' limits while this instance leads.
-	lender *lender.Lender
+	lender *lender.Allocator
 	// startedAt is when this life began, and met when each gateway was in the roster last.
 	startedAt time.Time
 	met       map[string]time.Time
@@ -318,7 +318,7 @@
 	c.holdings.Begin(c.placer.Revision())
 	c.arbiter.Begin()
 	c.placer.SetTable(c.state.Table().GetTable())
-	c.lender = &lender.Lender{Rule: c.Limits, Known: c.knownGateways(now)}
+	c.lender = &lender.Allocator{Rule: c.Limits, Known: c.knownGateways(now)}
 	c.lender.Begin(now, term, c.state.Table().GetTable().GetCustomers())
 	for _, a := range c.tracker.All() {
 		c.placer.SetEngine(a)
--- a/gateway/forwarder/limit_test.go
+++ b/gateway/forwarder/limit_test.go
@@ -16,7 +16,7 @@
 )
 
 // bank lends of the tests' limits without a network.
-type bank struct{ lender *lender.Lender }
+type bank struct{ lender *lender.Allocator }
 
 func (b bank) Borrow(_ context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
 	return &wire.BorrowResponse{Borrowers: []*wire.BorrowerCredit{b.lender.Borrow(time.Now(), req.GetBorrowers()[0])}}, nil
@@ -32,7 +32,7 @@
 	address, f := newGateway(c, clockwork.NewRealClock())
 	table := keyed(4, "k1")
 	table.Customers[0].Limit = &wire.CustomerLimit{Unit: unit, Burst: units, PlainTokens: 40}
-	l := &lender.Lender{Rule: lender.Rule{Window: time.Hour, Slack: 1000}}
+	l := &lender.Allocator{Rule: lender.Rule{Window: time.Hour, Slack: 1000}}
 	l.Begin(time.Now().Add(-2*time.Hour), 1, table.Customers)
 	f.Borrower = &borrower.Borrower{
 		Clock: f.Clock, Log: slog.New(slog.DiscardHandler), Gateway: "g", Upstream: func() string { return "leader" },
--- a/pkg/lender/lender.go
+++ b/pkg/lender/lender.go
@@ -61,8 +61,8 @@
 	return r.Overage*(l.GetRatePerSecond()*r.Window.Seconds()+l.GetBurst()) + r.Slack
 }
 
-// Lender is the leader's side. Set the exported fields, then call Begin.
-type Lender struct {
+// Allocator is the leader's side. Set the exported fields, then call Begin.
+type Allocator struct {
 	Rule Rule
 	// Gateways is the number of gateways that may serve.
 	Gateways int
@@ -121,7 +121,7 @@
 }
 
 // Begin begins a term as leader. Earlier grants are not known.
-func (l *Lender) Begin(now time.Time, term uint64, customers []*wire.RoutedCustomer) {
+func (l *Allocator) Begin(now time.Time, term uint64, customers []*wire.RoutedCustomer) {
 	const termBits = 32
 	l.began, l.opened, l.customers = now, term<<termBits, map[string]*customer{}
 	l.unreported = map[string]bool{}
@@ -132,7 +132,7 @@
 }
 
 // SetCustomers takes the limits in force. What was spent goes on to count.
-func (l *Lender) SetCustomers(now time.Time, customers []*wire.RoutedCustomer) {
+func (l *Allocator) SetCustomers(now time.Time, customers []*wire.RoutedCustomer) {
 	if l.customers == nil {
 		return
 	}
@@ -160,14 +160,14 @@
 }
 
 // mostOf returns what a limit allows in a window.
-func (l *Lender) mostOf(limit *wire.CustomerLimit) float64 {
+func (l *Allocator) mostOf(limit *wire.CustomerLimit) float64 {
 	return limit.GetRatePerSecond()*l.Rule.Window.Seconds() + limit.GetBurst()
 }
 
 // mostInWindow returns what may be lent in the window that ends now. One that began before the
 // limit was lowered may hold its part of what that allowed; otherwise a customer would get
 // nothing until what it had been given by then is out of the window.
-func (l *Lender) mostInWindow(now time.Time, c *customer) float64 {
+func (l *Allocator) mostInWindow(now time.Time, c *customer) float64 {
 	most := l.mostOf(c.limit)
 	if passed := now.Sub(c.lowered); !c.lowered.IsZero() && passed < l.Rule.Window && c.earlier > most {
 		most += (c.earlier - most) * (1 - passed.Seconds()/l.Rule.Window.Seconds())
@@ -176,11 +176,11 @@
 }
 
 // allReported reports whether all gateways have told this leader what they have spent.
-func (l *Lender) allReported() bool { return len(l.Known) > 0 && len(l.unreported) == 0 }
+func (l *Allocator) allReported() bool { return len(l.Known) > 0 && len(l.unreported) == 0 }
 
 // room returns what may still be lent in the window that ends now. In the first window of a
 // term, what nobody has reported for counts as spent until all gateways have called.
-func (l *Lender) room(now time.Time, c *customer) float64 {
+func (l *Allocator) room(now time.Time, c *customer) float64 {
 	most := l.mostInWindow(now, c)
 	if age := now.Sub(l.began); age < l.Rule.Window && !l.allReported() {
 		least := startShare*l.Rule.tolerance(c.limit) + leastRefill*c.limit.GetRatePerSecond()*age.Seconds()
@@ -190,7 +190,7 @@
 }
 
 // Borrow takes what a gateway says, and returns its credit.
-func (l *Lender) Borrow(now time.Time, b *wire.Borrower) *wire.BorrowerCredit {
+func (l *Allocator) Borrow(now time.Time, b *wire.Borrower) *wire.BorrowerCredit {
 	res := &wire.BorrowerCredit{}
 	if time.Duration(b.GetRunningMs())*time.Millisecond >= l.Rule.Window {
 		defer delete(l.unreported, b.GetAddress())
@@ -203,7 +203,7 @@
 	return res
 }
 
-func (l *Lender) lend(now time.Time, c *customer, gateway string, said *wire.CreditAccount) *wire.Credit {
+func (l *Allocator) lend(now time.Time, c *customer, gateway string, said *wire.CreditAccount) *wire.Credit {
 	a := l.lease(now, c, gateway, said)
 	a.heard = now
 	c.note(now, a, said)
@@ -228,7 +228,7 @@
 }
 
 // lease returns a gateway's lease, a new one if it names none that is known.
-func (l *Lender) lease(now time.Time, c *customer, gateway string, said *wire.CreditAccount) *lease {
+func (l *Allocator) lease(now time.Time, c *customer, gateway string, said *wire.CreditAccount) *lease {
 	a := c.leases[gateway]
 	if a != nil && a.id == said.GetAccount() {
 		return a
@@ -271,7 +271,7 @@
 }
 
 // grant returns what is lent now, in whole units.
-func (l *Lender) grant(c *customer, room float64, said *wire.CreditAccount) float64 {
+func (l *Allocator) grant(c *customer, room float64, said *wire.CreditAccount) float64 {
 	most := unspentShare * l.Rule.tolerance(c.limit)
 	granted := min(float64(said.GetNeeded()), room, most-c.unspent)
 	if c.unspent == 0 {
@@ -299,7 +299,7 @@
 }
 
 // part returns what is kept for a gateway of the room that is left.
-func (l *Lender) part(c *customer, a *lease, room float64) float64 {
+func (l *Allocator) part(c *customer, a *lease, room float64) float64 {
 	return max(0, min(keptShare*room*c.share(a), keptShare*room-c.reserved))
 }
 
@@ -314,12 +314,12 @@
 
 // AgainIn returns when a gateway is to call again at the latest, so that the calls of many
 // gateways don't use the leader up.
-func (l *Lender) AgainIn() time.Duration {
+func (l *Allocator) AgainIn() time.Duration {
 	return min(latestCall, max(soonestCall, time.Second*time.Duration(l.Gateways)/callsPerSecond))
 }
 
 // Tick lets time pass for gateways that are silent.
-func (l *Lender) Tick(now time.Time) {
+func (l *Allocator) Tick(now time.Time) {
 	for _, c := range l.customers {
 		for gateway, a := range c.leases {
 			if now.Sub(a.heard) > forgetAfter {
--- a/pkg/lender/standing.go
+++ b/pkg/lender/standing.go
@@ -10,7 +10,7 @@
 
 // Standings returns how the limits stand, by the names of their customers; with shares also
 // what each gateway has.
-func (l *Lender) Standings(now time.Time, shares bool) []*wire.LimitStanding {
+func (l *Allocator) Standings(now time.Time, shares bool) []*wire.LimitStanding {
 	list := make([]*wire.LimitStanding, 0, len(l.customers))
 	for name, c := range l.customers {
 		standing := &wire.LimitStanding{
--- a/pkg/throttler/ways_test.go
+++ b/pkg/throttler/ways_test.go
@@ -29,14 +29,14 @@
 
 // byLeases lets a leader lend of the limit, as it does of customers' limits.
 type byLeases struct {
-	lender   *lender.Lender
+	lender   *lender.Allocator
 	accounts map[string]*lender.Account
 	calls    map[string]time.Time
 }
 
 func newLeases(now time.Time, limit RequestRate) *byLeases {
 	l := &byLeases{
-		lender:   &lender.Lender{Rule: lender.Rule{Window: Window, Overage: tolerance - 1, Slack: slack}},
+		lender:   &lender.Allocator{Rule: lender.Rule{Window: Window, Overage: tolerance - 1, Slack: slack}},
 		accounts: map[string]*lender.Account{}, calls: map[string]time.Time{},
 	}
 	l.lender.Begin(now.Add(-time.Hour), 1, []*wire.RoutedCustomer{
