--- a/controller/curator/limits.go
+++ b/controller/curator/limits.go
@@ -79,7 +79,7 @@
 
 func (c *Curator) borrow(now time.Time, req *wire.BorrowRequest) *wire.BorrowResponse {
 	c.roster.refresh(now, c.gateways)
-	c.lender.Gateways = int(c.roster.count())
+	c.lender.GatewayCount = int(c.roster.count())
 	res := &wire.BorrowResponse{AgainInMs: uint32(c.lender.AgainIn().Milliseconds())}
 	for _, b := range req.GetBorrowers() {
 		res.Borrowers = append(res.Borrowers, c.lender.Borrow(now, b))
--- a/pkg/lender/lender.go
+++ b/pkg/lender/lender.go
@@ -64,8 +64,8 @@
 // Allocator is the leader's side. Set the exported fields, then call Begin.
 type Allocator struct {
 	Rule Rule
-	// Gateways is the number of gateways that may serve.
-	Gateways int
+	// GatewayCount is the number of gateways that may serve.
+	GatewayCount int
 	// Known are the addresses of all gateways that may have sent requests in the window before
 	// the term; empty if they are not known.
 	Known []string
@@ -218,7 +218,7 @@
 	credit := &wire.Credit{
 		Customer: said.GetCustomer(), Account: a.id, Lent: a.lent, Allowance: a.allowance, Kept: a.kept,
 		WindowMs:  uint32(l.Rule.Window.Milliseconds()),
-		Overdraft: uint64(overdraftShare * l.Rule.tolerance(c.limit) / float64(max(l.Gateways, len(c.leases)))),
+		Overdraft: uint64(overdraftShare * l.Rule.tolerance(c.limit) / float64(max(l.GatewayCount, len(c.leases)))),
 	}
 	// What is missing only until others have told what they spent is asked for again.
 	if missing := float64(said.GetNeeded()) - granted; missing > 0 && room-granted-c.reserved < missing {
@@ -315,7 +315,7 @@
 // AgainIn returns when a gateway is to call again at the latest, so that the calls of many
 // gateways don't use the leader up.
 func (l *Allocator) AgainIn() time.Duration {
-	return min(latestCall, max(soonestCall, time.Second*time.Duration(l.Gateways)/callsPerSecond))
+	return min(latestCall, max(soonestCall, time.Second*time.Duration(l.GatewayCount)/callsPerSecond))
 }
 
 // Tick lets time pass for gateways that are silent.
--- a/pkg/lender/lender_test.go
+++ b/pkg/lender/lender_test.go
@@ -74,7 +74,7 @@
 // lead lets another leader begin.
 func (w *world) lead() {
 	w.term++
-	w.lender = &Allocator{Rule: w.rule, Gateways: len(w.gateways)}
+	w.lender = &Allocator{Rule: w.rule, GatewayCount: len(w.gateways)}
 	for _, g := range w.gateways {
 		w.lender.Known = append(w.lender.Known, g.name)
 	}
@@ -486,7 +486,7 @@
 		customers = append(customers, &wire.RoutedCustomer{Name: name, Limit: tokens(274_000, 274_000)})
 		said.Accounts = append(said.Accounts, &wire.CreditAccount{Customer: name, Rate: 200, Needed: 700})
 	}
-	l := &Allocator{Rule: testRule, Gateways: 1200}
+	l := &Allocator{Rule: testRule, GatewayCount: 1200}
 	l.Begin(now, 1, customers)
 	for i := range 1200 {
 		said.Gateway = fmt.Sprint("g", i)
@@ -501,7 +501,7 @@
 // The bytes of a call for one customer, and of its answer.
 func BenchmarkBytes(b *testing.B) {
 	now := time.Unix(1e9, 0)
-	l := &Allocator{Rule: testRule, Gateways: 81}
+	l := &Allocator{Rule: testRule, GatewayCount: 81}
 	l.Begin(now.Add(-time.Hour), 1, []*wire.RoutedCustomer{{Name: "customer-17", Limit: tokens(274_000, 274_000)}})
 	p := &Account{}
 	var said *wire.Borrower
