--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -318,7 +318,7 @@
 	c.holdings.Begin(c.placer.Revision())
 	c.arbiter.Begin()
 	c.placer.SetTable(c.state.Table().GetTable())
-	c.lender = &lender.Allocator{Rule: c.Limits, Known: c.knownGateways(now)}
+	c.lender = &lender.Allocator{Rule: c.Limits, KnownGateways: c.knownGateways(now)}
 	c.lender.Begin(now, term, c.state.Table().GetTable().GetCustomers())
 	for _, a := range c.tracker.All() {
 		c.placer.SetEngine(a)
--- a/pkg/lender/lender.go
+++ b/pkg/lender/lender.go
@@ -66,9 +66,9 @@
 	Rule Rule
 	// GatewayCount is the number of gateways that may serve.
 	GatewayCount int
-	// Known are the addresses of all gateways that may have sent requests in the window before
+	// KnownGateways are the addresses of all gateways that may have sent requests in the window before
 	// the term; empty if they are not known.
-	Known []string
+	KnownGateways []string
 
 	began     time.Time
 	customers map[string]*customer
@@ -125,7 +125,7 @@
 	const termBits = 32
 	l.began, l.opened, l.customers = now, term<<termBits, map[string]*customer{}
 	l.unreported = map[string]bool{}
-	for _, address := range l.Known {
+	for _, address := range l.KnownGateways {
 		l.unreported[address] = true
 	}
 	l.SetCustomers(now, customers)
@@ -176,7 +176,7 @@
 }
 
 // allReported reports whether all gateways have told this leader what they have spent.
-func (l *Allocator) allReported() bool { return len(l.Known) > 0 && len(l.unreported) == 0 }
+func (l *Allocator) allReported() bool { return len(l.KnownGateways) > 0 && len(l.unreported) == 0 }
 
 // room returns what may still be lent in the window that ends now. In the first window of a
 // term, what nobody has reported for counts as spent until all gateways have called.
--- a/pkg/lender/lender_test.go
+++ b/pkg/lender/lender_test.go
@@ -76,7 +76,7 @@
 	w.term++
 	w.lender = &Allocator{Rule: w.rule, GatewayCount: len(w.gateways)}
 	for _, g := range w.gateways {
-		w.lender.Known = append(w.lender.Known, g.name)
+		w.lender.KnownGateways = append(w.lender.KnownGateways, g.name)
 	}
 	w.lender.Begin(w.now, w.term, w.customers())
 }
