--- a/controller/curator/limits.go
+++ b/controller/curator/limits.go
@@ -82,7 +82,7 @@
 	c.lender.GatewayCount = int(c.roster.count())
 	res := &wire.BorrowResponse{AgainInMs: uint32(c.lender.AgainIn().Milliseconds())}
 	for _, b := range req.GetBorrowers() {
-		res.Borrowers = append(res.Borrowers, c.lender.Borrow(now, b))
+		res.Borrowers = append(res.Borrowers, c.lender.Allocate(now, b))
 	}
 	return res
 }
--- a/gateway/borrower/borrower_test.go
+++ b/gateway/borrower/borrower_test.go
@@ -33,7 +33,7 @@
 	}
 	res := &wire.BorrowResponse{}
 	for _, b := range req.GetBorrowers() {
-		res.Borrowers = append(res.Borrowers, l.lender.Borrow(l.clock.Now(), b))
+		res.Borrowers = append(res.Borrowers, l.lender.Allocate(l.clock.Now(), b))
 	}
 	return res, nil
 }
--- a/gateway/forwarder/limit_test.go
+++ b/gateway/forwarder/limit_test.go
@@ -19,7 +19,7 @@
 type bank struct{ lender *lender.Allocator }
 
 func (b bank) Borrow(_ context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
-	return &wire.BorrowResponse{Borrowers: []*wire.BorrowerCredit{b.lender.Borrow(time.Now(), req.GetBorrowers()[0])}}, nil
+	return &wire.BorrowResponse{Borrowers: []*wire.BorrowerCredit{b.lender.Allocate(time.Now(), req.GetBorrowers()[0])}}, nil
 }
 
 func (b bank) ListLimits(context.Context, *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
--- a/pkg/lender/lender.go
+++ b/pkg/lender/lender.go
@@ -189,8 +189,8 @@
 	return most - c.lent.Sum(now)
 }
 
-// Borrow takes what a gateway says, and returns its credit.
-func (l *Allocator) Borrow(now time.Time, b *wire.Borrower) *wire.BorrowerCredit {
+// Allocate takes what a gateway says, and returns its credit.
+func (l *Allocator) Allocate(now time.Time, b *wire.Borrower) *wire.BorrowerCredit {
 	res := &wire.BorrowerCredit{}
 	if time.Duration(b.GetRunningMs())*time.Millisecond >= l.Rule.Window {
 		defer delete(l.unreported, b.GetAddress())
--- a/pkg/lender/lender_test.go
+++ b/pkg/lender/lender_test.go
@@ -88,7 +88,7 @@
 		return false
 	}
 	said := g.account.Report(w.now, "a", needed)
-	res := w.lender.Borrow(w.now, &wire.Borrower{
+	res := w.lender.Allocate(w.now, &wire.Borrower{
 		Gateway: g.name, Address: g.name, RunningMs: uint32(w.now.Sub(g.started).Milliseconds()), Accounts: []*wire.CreditAccount{said},
 	})
 	g.account.Hear(w.now, w.now, res.GetCredits()[0])
@@ -490,11 +490,11 @@
 	l.Begin(now, 1, customers)
 	for i := range 1200 {
 		said.Gateway = fmt.Sprint("g", i)
-		l.Borrow(now, said)
+		l.Allocate(now, said)
 	}
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		l.Borrow(now, said)
+		l.Allocate(now, said)
 	}
 }
 
@@ -510,7 +510,7 @@
 		now = now.Add(25 * time.Millisecond)
 		p.Ask(now, 700)
 		said = &wire.Borrower{Gateway: "edge-bergen-a-17", Accounts: []*wire.CreditAccount{p.Report(now, "customer-17", 700)}}
-		res = l.Borrow(now, said)
+		res = l.Allocate(now, said)
 		p.Hear(now, now, res.GetCredits()[0])
 		if p.Hold(now, 700) {
 			p.Spend(now, 700)
--- a/pkg/throttler/ways_test.go
+++ b/pkg/throttler/ways_test.go
@@ -65,7 +65,7 @@
 func (l *byLeases) call(w *world, gateway string, p *lender.Account, needed uint64) {
 	l.lender.GatewayCount = len(w.gateways)
 	l.calls[gateway] = w.now
-	res := l.lender.Borrow(w.now, &wire.Borrower{
+	res := l.lender.Allocate(w.now, &wire.Borrower{
 		Gateway: gateway, Address: gateway, RunningMs: uint32(time.Hour.Milliseconds()),
 		Accounts: []*wire.CreditAccount{p.Report(w.now, backendID, needed)},
 	})
