--- a/controller/curator/limits.go
+++ b/controller/curator/limits.go
@@ -80,7 +80,7 @@
 func (c *Curator) borrow(now time.Time, req *wire.BorrowRequest) *wire.BorrowResponse {
 	c.roster.refresh(now, c.gateways)
 	c.lender.GatewayCount = int(c.roster.count())
-	res := &wire.BorrowResponse{AgainInMs: uint32(c.lender.AgainIn().Milliseconds())}
+	res := &wire.BorrowResponse{AgainInMs: uint32(c.lender.ReportInterval().Milliseconds())}
 	for _, b := range req.GetBorrowers() {
 		res.Borrowers = append(res.Borrowers, c.lender.Allocate(now, b))
 	}
--- a/pkg/lender/lender.go
+++ b/pkg/lender/lender.go
@@ -312,9 +312,9 @@
 	return min(longestWait, max(shortestWait, time.Duration(missing/rate*float64(time.Second))))
 }
 
-// AgainIn returns when a gateway is to call again at the latest, so that the calls of many
+// ReportInterval returns when a gateway is to call again at the latest, so that the calls of many
 // gateways don't use the leader up.
-func (l *Allocator) AgainIn() time.Duration {
+func (l *Allocator) ReportInterval() time.Duration {
 	return min(latestCall, max(soonestCall, time.Second*time.Duration(l.GatewayCount)/callsPerSecond))
 }
 
--- a/pkg/throttler/ways_test.go
+++ b/pkg/throttler/ways_test.go
@@ -76,7 +76,7 @@
 func (l *byLeases) tick(w *world) {
 	l.lender.Tick(w.now)
 	for gateway, p := range l.accounts {
-		if !p.Idle(w.now) && w.now.Sub(l.calls[gateway]) >= l.lender.AgainIn() {
+		if !p.Idle(w.now) && w.now.Sub(l.calls[gateway]) >= l.lender.ReportInterval() {
 			l.call(w, gateway, p, 0)
 		}
 	}
