--- a/pkg/lender/account.go
+++ b/pkg/lender/account.go
@@ -64,7 +64,7 @@
 	if p.heard.IsZero() || now.Sub(p.heard) < aloneAfter {
 		return
 	}
-	if !p.expired && now.Sub(p.heard) > Lease {
+	if !p.expired && now.Sub(p.heard) > LeaseTTL {
 		p.expired = true
 		p.lent = min(p.lent, p.spent+p.held)
 	}
--- a/pkg/lender/lender.go
+++ b/pkg/lender/lender.go
@@ -32,12 +32,12 @@
 	// while they can't reach the leader, and with the next leader. The rest is granted to
 	// whoever asks first.
 	keptShare = 0.8
-	// Lease is how long a gateway may spend its quota after its last call.
-	Lease = 2 * time.Second
+	// LeaseTTL is how long a gateway may spend its quota after its last call.
+	LeaseTTL = 2 * time.Second
 	// AloneFor is how long a gateway spends its allowance at most without the leader.
 	AloneFor = 4 * time.Second
 	// forgetAfter is when the lease of a gateway expires at the leader after its last call.
-	forgetAfter = AloneFor + Lease
+	forgetAfter = AloneFor + LeaseTTL
 	// shortestWait and longestWait bound the retry time of a refused caller.
 	shortestWait = 100 * time.Millisecond
 	longestWait  = 2 * time.Second
