--- a/pkg/lender/account.go
+++ b/pkg/lender/account.go
@@ -68,7 +68,7 @@
 		p.expired = true
 		p.lent = min(p.lent, p.spent+p.held)
 	}
-	until := p.heard.Add(AloneFor)
+	until := p.heard.Add(MaxOffline)
 	if now.Before(until) {
 		until = now
 	}
@@ -107,7 +107,7 @@
 // Hold takes credit for a request, and reports whether there was enough.
 func (p *Account) Hold(now time.Time, size uint64) bool {
 	credit := p.credit(now)
-	if credit < size && (p.alone.IsZero() || now.Sub(p.heard) > AloneFor || p.lent+p.overdraft < p.spent+p.held+size) {
+	if credit < size && (p.alone.IsZero() || now.Sub(p.heard) > MaxOffline || p.lent+p.overdraft < p.spent+p.held+size) {
 		return false
 	}
 	p.held += size
--- a/pkg/lender/lender.go
+++ b/pkg/lender/lender.go
@@ -34,10 +34,10 @@
 	keptShare = 0.8
 	// LeaseTTL is how long a gateway may spend its quota after its last call.
 	LeaseTTL = 2 * time.Second
-	// AloneFor is how long a gateway spends its allowance at most without the leader.
-	AloneFor = 4 * time.Second
+	// MaxOffline is how long a gateway spends its allowance at most without the leader.
+	MaxOffline = 4 * time.Second
 	// forgetAfter is when the lease of a gateway expires at the leader after its last call.
-	forgetAfter = AloneFor + LeaseTTL
+	forgetAfter = MaxOffline + LeaseTTL
 	// shortestWait and longestWait bound the retry time of a refused caller.
 	shortestWait = 100 * time.Millisecond
 	longestWait  = 2 * time.Second
@@ -214,7 +214,7 @@
 	c.lent.Add(now, granted)
 	c.unspent += granted
 	c.keep(a, l.part(c, a, room-granted))
-	a.allowance = min(a.kept/AloneFor.Seconds(), c.limit.GetRatePerSecond()*c.share(a))
+	a.allowance = min(a.kept/MaxOffline.Seconds(), c.limit.GetRatePerSecond()*c.share(a))
 	credit := &wire.Credit{
 		Customer: said.GetCustomer(), Account: a.id, Lent: a.lent, Allowance: a.allowance, Kept: a.kept,
 		WindowMs:  uint32(l.Rule.Window.Milliseconds()),
@@ -332,7 +332,7 @@
 // close ends an account. It is taken that its gateway has spent its allowance since it was
 // heard.
 func (c *customer) close(now time.Time, gateway string, a *lease) {
-	alone := min(AloneFor, max(0, now.Sub(a.heard)-aloneAfter))
+	alone := min(MaxOffline, max(0, now.Sub(a.heard)-aloneAfter))
 	c.lent.Add(now, a.allowance*alone.Seconds())
 	c.keep(a, 0)
 	c.unspent -= a.unspent()
