--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -344,7 +344,7 @@
 	c.wake(now)
 	if now.Sub(c.summarized) >= summaryEvery {
 		c.summarized = now
-		if standings := c.lender.Standings(now, false); len(standings) > 0 {
+		if standings := c.lender.Statuses(now, false); len(standings) > 0 {
 			c.Log.Info("limits", "Customers", standings)
 		}
 		c.Log.Info("placement", "Summary", c.placer.Summary(), "Gateways", c.roster.count(), "Asking", len(c.gateways))
--- a/controller/curator/limits_test.go
+++ b/controller/curator/limits_test.go
@@ -60,7 +60,7 @@
 		c.Check(res.GetBorrowers()[0].GetCredits()[0].GetLent(), qt.Equals, step.want)
 		c.Check(res.GetAgainInMs() > 0, qt.IsTrue)
 	}
-	standings := cu.lender.Standings(cu.Clock.Now(), true)
+	standings := cu.lender.Statuses(cu.Clock.Now(), true)
 	c.Check(standings[0].GetShares()[0].GetGateway(), qt.Equals, "g")
 	k.standing = keeper.Standing{}
 	cu.tick(cu.Clock.Now())
--- a/gateway/forwarder/limit_test.go
+++ b/gateway/forwarder/limit_test.go
@@ -23,7 +23,7 @@
 }
 
 func (b bank) ListLimits(context.Context, *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
-	return &wire.ListLimitsResponse{Limits: b.lender.Standings(time.Now(), true)}, nil
+	return &wire.ListLimitsResponse{Limits: b.lender.Statuses(time.Now(), true)}, nil
 }
 
 // limitedGateway is a gateway for one customer that may send a number of units in a window
--- a/pkg/lender/standing.go
+++ b/pkg/lender/standing.go
@@ -8,9 +8,9 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Standings returns how the limits stand, by the names of their customers; with shares also
+// Statuses returns how the limits stand, by the names of their customers; with shares also
 // what each gateway has.
-func (l *Allocator) Standings(now time.Time, shares bool) []*wire.LimitStanding {
+func (l *Allocator) Statuses(now time.Time, shares bool) []*wire.LimitStanding {
 	list := make([]*wire.LimitStanding, 0, len(l.customers))
 	for name, c := range l.customers {
 		standing := &wire.LimitStanding{
