--- a/gateway/borrower/borrower.go
+++ b/gateway/borrower/borrower.go
@@ -145,7 +145,7 @@
 		p = &account{limit: limit}
 		b.accounts[customer] = p
 	}
-	p.Ask(now, size)
+	p.RecordDemand(now, size)
 	w := &waiter{size: size, until: now.Add(longestWait), verdict: make(chan Verdict, 1)}
 	if len(p.waiters) == 0 {
 		if v, decided := p.judge(now, w); decided {
--- a/pkg/lender/account.go
+++ b/pkg/lender/account.go
@@ -84,8 +84,8 @@
 	p.lent += uint64(whole)
 }
 
-// Ask notes that a request of a size is asked for.
-func (p *Account) Ask(now time.Time, size uint64) {
+// RecordDemand notes that a request of a size is asked for.
+func (p *Account) RecordDemand(now time.Time, size uint64) {
 	p.decay(now)
 	p.rate += float64(size) / rateOver.Seconds()
 	if p.size == 0 {
--- a/pkg/lender/lender_test.go
+++ b/pkg/lender/lender_test.go
@@ -118,7 +118,7 @@
 		return
 	}
 	w.asked += float64(size)
-	g.account.Ask(w.now, size)
+	g.account.RecordDemand(w.now, size)
 	r := waiting{g, size, w.now.Add(patience)}
 	if !w.try(r) {
 		w.waiting = append(w.waiting, r)
@@ -468,7 +468,7 @@
 	p.Hear(now, now, &wire.Credit{Account: 1, Lent: 1 << 60})
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Ask(now, 700)
+		p.RecordDemand(now, 700)
 		if !p.Hold(now, 700) {
 			b.Fatal("there is no credit")
 		}
@@ -508,7 +508,7 @@
 	var res *wire.BorrowerCredit
 	for range 400 {
 		now = now.Add(25 * time.Millisecond)
-		p.Ask(now, 700)
+		p.RecordDemand(now, 700)
 		said = &wire.Borrower{Gateway: "edge-bergen-a-17", Accounts: []*wire.CreditAccount{p.Report(now, "customer-17", 700)}}
 		res = l.Allocate(now, said)
 		p.Hear(now, now, res.GetCredits()[0])
--- a/pkg/throttler/ways_test.go
+++ b/pkg/throttler/ways_test.go
@@ -51,7 +51,7 @@
 		p = &lender.Account{}
 		l.accounts[g.address] = p
 	}
-	p.Ask(w.now, 1)
+	p.RecordDemand(w.now, 1)
 	if !p.Hold(w.now, 1) {
 		l.call(w, g.address, p, 1)
 		if !p.Hold(w.now, 1) {
