--- a/gateway/borrower/borrower.go
+++ b/gateway/borrower/borrower.go
@@ -196,13 +196,13 @@
 		return Verdict{Admitted: true}, true
 	}
 	if retryIn := p.RetryIn(now); retryIn > 0 {
-		p.Refused()
+		p.RecordRefusal()
 		return Verdict{Over: true, RetryIn: retryIn}, true
 	}
 	if now.Before(w.until) {
 		return Verdict{}, false
 	}
-	p.Refused()
+	p.RecordRefusal()
 	return Verdict{}, true
 }
 
--- a/pkg/lender/account.go
+++ b/pkg/lender/account.go
@@ -154,8 +154,8 @@
 // wanted reports whether the customer is asked for here. The rate must be as of now.
 func (p *Account) wanted() bool { return p.rate > leastRate*p.size }
 
-// Refused notes that a request was refused.
-func (p *Account) Refused() { p.refused++ }
+// RecordRefusal notes that a request was refused.
+func (p *Account) RecordRefusal() { p.refused++ }
 
 // Report returns what the leader is told; needed is what waiting requests need. Where
 // nothing is asked for any more the credit is given up.
