--- a/gateway/borrower/borrower.go
+++ b/gateway/borrower/borrower.go
@@ -385,7 +385,7 @@
 	}
 	for _, credit := range res.GetBorrowers()[0].GetCredits() {
 		if p := b.accounts[credit.GetCustomer()]; p != nil {
-			p.Hear(now, asked, credit)
+			p.Receive(now, asked, credit)
 		}
 	}
 	if b.Meter != nil {
--- a/pkg/lender/account.go
+++ b/pkg/lender/account.go
@@ -179,8 +179,8 @@
 	return said
 }
 
-// Hear takes the leader's word on a report that was made at a time.
-func (p *Account) Hear(now, asked time.Time, c *wire.Credit) {
+// Receive takes the leader's word on a report that was made at a time.
+func (p *Account) Receive(now, asked time.Time, c *wire.Credit) {
 	if c.GetAccount() != p.account {
 		// Another leader, or this one has forgotten the account. What was spent beyond the
 		// credit counts for the new one, as what is held does.
--- a/pkg/lender/lender_test.go
+++ b/pkg/lender/lender_test.go
@@ -91,7 +91,7 @@
 	res := w.lender.Allocate(w.now, &wire.Borrower{
 		Gateway: g.name, Address: g.name, RunningMs: uint32(w.now.Sub(g.started).Milliseconds()), Accounts: []*wire.CreditAccount{said},
 	})
-	g.account.Hear(w.now, w.now, res.GetCredits()[0])
+	g.account.Receive(w.now, w.now, res.GetCredits()[0])
 	g.term = w.term
 	return true
 }
@@ -465,7 +465,7 @@
 func BenchmarkHoldAndSpend(b *testing.B) {
 	now := time.Unix(1e9, 0)
 	p := &Account{}
-	p.Hear(now, now, &wire.Credit{Account: 1, Lent: 1 << 60})
+	p.Receive(now, now, &wire.Credit{Account: 1, Lent: 1 << 60})
 	b.ReportAllocs()
 	for b.Loop() {
 		p.RecordDemand(now, 700)
@@ -511,7 +511,7 @@
 		p.RecordDemand(now, 700)
 		said = &wire.Borrower{Gateway: "edge-bergen-a-17", Accounts: []*wire.CreditAccount{p.Report(now, "customer-17", 700)}}
 		res = l.Allocate(now, said)
-		p.Hear(now, now, res.GetCredits()[0])
+		p.Receive(now, now, res.GetCredits()[0])
 		if p.Hold(now, 700) {
 			p.Spend(now, 700)
 		}
--- a/pkg/throttler/ways_test.go
+++ b/pkg/throttler/ways_test.go
@@ -69,7 +69,7 @@
 		Gateway: gateway, Address: gateway, RunningMs: uint32(time.Hour.Milliseconds()),
 		Accounts: []*wire.CreditAccount{p.Report(w.now, backendID, needed)},
 	})
-	p.Hear(w.now, w.now, res.GetCredits()[0])
+	p.Receive(w.now, w.now, res.GetCredits()[0])
 }
 
 // tick lets the gateways call that have not for a while.
