--- a/gateway/borrower/borrower.go
+++ b/gateway/borrower/borrower.go
@@ -238,8 +238,8 @@
 }
 
 // Standing returns what decides on the requests of a customer now.
-func (b *Borrower) Standing(customer string) lender.Standing {
-	standing := lender.Standing{}
+func (b *Borrower) Standing(customer string) lender.Status {
+	standing := lender.Status{}
 	b.with(customer, func(p *account) { standing = p.Standing(b.Clock.Now()) })
 	return standing
 }
--- a/pkg/lender/account.go
+++ b/pkg/lender/account.go
@@ -206,8 +206,8 @@
 	*p = Account{held: p.held, rate: p.rate, rated: p.rated, size: p.size, recent: p.recent}
 }
 
-// Standing is what decided on a request, for logs.
-type Standing struct {
+// Status is what decided on a request, for logs.
+type Status struct {
 	// Credit is what could be spent, Held what is held for requests that were let in, and
 	// Allowance what may be spent in a second without the leader.
 	Credit, Held, Allowance uint64
@@ -216,6 +216,6 @@
 }
 
 // Standing returns what decides now.
-func (p *Account) Standing(now time.Time) Standing {
-	return Standing{Credit: p.credit(now), Held: p.held, Allowance: uint64(p.allowance), Age: now.Sub(p.heard)}
+func (p *Account) Standing(now time.Time) Status {
+	return Status{Credit: p.credit(now), Held: p.held, Allowance: uint64(p.allowance), Age: now.Sub(p.heard)}
 }
