--- a/gateway/forwarder/story.go
+++ b/gateway/forwarder/story.go
@@ -52,7 +52,7 @@
 	}
 	if j.charge.size > 0 && !j.charge.held && !j.charge.spent {
 		s := f.Borrower.Standing(j.charge.customer)
-		list = append(list, "Size", j.charge.size, "Credit", s.Credit, "Held", s.Held, "Allowance", s.Allowance, "CreditAge", s.Age.Milliseconds())
+		list = append(list, "Size", j.charge.size, "Credit", s.Unspent, "Held", s.Held, "Allowance", s.Allowance, "CreditAge", s.Age.Milliseconds())
 	}
 	if backend == nil {
 		backend = j.last
--- a/pkg/lender/account.go
+++ b/pkg/lender/account.go
@@ -208,14 +208,14 @@
 
 // Status is what decided on a request, for logs.
 type Status struct {
-	// Credit is what could be spent, Held what is held for requests that were let in, and
+	// Unspent is what could be spent, Held what is held for requests that were let in, and
 	// Allowance what may be spent in a second without the leader.
-	Credit, Held, Allowance uint64
+	Unspent, Held, Allowance uint64
 	// Age is how old the leader's word is.
 	Age time.Duration
 }
 
 // Standing returns what decides now.
 func (p *Account) Standing(now time.Time) Status {
-	return Status{Credit: p.credit(now), Held: p.held, Allowance: uint64(p.allowance), Age: now.Sub(p.heard)}
+	return Status{Unspent: p.credit(now), Held: p.held, Allowance: uint64(p.allowance), Age: now.Sub(p.heard)}
 }
