--- a/gateway/borrower/borrower.go
+++ b/gateway/borrower/borrower.go
@@ -240,7 +240,7 @@
 // Standing returns what decides on the requests of a customer now.
 func (b *Borrower) Standing(customer string) lender.Status {
 	standing := lender.Status{}
-	b.with(customer, func(p *account) { standing = p.Standing(b.Clock.Now()) })
+	b.with(customer, func(p *account) { standing = p.Status(b.Clock.Now()) })
 	return standing
 }
 
--- a/pkg/lender/account.go
+++ b/pkg/lender/account.go
@@ -215,7 +215,7 @@
 	Age time.Duration
 }
 
-// Standing returns what decides now.
-func (p *Account) Standing(now time.Time) Status {
+// Status returns what decides now.
+func (p *Account) Status(now time.Time) Status {
 	return Status{Unspent: p.credit(now), Held: p.held, Allowance: uint64(p.allowance), Age: now.Sub(p.heard)}
 }
