--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -206,11 +206,11 @@
 	c.warm = now.Add(c.Policy.BackendLease)
 	for id, s := range c.state.Sessions() {
 		c.leaser.Open(now, sessionOf(s), true)
-		c.limiter.Expect(leaser.SessionID(id))
+		c.limiter.ExpectReport(leaser.SessionID(id))
 	}
 	for _, s := range c.state.Ended() {
 		c.leaser.AdoptEnded(now, leaser.SessionID(s.GetId()))
-		c.limiter.Expect(leaser.SessionID(s.GetId()))
+		c.limiter.ExpectReport(leaser.SessionID(s.GetId()))
 	}
 	for _, contract := range c.state.Contracts() {
 		c.limiter.SetLimit(contract.GetCustomer(), contract.GetRequestsAtOnce())
--- a/pkg/limiter/limiter.go
+++ b/pkg/limiter/limiter.go
@@ -55,9 +55,9 @@
 	l.customer(name).limit = limit
 }
 
-// Expect notes a session that may hold shares which aren't known. Until it has
+// ExpectReport notes a session that may hold shares which aren't known. Until it has
 // reported or is forgotten no share of any customer grows.
-func (l *Limiter) Expect(id SessionID) {
+func (l *Limiter) ExpectReport(id SessionID) {
 	if l.frozen == nil {
 		l.frozen = map[SessionID]bool{}
 	}
--- a/pkg/limiter/limiter_test.go
+++ b/pkg/limiter/limiter_test.go
@@ -143,8 +143,8 @@
 	c := qt.New(t)
 	l := &limiter.Limiter{}
 	l.SetLimit(name, 10)
-	l.Expect(1)
-	l.Expect(2)
+	l.ExpectReport(1)
+	l.ExpectReport(2)
 	now := time.Unix(0, 0)
 	l.Reset(1, []limiter.Demand{{Customer: name, Held: 4}})
 	c.Assert(l.Report(now, 1, limiter.Demand{Customer: name, Held: 4, Wanted: 9}), qt.Equals, uint32(4))
