--- a/pkg/limiter/limiter.go
+++ b/pkg/limiter/limiter.go
@@ -64,8 +64,8 @@
 	l.frozen[id] = true
 }
 
-// Reported notes that all of a session's shares are known.
-func (l *Limiter) Reported(id SessionID) { delete(l.frozen, id) }
+// MarkReported notes that all of a session's shares are known.
+func (l *Limiter) MarkReported(id SessionID) { delete(l.frozen, id) }
 
 // Forget drops all that a session had.
 func (l *Limiter) Forget(id SessionID) {
@@ -100,7 +100,7 @@
 			l.drop(id, name)
 		}
 	}
-	l.Reported(id)
+	l.MarkReported(id)
 }
 
 // Report takes a session's demand and returns its share from now on. A share
