--- a/pkg/limiter/limiter.go
+++ b/pkg/limiter/limiter.go
@@ -142,8 +142,8 @@
 // than the limit now allows.
 func (c *customer) contended() bool { return c.hungry > 0 || c.granted > c.limit }
 
-// Sum returns all shares of a customer together.
-func (l *Limiter) Sum(name string) uint32 { return l.customer(name).granted }
+// TotalGranted returns all shares of a customer together.
+func (l *Limiter) TotalGranted(name string) uint32 { return l.customer(name).granted }
 
 func (l *Limiter) customer(name string) *customer {
 	if l.customers == nil {
--- a/pkg/limiter/limiter_test.go
+++ b/pkg/limiter/limiter_test.go
@@ -72,8 +72,8 @@
 			for _, other := range gateways {
 				running += other.running
 			}
-			if running > limit || l.Sum(name) > limit {
-				rt.Fatalf("%d run and %d are given of %d", running, l.Sum(name), limit)
+			if running > limit || l.TotalGranted(name) > limit {
+				rt.Fatalf("%d run and %d are given of %d", running, l.TotalGranted(name), limit)
 			}
 		}
 	})
@@ -136,7 +136,7 @@
 	// A report that says more than was given, as one from before would, adds nothing.
 	l.Report(now, 1, limiter.Demand{Customer: name, Held: 10, Wanted: 10})
 	l.Report(now, 2, limiter.Demand{Customer: name, Held: 10, Wanted: 10})
-	c.Assert(l.Sum(name) <= 10, qt.IsTrue, qt.Commentf("%d were given", l.Sum(name)))
+	c.Assert(l.TotalGranted(name) <= 10, qt.IsTrue, qt.Commentf("%d were given", l.TotalGranted(name)))
 }
 
 func TestNewLeaderGivesNothingBeforeAllReported(t *testing.T) {
