--- a/gateway/granter/pool.go
+++ b/gateway/granter/pool.go
@@ -44,7 +44,7 @@
 		g.mu.Unlock()
 		return res
 	}
-	ask := throttler.Ask{
+	ask := throttler.GrantRequest{
 		Key: req.GetKey(), Urgency: req.GetUrgency(), ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())),
 		GiveUp: now.Add(milliseconds(req.GetGiveUpMs())), Waits: req.GetWaitMs() > 0,
 	}
--- a/pkg/throttler/allocator.go
+++ b/pkg/throttler/allocator.go
@@ -37,8 +37,8 @@
 	cappedRetry = 250 * time.Millisecond
 )
 
-// Ask is a request that is to be sent to the backend server.
-type Ask struct {
+// GrantRequest is a request that is to be sent to the backend server.
+type GrantRequest struct {
 	// Key tells asks apart.
 	Key string
 	// Urgency is the request's priority; 0 goes first.
@@ -71,7 +71,7 @@
 	// granted are the grants in the window, and reported is what gateways sent without one.
 	granted  windower.Window
 	reported map[string]*windower.Window
-	waiting  []Ask
+	waiting  []GrantRequest
 }
 
 // SetRate takes the rate of the limit. A new allocator begins without stored grants: another
@@ -129,7 +129,7 @@
 }
 
 // Add decides on an ask, or lets it wait.
-func (a *Allocator) Add(now time.Time, ask Ask) Verdict {
+func (a *Allocator) Add(now time.Time, ask GrantRequest) Verdict {
 	a.fill(now)
 	ahead := 0
 	for _, other := range a.waiting {
@@ -173,7 +173,7 @@
 // Next returns the keys of waiting asks that are granted now, the most urgent first.
 func (a *Allocator) Next(now time.Time) []string {
 	a.fill(now)
-	a.waiting = slices.DeleteFunc(a.waiting, func(ask Ask) bool { return !now.Before(ask.GiveUp) })
+	a.waiting = slices.DeleteFunc(a.waiting, func(ask GrantRequest) bool { return !now.Before(ask.GiveUp) })
 	if len(a.waiting) == 0 {
 		return nil
 	}
@@ -199,7 +199,7 @@
 // Withdraw takes back an ask that waits, and reports whether it did.
 func (a *Allocator) Withdraw(key string) bool {
 	before := len(a.waiting)
-	a.waiting = slices.DeleteFunc(a.waiting, func(ask Ask) bool { return ask.Key == key })
+	a.waiting = slices.DeleteFunc(a.waiting, func(ask GrantRequest) bool { return ask.Key == key })
 	return len(a.waiting) < before
 }
 
@@ -209,6 +209,6 @@
 }
 
 // compare puts urgent requests first, and among equals the one that came first.
-func compare(one, other Ask) int {
+func compare(one, other GrantRequest) int {
 	return cmp.Or(cmp.Compare(one.Urgency, other.Urgency), one.ReceivedAt.Compare(other.ReceivedAt), cmp.Compare(one.Key, other.Key))
 }
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -13,8 +13,8 @@
 	c := qt.New(t)
 	var a Allocator
 	a.SetRate(at(0), 10)
-	ask := func(key string, urgency uint32, received, giveUp int) Ask {
-		return Ask{Key: key, Urgency: urgency, ReceivedAt: at(received), GiveUp: at(giveUp), Waits: true}
+	ask := func(key string, urgency uint32, received, giveUp int) GrantRequest {
+		return GrantRequest{Key: key, Urgency: urgency, ReceivedAt: at(received), GiveUp: at(giveUp), Waits: true}
 	}
 	c.Check(a.Add(at(0), ask("late", 1, 5, 2000)).Waiting, qt.IsTrue)
 	c.Check(a.Add(at(0), ask("early", 1, 0, 2000)).Waiting, qt.IsTrue)
@@ -22,7 +22,7 @@
 	c.Check(a.Add(at(0), ask("gone", 0, 9, 2000)).Waiting, qt.IsTrue)
 	c.Check(a.Withdraw("gone"), qt.IsTrue)
 	c.Check(a.Add(at(0), ask("hopeless", 2, 0, 250)), qt.Equals, Verdict{RetryIn: 400 * time.Millisecond})
-	c.Check(a.Add(at(0), Ask{Key: "at once", ReceivedAt: at(9)}).RetryIn > 0, qt.IsTrue)
+	c.Check(a.Add(at(0), GrantRequest{Key: "at once", ReceivedAt: at(9)}).RetryIn > 0, qt.IsTrue)
 	wait, ok := a.NextIn(at(0))
 	c.Check(ok, qt.IsTrue)
 	c.Check(wait, qt.Equals, 100*time.Millisecond)
@@ -48,9 +48,9 @@
 	for range 3 {
 		a.Report(at(0), "gateway", before.Without(at(0), "owner"))
 	}
-	v := a.Add(at(1000), Ask{Key: "k", ReceivedAt: at(1000), GiveUp: at(9000)})
+	v := a.Add(at(1000), GrantRequest{Key: "k", ReceivedAt: at(1000), GiveUp: at(9000)})
 	c.Check(v, qt.Equals, Verdict{RetryIn: cappedRetry})
-	c.Check(a.Add(at(4500), Ask{Key: "k", ReceivedAt: at(4500), GiveUp: at(9000)}).Granted, qt.IsTrue)
+	c.Check(a.Add(at(4500), GrantRequest{Key: "k", ReceivedAt: at(4500), GiveUp: at(9000)}).Granted, qt.IsTrue)
 	c.Check(a.Idle(at(4500)), qt.IsFalse)
 	c.Check(a.Idle(at(9000)), qt.IsTrue)
 }
