--- a/pkg/throttler/allocator.go
+++ b/pkg/throttler/allocator.go
@@ -45,7 +45,7 @@
 	Urgency uint32
 	// ReceivedAt orders requests of one priority, and GiveUp is when it is no use to wait.
 	ReceivedAt time.Time
-	GiveUp     time.Time
+	Deadline   time.Time
 	// Waits is set if the request waits for its grant. Otherwise it is decided at once.
 	Waits bool
 }
@@ -146,7 +146,7 @@
 	if capped {
 		wait = max(wait, cappedRetry)
 	}
-	if !ask.Waits || !now.Add(wait).Before(ask.GiveUp) {
+	if !ask.Waits || !now.Add(wait).Before(ask.Deadline) {
 		if a.Role == Deputy {
 			wait = min(wait, deputyRetry)
 		}
@@ -173,7 +173,7 @@
 // Next returns the keys of waiting asks that are granted now, the most urgent first.
 func (a *Allocator) Next(now time.Time) []string {
 	a.fill(now)
-	a.waiting = slices.DeleteFunc(a.waiting, func(ask GrantRequest) bool { return !now.Before(ask.GiveUp) })
+	a.waiting = slices.DeleteFunc(a.waiting, func(ask GrantRequest) bool { return !now.Before(ask.Deadline) })
 	if len(a.waiting) == 0 {
 		return nil
 	}
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -14,7 +14,7 @@
 	var a Allocator
 	a.SetRate(at(0), 10)
 	ask := func(key string, urgency uint32, received, giveUp int) GrantRequest {
-		return GrantRequest{Key: key, Urgency: urgency, ReceivedAt: at(received), GiveUp: at(giveUp), Waits: true}
+		return GrantRequest{Key: key, Urgency: urgency, ReceivedAt: at(received), Deadline: at(giveUp), Waits: true}
 	}
 	c.Check(a.Add(at(0), ask("late", 1, 5, 2000)).Waiting, qt.IsTrue)
 	c.Check(a.Add(at(0), ask("early", 1, 0, 2000)).Waiting, qt.IsTrue)
@@ -48,9 +48,9 @@
 	for range 3 {
 		a.Report(at(0), "gateway", before.Without(at(0), "owner"))
 	}
-	v := a.Add(at(1000), GrantRequest{Key: "k", ReceivedAt: at(1000), GiveUp: at(9000)})
+	v := a.Add(at(1000), GrantRequest{Key: "k", ReceivedAt: at(1000), Deadline: at(9000)})
 	c.Check(v, qt.Equals, Verdict{RetryIn: cappedRetry})
-	c.Check(a.Add(at(4500), GrantRequest{Key: "k", ReceivedAt: at(4500), GiveUp: at(9000)}).Granted, qt.IsTrue)
+	c.Check(a.Add(at(4500), GrantRequest{Key: "k", ReceivedAt: at(4500), Deadline: at(9000)}).Granted, qt.IsTrue)
 	c.Check(a.Idle(at(4500)), qt.IsFalse)
 	c.Check(a.Idle(at(9000)), qt.IsTrue)
 }
