--- a/gateway/granter/pool.go
+++ b/gateway/granter/pool.go
@@ -46,7 +46,7 @@
 	}
 	ask := throttler.GrantRequest{
 		Key: req.GetKey(), Urgency: req.GetUrgency(), ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())),
-		Deadline: now.Add(milliseconds(req.GetGiveUpMs())), Waits: req.GetWaitMs() > 0,
+		Deadline: now.Add(milliseconds(req.GetGiveUpMs())), CanWait: req.GetWaitMs() > 0,
 	}
 	verdict := p.allocator.Add(now, ask)
 	granted := make(chan struct{})
--- a/pkg/throttler/allocator.go
+++ b/pkg/throttler/allocator.go
@@ -46,8 +46,8 @@
 	// ReceivedAt orders requests of one priority, and GiveUp is when it is no use to wait.
 	ReceivedAt time.Time
 	Deadline   time.Time
-	// Waits is set if the request waits for its grant. Otherwise it is decided at once.
-	Waits bool
+	// CanWait is set if the request waits for its grant. Otherwise it is decided at once.
+	CanWait bool
 }
 
 // Verdict is what becomes of an ask.
@@ -146,7 +146,7 @@
 	if capped {
 		wait = max(wait, cappedRetry)
 	}
-	if !ask.Waits || !now.Add(wait).Before(ask.Deadline) {
+	if !ask.CanWait || !now.Add(wait).Before(ask.Deadline) {
 		if a.Role == Deputy {
 			wait = min(wait, deputyRetry)
 		}
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -14,7 +14,7 @@
 	var a Allocator
 	a.SetRate(at(0), 10)
 	ask := func(key string, urgency uint32, received, giveUp int) GrantRequest {
-		return GrantRequest{Key: key, Urgency: urgency, ReceivedAt: at(received), Deadline: at(giveUp), Waits: true}
+		return GrantRequest{Key: key, Urgency: urgency, ReceivedAt: at(received), Deadline: at(giveUp), CanWait: true}
 	}
 	c.Check(a.Add(at(0), ask("late", 1, 5, 2000)).Waiting, qt.IsTrue)
 	c.Check(a.Add(at(0), ask("early", 1, 0, 2000)).Waiting, qt.IsTrue)
