--- a/pkg/throttler/allocator.go
+++ b/pkg/throttler/allocator.go
@@ -50,8 +50,8 @@
 	CanWait bool
 }
 
-// Verdict is what becomes of an ask.
-type Verdict struct {
+// Decision is what becomes of an ask.
+type Decision struct {
 	Granted bool
 	// Waiting is set if the ask waits for Next.
 	Waiting bool
@@ -129,7 +129,7 @@
 }
 
 // Add decides on an ask, or lets it wait.
-func (a *Allocator) Add(now time.Time, ask GrantRequest) Verdict {
+func (a *Allocator) Add(now time.Time, ask GrantRequest) Decision {
 	a.fill(now)
 	ahead := 0
 	for _, other := range a.waiting {
@@ -140,7 +140,7 @@
 	capped := a.isCapped(now)
 	if ahead == 0 && a.level >= 1 && !capped {
 		a.grant(now)
-		return Verdict{Granted: true}
+		return Decision{Granted: true}
 	}
 	wait := max(shortestRetry, a.timeUntil(float64(ahead)+1))
 	if capped {
@@ -150,10 +150,10 @@
 		if a.Role == Deputy {
 			wait = min(wait, deputyRetry)
 		}
-		return Verdict{RetryIn: wait}
+		return Decision{RetryIn: wait}
 	}
 	a.waiting = append(a.waiting, ask)
-	return Verdict{Waiting: true, RetryIn: wait}
+	return Decision{Waiting: true, RetryIn: wait}
 }
 
 // timeUntil returns the time until some requests could have been granted.
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -21,7 +21,7 @@
 	c.Check(a.Add(at(0), ask("urgent", 0, 9, 2000)).Waiting, qt.IsTrue)
 	c.Check(a.Add(at(0), ask("gone", 0, 9, 2000)).Waiting, qt.IsTrue)
 	c.Check(a.Withdraw("gone"), qt.IsTrue)
-	c.Check(a.Add(at(0), ask("hopeless", 2, 0, 250)), qt.Equals, Verdict{RetryIn: 400 * time.Millisecond})
+	c.Check(a.Add(at(0), ask("hopeless", 2, 0, 250)), qt.Equals, Decision{RetryIn: 400 * time.Millisecond})
 	c.Check(a.Add(at(0), GrantRequest{Key: "at once", ReceivedAt: at(9)}).RetryIn > 0, qt.IsTrue)
 	wait, ok := a.NextIn(at(0))
 	c.Check(ok, qt.IsTrue)
@@ -49,7 +49,7 @@
 		a.Report(at(0), "gateway", before.Without(at(0), "owner"))
 	}
 	v := a.Add(at(1000), GrantRequest{Key: "k", ReceivedAt: at(1000), Deadline: at(9000)})
-	c.Check(v, qt.Equals, Verdict{RetryIn: cappedRetry})
+	c.Check(v, qt.Equals, Decision{RetryIn: cappedRetry})
 	c.Check(a.Add(at(4500), GrantRequest{Key: "k", ReceivedAt: at(4500), Deadline: at(9000)}).Granted, qt.IsTrue)
 	c.Check(a.Idle(at(4500)), qt.IsFalse)
 	c.Check(a.Idle(at(9000)), qt.IsTrue)
