--- a/gateway/granter/pool.go
+++ b/gateway/granter/pool.go
@@ -39,7 +39,7 @@
 	}
 	p := g.pool(req.GetBackend(), role)
 	p.allocator.SetRate(now, rate)
-	p.allocator.Report(now, req.GetGateway(), req.GetRecent())
+	p.allocator.RecordSends(now, req.GetGateway(), req.GetRecent())
 	if req.GetReportOnly() {
 		g.mu.Unlock()
 		return res
--- a/pkg/throttler/allocator.go
+++ b/pkg/throttler/allocator.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// Report takes what a gateway sent in the window without a grant of this allocator.
-func (a *Allocator) Report(now time.Time, gateway string, parts []uint64) {
+// RecordSends takes what a gateway sent in the window without a grant of this allocator.
+func (a *Allocator) RecordSends(now time.Time, gateway string, parts []uint64) {
 	if len(parts) == 0 {
 		delete(a.reported, gateway)
 		return
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -46,7 +46,7 @@
 		before.Add(at(0), "")
 	}
 	for range 3 {
-		a.Report(at(0), "gateway", before.Without(at(0), "owner"))
+		a.RecordSends(at(0), "gateway", before.Without(at(0), "owner"))
 	}
 	v := a.Add(at(1000), GrantRequest{Key: "k", ReceivedAt: at(1000), Deadline: at(9000)})
 	c.Check(v, qt.Equals, Decision{RetryIn: cappedRetry})
