--- a/gateway/granter/pool.go
+++ b/gateway/granter/pool.go
@@ -48,7 +48,7 @@
 		Key: req.GetKey(), Urgency: req.GetUrgency(), ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())),
 		Deadline: now.Add(milliseconds(req.GetGiveUpMs())), CanWait: req.GetWaitMs() > 0,
 	}
-	verdict := p.allocator.Add(now, ask)
+	verdict := p.allocator.Submit(now, ask)
 	granted := make(chan struct{})
 	if verdict.Waiting {
 		p.waiting[ask.Key] = granted
--- a/pkg/throttler/allocator.go
+++ b/pkg/throttler/allocator.go
@@ -128,8 +128,8 @@
 	return sum+1 > capTolerance*full*Window.Seconds()+capSlack
 }
 
-// Add decides on an ask, or lets it wait.
-func (a *Allocator) Add(now time.Time, ask GrantRequest) Decision {
+// Submit decides on an ask, or lets it wait.
+func (a *Allocator) Submit(now time.Time, ask GrantRequest) Decision {
 	a.fill(now)
 	ahead := 0
 	for _, other := range a.waiting {
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -16,13 +16,13 @@
 	ask := func(key string, urgency uint32, received, giveUp int) GrantRequest {
 		return GrantRequest{Key: key, Urgency: urgency, ReceivedAt: at(received), Deadline: at(giveUp), CanWait: true}
 	}
-	c.Check(a.Add(at(0), ask("late", 1, 5, 2000)).Waiting, qt.IsTrue)
-	c.Check(a.Add(at(0), ask("early", 1, 0, 2000)).Waiting, qt.IsTrue)
-	c.Check(a.Add(at(0), ask("urgent", 0, 9, 2000)).Waiting, qt.IsTrue)
-	c.Check(a.Add(at(0), ask("gone", 0, 9, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), ask("late", 1, 5, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), ask("early", 1, 0, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), ask("urgent", 0, 9, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), ask("gone", 0, 9, 2000)).Waiting, qt.IsTrue)
 	c.Check(a.Withdraw("gone"), qt.IsTrue)
-	c.Check(a.Add(at(0), ask("hopeless", 2, 0, 250)), qt.Equals, Decision{RetryIn: 400 * time.Millisecond})
-	c.Check(a.Add(at(0), GrantRequest{Key: "at once", ReceivedAt: at(9)}).RetryIn > 0, qt.IsTrue)
+	c.Check(a.Submit(at(0), ask("hopeless", 2, 0, 250)), qt.Equals, Decision{RetryIn: 400 * time.Millisecond})
+	c.Check(a.Submit(at(0), GrantRequest{Key: "at once", ReceivedAt: at(9)}).RetryIn > 0, qt.IsTrue)
 	wait, ok := a.NextIn(at(0))
 	c.Check(ok, qt.IsTrue)
 	c.Check(wait, qt.Equals, 100*time.Millisecond)
@@ -48,9 +48,9 @@
 	for range 3 {
 		a.RecordSends(at(0), "gateway", before.Without(at(0), "owner"))
 	}
-	v := a.Add(at(1000), GrantRequest{Key: "k", ReceivedAt: at(1000), Deadline: at(9000)})
+	v := a.Submit(at(1000), GrantRequest{Key: "k", ReceivedAt: at(1000), Deadline: at(9000)})
 	c.Check(v, qt.Equals, Decision{RetryIn: cappedRetry})
-	c.Check(a.Add(at(4500), GrantRequest{Key: "k", ReceivedAt: at(4500), Deadline: at(9000)}).Granted, qt.IsTrue)
+	c.Check(a.Submit(at(4500), GrantRequest{Key: "k", ReceivedAt: at(4500), Deadline: at(9000)}).Granted, qt.IsTrue)
 	c.Check(a.Idle(at(4500)), qt.IsFalse)
 	c.Check(a.Idle(at(9000)), qt.IsTrue)
 }
--- a/pkg/throttler/ways_test.go
+++ b/pkg/throttler/ways_test.go
@@ -21,7 +21,7 @@
 		g.owned[Owner] = a
 	}
 	a.SetRate(w.now, e.limit/RequestRate(len(w.gateways)))
-	v := a.Add(w.now, GrantRequest{ReceivedAt: w.now, Deadline: w.now.Add(time.Second)})
+	v := a.Submit(w.now, GrantRequest{ReceivedAt: w.now, Deadline: w.now.Add(time.Second)})
 	return v.Granted, g.address, v.RetryIn
 }
 
--- a/pkg/throttler/world_test.go
+++ b/pkg/throttler/world_test.go
@@ -216,7 +216,7 @@
 		}
 		a.SetRate(w.now, rate)
 		a.RecordSends(w.now, g.address, g.sent.Without(w.now, address))
-		v := a.Add(w.now, GrantRequest{Key: "k", ReceivedAt: w.now, Deadline: w.now.Add(time.Second)})
+		v := a.Submit(w.now, GrantRequest{Key: "k", ReceivedAt: w.now, Deadline: w.now.Add(time.Second)})
 		return v.Granted, address, v.RetryIn
 	}
 	return false, "", 250 * time.Millisecond
