--- a/gateway/granter/pool.go
+++ b/gateway/granter/pool.go
@@ -131,7 +131,7 @@
 	if rate, limited := g.book.Rate(now, p.backend); limited {
 		p.allocator.SetRate(now, rate)
 	}
-	for _, key := range p.allocator.Next(now) {
+	for _, key := range p.allocator.GrantDue(now) {
 		if granted, ok := p.waiting[key]; ok {
 			close(granted)
 			delete(p.waiting, key)
--- a/pkg/throttler/allocator.go
+++ b/pkg/throttler/allocator.go
@@ -170,8 +170,8 @@
 	a.granted.Add(now, 1)
 }
 
-// Next returns the keys of waiting asks that are granted now, the most urgent first.
-func (a *Allocator) Next(now time.Time) []string {
+// GrantDue returns the keys of waiting asks that are granted now, the most urgent first.
+func (a *Allocator) GrantDue(now time.Time) []string {
 	a.fill(now)
 	a.waiting = slices.DeleteFunc(a.waiting, func(ask GrantRequest) bool { return !now.Before(ask.Deadline) })
 	if len(a.waiting) == 0 {
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -26,10 +26,10 @@
 	wait, ok := a.NextIn(at(0))
 	c.Check(ok, qt.IsTrue)
 	c.Check(wait, qt.Equals, 100*time.Millisecond)
-	c.Check(a.Next(at(99)), qt.HasLen, 0)
+	c.Check(a.GrantDue(at(99)), qt.HasLen, 0)
 	var order []string
 	for ms := 100; ms <= 300; ms += 100 {
-		order = append(order, a.Next(at(ms))...)
+		order = append(order, a.GrantDue(at(ms))...)
 	}
 	c.Check(order, qt.DeepEquals, []string{"urgent", "early", "late"})
 	_, ok = a.NextIn(at(300))
