--- a/gateway/granter/pool.go
+++ b/gateway/granter/pool.go
@@ -114,7 +114,7 @@
 
 // schedule serves a pool when its next grant is due. The caller holds the lock.
 func (g *Granter) schedule(now time.Time, p *pool) {
-	wait, ok := p.allocator.NextIn(now)
+	wait, ok := p.allocator.NextGrantIn(now)
 	if !ok || p.scheduled {
 		return
 	}
--- a/pkg/throttler/allocator.go
+++ b/pkg/throttler/allocator.go
@@ -187,8 +187,8 @@
 	return keys
 }
 
-// NextIn returns when Next may grant something, and false if nothing waits.
-func (a *Allocator) NextIn(now time.Time) (time.Duration, bool) {
+// NextGrantIn returns when Next may grant something, and false if nothing waits.
+func (a *Allocator) NextGrantIn(now time.Time) (time.Duration, bool) {
 	if len(a.waiting) == 0 {
 		return 0, false
 	}
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -23,7 +23,7 @@
 	c.Check(a.Withdraw("gone"), qt.IsTrue)
 	c.Check(a.Submit(at(0), ask("hopeless", 2, 0, 250)), qt.Equals, Decision{RetryIn: 400 * time.Millisecond})
 	c.Check(a.Submit(at(0), GrantRequest{Key: "at once", ReceivedAt: at(9)}).RetryIn > 0, qt.IsTrue)
-	wait, ok := a.NextIn(at(0))
+	wait, ok := a.NextGrantIn(at(0))
 	c.Check(ok, qt.IsTrue)
 	c.Check(wait, qt.Equals, 100*time.Millisecond)
 	c.Check(a.GrantDue(at(99)), qt.HasLen, 0)
@@ -32,7 +32,7 @@
 		order = append(order, a.GrantDue(at(ms))...)
 	}
 	c.Check(order, qt.DeepEquals, []string{"urgent", "early", "late"})
-	_, ok = a.NextIn(at(300))
+	_, ok = a.NextGrantIn(at(300))
 	c.Check(ok, qt.IsFalse)
 }
 
