--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -136,7 +136,7 @@
 }
 
 // Standing returns what is known of a backend server's limit, for logs.
-func (g *Granter) Standing(backend string) (throttler.Standing, bool) {
+func (g *Granter) Standing(backend string) (throttler.Status, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.Standing(backend)
--- a/pkg/throttler/book.go
+++ b/pkg/throttler/book.go
@@ -127,20 +127,20 @@
 	return max(known.ended, rampFrom) * RequestRate(math.Exp2(doublings)), true
 }
 
-// Standing is what is known of a limit, for logs.
-type Standing struct {
+// Status is what is known of a limit, for logs.
+type Status struct {
 	Limit  Limit
 	Since  time.Time
 	Source Source
 }
 
 // Standing returns what is known of a backend server's limit.
-func (b *Registry) Standing(id string) (Standing, bool) {
+func (b *Registry) Standing(id string) (Status, bool) {
 	known := b.records[id]
 	if known == nil {
-		return Standing{}, false
+		return Status{}, false
 	}
-	return Standing{Limit: known.limit, Since: known.since, Source: known.source}, true
+	return Status{Limit: known.limit, Since: known.since, Source: known.source}, true
 }
 
 // Forget drops a backend server that is gone, or whose process has started again.
