--- a/controller/curator/requestlimits.go
+++ b/controller/curator/requestlimits.go
@@ -37,7 +37,7 @@
 
 // limitOf returns the request limit of a backend server.
 func (c *Curator) limitOf(id string) throttler.Limit {
-	standing, _ := c.requestLimits.Standing(id)
+	standing, _ := c.requestLimits.Status(id)
 	return standing.Limit
 }
 
--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -139,7 +139,7 @@
 func (g *Granter) Standing(backend string) (throttler.Status, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.Standing(backend)
+	return g.book.Status(backend)
 }
 
 // usage is what was sent to a backend server with a limit since it was logged last.
@@ -155,7 +155,7 @@
 	defer g.mu.Unlock()
 	var list []usage
 	for id, s := range g.sends {
-		standing, limited := g.book.Standing(id)
+		standing, limited := g.book.Status(id)
 		if limited && len(s.byKind)+s.denied > 0 {
 			list = append(list, usage{id, standing.Limit.Rate, maps.Clone(s.byKind), s.denied})
 		}
--- a/pkg/throttler/book.go
+++ b/pkg/throttler/book.go
@@ -134,8 +134,8 @@
 	Source Source
 }
 
-// Standing returns what is known of a backend server's limit.
-func (b *Registry) Standing(id string) (Status, bool) {
+// Status returns what is known of a backend server's limit.
+func (b *Registry) Status(id string) (Status, bool) {
 	known := b.records[id]
 	if known == nil {
 		return Status{}, false
--- a/pkg/throttler/book_test.go
+++ b/pkg/throttler/book_test.go
@@ -46,7 +46,7 @@
 			for _, s := range test.said {
 				b.Observe(Observation{Backend: "b", Limit: s.limit, At: at(s.at), Source: s.source})
 			}
-			standing, _ := b.Standing("b")
+			standing, _ := b.Status("b")
 			c.Check(standing.Limit, qt.Equals, test.want)
 			c.Check(b.Revision(), qt.Equals, test.changes)
 		})
