--- a/controller/curator/limits.go
+++ b/controller/curator/limits.go
@@ -18,7 +18,7 @@
 // ListLimits returns how the limits stand. Only a leader knows.
 func (c *Curator) ListLimits(ctx context.Context, _ *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
 	return asLeader(ctx, c, func(now time.Time) *wire.ListLimitsResponse {
-		return &wire.ListLimitsResponse{Limits: c.lender.Statuses(now, true), RequestLimits: c.requestLimits.News(now)}
+		return &wire.ListLimitsResponse{Limits: c.lender.Statuses(now, true), RequestLimits: c.requestLimits.Limits(now)}
 	})
 }
 
--- a/controller/curator/requestlimits.go
+++ b/controller/curator/requestlimits.go
@@ -31,7 +31,7 @@
 func (c *Curator) tellLimits(now time.Time, req *wire.SyncRequest, res *wire.SyncResponse) {
 	res.RequestLimitsRevision = c.requestLimits.Revision()
 	if req.GetEpoch() != c.epoch || req.GetRequestLimitsRevision() != res.GetRequestLimitsRevision() {
-		res.RequestLimits = c.requestLimits.News(now)
+		res.RequestLimits = c.requestLimits.Limits(now)
 	}
 }
 
--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -125,7 +125,7 @@
 func (g *Granter) News() ([]*wire.RequestLimit, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.News(g.Clock.Now()), g.book.Revision()
+	return g.book.Limits(g.Clock.Now()), g.book.Revision()
 }
 
 // Revision returns the number of the list of limits.
--- a/pkg/throttler/book.go
+++ b/pkg/throttler/book.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// News returns all limits, for instances that get their news here.
-func (b *Registry) News(now time.Time) []*wire.RequestLimit {
+// Limits returns all limits, for instances that get their news here.
+func (b *Registry) Limits(now time.Time) []*wire.RequestLimit {
 	return b.list(now, func(*record) bool { return true })
 }
 
--- a/pkg/throttler/book_test.go
+++ b/pkg/throttler/book_test.go
@@ -84,8 +84,8 @@
 	c.Assert(ok, qt.IsTrue)
 	c.Check(o, qt.Equals, Observation{Backend: "own", Limit: LimitOf(5), At: at(10), Source: Follower})
 	controller.Observe(o)
-	c.Check(controller.News(at(400)), qt.HasLen, 1)
-	c.Check(gateway.News(at(400)), qt.HasLen, 2)
+	c.Check(controller.Limits(at(400)), qt.HasLen, 1)
+	c.Check(gateway.Limits(at(400)), qt.HasLen, 2)
 	controller.Prune(at(400), func(id string) bool { return id != "own" })
 	c.Check(controller.Empty(), qt.IsTrue)
 	for name, l := range map[string]*wire.RequestLimit{
