--- a/gateway/granter/granter.go
+++ b/gateway/granter/granter.go
@@ -174,7 +174,7 @@
 		GiveUpMs: uint32(max(0, r.GiveUp.Sub(now).Milliseconds())), WaitMs: uint32(r.Wait.Milliseconds()),
 	}
 	if s := g.sends[r.Backend]; s != nil {
-		req.Recent = s.Without(now, address)
+		req.Recent = s.Excluding(now, address)
 	}
 	return req
 }
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -46,7 +46,7 @@
 		before.Add(at(0), "")
 	}
 	for range 3 {
-		a.RecordSends(at(0), "gateway", before.Without(at(0), "owner"))
+		a.RecordSends(at(0), "gateway", before.Excluding(at(0), "owner"))
 	}
 	v := a.Submit(at(1000), GrantRequest{Key: "k", ReceivedAt: at(1000), Deadline: at(9000)})
 	c.Check(v, qt.Equals, Decision{RetryIn: cappedRetry})
@@ -60,7 +60,7 @@
 	c := qt.New(t)
 	var s Sends
 	sum := func(granter string) (n uint64) {
-		for _, part := range s.Without(at(100), granter) {
+		for _, part := range s.Excluding(at(100), granter) {
 			n += part
 		}
 		return n
--- a/pkg/throttler/sends.go
+++ b/pkg/throttler/sends.go
@@ -55,9 +55,9 @@
 	return &s.granted[i].window
 }
 
-// Without returns what was sent without a grant of a gateway, by parts of the window, the
+// Excluding returns what was sent without a grant of a gateway, by parts of the window, the
 // latest first.
-func (s *Sends) Without(now time.Time, granter string) []uint64 {
+func (s *Sends) Excluding(now time.Time, granter string) []uint64 {
 	var sum []uint64
 	for i := range s.granted {
 		if s.granted[i].granter == granter {
--- a/pkg/throttler/world_test.go
+++ b/pkg/throttler/world_test.go
@@ -215,7 +215,7 @@
 			owner.owned[Role(role)] = a
 		}
 		a.SetRate(w.now, rate)
-		a.RecordSends(w.now, g.address, g.sent.Without(w.now, address))
+		a.RecordSends(w.now, g.address, g.sent.Excluding(w.now, address))
 		v := a.Submit(w.now, GrantRequest{Key: "k", ReceivedAt: w.now, Deadline: w.now.Add(time.Second)})
 		return v.Granted, address, v.RetryIn
 	}
