--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -38,7 +38,7 @@
 		wait = 0
 	}
 	answer := f.Granter.Ask(ctx, granter.Request{
-		Backend: id, Urgency: j.urgency(), ReceivedAt: j.req.ReceivedAt, GiveUp: began.Add(wait), Wait: wait,
+		Backend: id, Urgency: j.urgency(), ReceivedAt: j.req.ReceivedAt, Deadline: began.Add(wait), Wait: wait,
 	})
 	now := f.Clock.Now()
 	j.waited += now.Sub(began)
--- a/gateway/granter/granter.go
+++ b/gateway/granter/granter.go
@@ -62,10 +62,10 @@
 	// Urgency is the request's priority; 0 goes first.
 	Urgency    uint32
 	ReceivedAt time.Time
-	// GiveUp is when it is no use to send it, and Wait how long it waits for its grant at most;
+	// Deadline is when it is no use to send it, and Wait how long it waits for its grant at most;
 	// 0 decides at once.
-	GiveUp time.Time
-	Wait   time.Duration
+	Deadline time.Time
+	Wait     time.Duration
 }
 
 // Answer is what became of a request.
@@ -171,7 +171,7 @@
 	req := &wire.GrantRequest{
 		Backend: r.Backend, Key: key, Gateway: g.Self, Urgency: r.Urgency, Limit: g.book.Get(now, r.Backend),
 		AgeMs:    uint32(max(0, now.Sub(r.ReceivedAt).Milliseconds())),
-		GiveUpMs: uint32(max(0, r.GiveUp.Sub(now).Milliseconds())), WaitMs: uint32(r.Wait.Milliseconds()),
+		GiveUpMs: uint32(max(0, r.Deadline.Sub(now).Milliseconds())), WaitMs: uint32(r.Wait.Milliseconds()),
 	}
 	if s := g.sends[r.Backend]; s != nil {
 		req.Recent = s.Excluding(now, address)
