--- a/gateway/granter/granter.go
+++ b/gateway/granter/granter.go
@@ -68,8 +68,8 @@
 	Wait     time.Duration
 }
 
-// Answer is what became of a request.
-type Answer struct {
+// Result is what became of a request.
+type Result struct {
 	Granted bool
 	// By is the gateway that granted it.
 	By string
@@ -142,7 +142,7 @@
 }
 
 // Ask asks for a request to be sent, at the owner of the limit or at its deputy.
-func (g *Granter) Ask(ctx context.Context, r Request) Answer {
+func (g *Granter) Ask(ctx context.Context, r Request) Result {
 	owner, deputy := g.Ranked(r.Backend)
 	// Ids of requests are the callers' to choose, and would not tell two of them apart.
 	key := g.Self + "/" + strconv.FormatUint(g.keys.Add(1), 10)
@@ -161,7 +161,7 @@
 			return decode(res, address)
 		}
 	}
-	return Answer{RetryIn: unreachableRetry}
+	return Result{RetryIn: unreachableRetry}
 }
 
 func (g *Granter) encode(address, key string, r Request) *wire.GrantRequest {
@@ -179,8 +179,8 @@
 	return req
 }
 
-func decode(res *wire.GrantResponse, by string) Answer {
-	return Answer{Granted: res.GetGranted(), By: by, RetryIn: milliseconds(res.GetRetryInMs())}
+func decode(res *wire.GrantResponse, by string) Result {
+	return Result{Granted: res.GetGranted(), By: by, RetryIn: milliseconds(res.GetRetryInMs())}
 }
 
 func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/gateway/granter/granter_test.go
+++ b/gateway/granter/granter_test.go
@@ -64,7 +64,7 @@
 	return nil, errors.New("no answer")
 }
 
-func (y *fleet) ask(gateway int) Answer {
+func (y *fleet) ask(gateway int) Result {
 	now := y.clock.Now()
 	return y.granters[gateway].Ask(context.Background(), Request{Backend: "b", ReceivedAt: now, Deadline: now.Add(time.Second)})
 }
@@ -115,7 +115,7 @@
 	c.Check(sum, qt.Equals, 40)
 	y.clock.Advance(denied.RetryIn)
 	c.Check(y.ask(1).Granted, qt.IsTrue)
-	c.Check(y.ask(0), qt.Equals, Answer{By: y.granters[0].Self, RetryIn: 500 * time.Millisecond})
+	c.Check(y.ask(0), qt.Equals, Result{By: y.granters[0].Self, RetryIn: 500 * time.Millisecond})
 }
 
 // Without an owner its deputy grants a part of the limit, and the owner is not asked at every
@@ -141,7 +141,7 @@
 	c.Check(sum, qt.Equals, 20)
 	y.down[y.granters[1].Self] = true
 	y.clock.Advance(time.Second)
-	c.Check(y.ask(2), qt.Equals, Answer{RetryIn: unreachableRetry})
+	c.Check(y.ask(2), qt.Equals, Result{RetryIn: unreachableRetry})
 	clear(y.down)
 	y.clock.Advance(longestBackoff)
 	c.Check(y.ask(2).By, qt.Equals, y.granters[0].Self)
@@ -166,7 +166,7 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			now := y.clock.Now()
-			done := make(chan Answer, 1)
+			done := make(chan Result, 1)
 			go func() {
 				done <- y.granters[0].Ask(ctx, Request{Backend: "b", ReceivedAt: now, Deadline: now.Add(test.wait), Wait: test.wait})
 			}()
