--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -43,7 +43,7 @@
 	now := f.Clock.Now()
 	j.waited += now.Sub(began)
 	if answer.Granted {
-		j.grant.by = answer.By
+		j.grant.by = answer.DecidedBy
 		return true
 	}
 	j.grant.denials++
--- a/gateway/granter/granter.go
+++ b/gateway/granter/granter.go
@@ -71,8 +71,8 @@
 // Result is what became of a request.
 type Result struct {
 	Granted bool
-	// By is the gateway that granted it.
-	By string
+	// DecidedBy is the gateway that granted it.
+	DecidedBy string
 	// RetryIn is when it would be granted, if it is not.
 	RetryIn time.Duration
 }
@@ -180,7 +180,7 @@
 }
 
 func decode(res *wire.GrantResponse, by string) Result {
-	return Result{Granted: res.GetGranted(), By: by, RetryIn: milliseconds(res.GetRetryInMs())}
+	return Result{Granted: res.GetGranted(), DecidedBy: by, RetryIn: milliseconds(res.GetRetryInMs())}
 }
 
 func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/gateway/granter/granter_test.go
+++ b/gateway/granter/granter_test.go
@@ -115,7 +115,7 @@
 	c.Check(sum, qt.Equals, 40)
 	y.clock.Advance(denied.RetryIn)
 	c.Check(y.ask(1).Granted, qt.IsTrue)
-	c.Check(y.ask(0), qt.Equals, Result{By: y.granters[0].Self, RetryIn: 500 * time.Millisecond})
+	c.Check(y.ask(0), qt.Equals, Result{DecidedBy: y.granters[0].Self, RetryIn: 500 * time.Millisecond})
 }
 
 // Without an owner its deputy grants a part of the limit, and the owner is not asked at every
@@ -133,7 +133,7 @@
 	for range 20 {
 		y.clock.Advance(500 * time.Millisecond)
 		if answer := y.ask(2); answer.Granted {
-			c.Check(answer.By, qt.Equals, y.granters[1].Self)
+			c.Check(answer.DecidedBy, qt.Equals, y.granters[1].Self)
 			sum++
 		}
 	}
@@ -144,7 +144,7 @@
 	c.Check(y.ask(2), qt.Equals, Result{RetryIn: unreachableRetry})
 	clear(y.down)
 	y.clock.Advance(longestBackoff)
-	c.Check(y.ask(2).By, qt.Equals, y.granters[0].Self)
+	c.Check(y.ask(2).DecidedBy, qt.Equals, y.granters[0].Self)
 }
 
 // A request without another backend server waits for its turn at the owner.
