--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -37,7 +37,7 @@
 	if f.hasOther(began, j, id) {
 		wait = 0
 	}
-	answer := f.Granter.Ask(ctx, granter.Request{
+	answer := f.Granter.RequestGrant(ctx, granter.Request{
 		Backend: id, Urgency: j.urgency(), ReceivedAt: j.req.ReceivedAt, Deadline: began.Add(wait), Wait: wait,
 	})
 	now := f.Clock.Now()
--- a/gateway/granter/granter.go
+++ b/gateway/granter/granter.go
@@ -141,8 +141,8 @@
 	return limited
 }
 
-// Ask asks for a request to be sent, at the owner of the limit or at its deputy.
-func (g *Granter) Ask(ctx context.Context, r Request) Result {
+// RequestGrant asks for a request to be sent, at the owner of the limit or at its deputy.
+func (g *Granter) RequestGrant(ctx context.Context, r Request) Result {
 	owner, deputy := g.Ranked(r.Backend)
 	// Ids of requests are the callers' to choose, and would not tell two of them apart.
 	key := g.Self + "/" + strconv.FormatUint(g.keys.Add(1), 10)
--- a/gateway/granter/granter_test.go
+++ b/gateway/granter/granter_test.go
@@ -66,7 +66,7 @@
 
 func (y *fleet) ask(gateway int) Result {
 	now := y.clock.Now()
-	return y.granters[gateway].Ask(context.Background(), Request{Backend: "b", ReceivedAt: now, Deadline: now.Add(time.Second)})
+	return y.granters[gateway].RequestGrant(context.Background(), Request{Backend: "b", ReceivedAt: now, Deadline: now.Add(time.Second)})
 }
 
 // name lets all gateways read a limit in an answer.
@@ -168,7 +168,7 @@
 			now := y.clock.Now()
 			done := make(chan Result, 1)
 			go func() {
-				done <- y.granters[0].Ask(ctx, Request{Backend: "b", ReceivedAt: now, Deadline: now.Add(test.wait), Wait: test.wait})
+				done <- y.granters[0].RequestGrant(ctx, Request{Backend: "b", ReceivedAt: now, Deadline: now.Add(test.wait), Wait: test.wait})
 			}()
 			if test.leaves || test.pass > 0 {
 				// The timers of the next grant and of the wait.
