--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -8,26 +8,26 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Kind is why a request is sent to a backend server.
-type Kind string
+// AttemptKind is why a request is sent to a backend server.
+type AttemptKind string
 
 // The kinds, as they stand in logs.
 const (
-	First   Kind = "First"
-	Repeat  Kind = "Repeat"
-	Resumed Kind = "Resumed"
+	First   AttemptKind = "First"
+	Repeat  AttemptKind = "Repeat"
+	Resumed AttemptKind = "Resumed"
 )
 
 // sends is what this gateway has sent to a backend server.
 type sends struct {
 	throttler.Sends
 	// byKind and denied count since the usage was logged last, while a limit is in force.
-	byKind map[Kind]int
+	byKind map[AttemptKind]int
 	denied int
 }
 
 // Sent notes that a request is sent, with a grant of a gateway; "" is without one.
-func (g *Granter) Sent(backend string, kind Kind, grantedBy string) {
+func (g *Granter) Sent(backend string, kind AttemptKind, grantedBy string) {
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -50,7 +50,7 @@
 func (g *Granter) sendsTo(backend string) *sends {
 	s := g.sends[backend]
 	if s == nil {
-		s = &sends{byKind: map[Kind]int{}}
+		s = &sends{byKind: map[AttemptKind]int{}}
 		g.sends[backend] = s
 	}
 	return s
@@ -146,7 +146,7 @@
 type usage struct {
 	backend string
 	limit   throttler.RequestRate
-	byKind  map[Kind]int
+	byKind  map[AttemptKind]int
 	denied  int
 }
 
