--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -117,5 +117,5 @@
 	case j.sends > 1:
 		kind = granter.Repeat
 	}
-	f.Granter.Sent(j.last.GetId(), kind, j.grant.by)
+	f.Granter.RecordSent(j.last.GetId(), kind, j.grant.by)
 }
--- a/gateway/granter/granter_test.go
+++ b/gateway/granter/granter_test.go
@@ -213,7 +213,7 @@
 	c := qt.New(t)
 	y := newFleet(c, 3)
 	for range 30 {
-		y.granters[2].Sent("b", First, "")
+		y.granters[2].RecordSent("b", First, "")
 	}
 	y.granters[0].Observe("b", throttler.LimitOf(4), "r", 0)
 	y.granters[2].Observe("b", throttler.LimitOf(4), "r", 0)
@@ -230,11 +230,11 @@
 	c := qt.New(t)
 	y := newFleet(c, 2)
 	g := y.granters[1]
-	g.Sent("b", First, "")
+	g.RecordSent("b", First, "")
 	c.Check(g.takeUsage(), qt.HasLen, 0)
 	g.Observe("b", throttler.LimitOf(4), "r", 0)
-	g.Sent("b", First, "")
-	g.Sent("b", Repeat, "")
+	g.RecordSent("b", First, "")
+	g.RecordSent("b", Repeat, "")
 	g.Denied("b")
 	c.Check(fmt.Sprint(g.takeUsage()), qt.Equals, "[{b 4 map[First:1 Repeat:1] 1}]")
 	c.Check(g.takeUsage(), qt.HasLen, 0)
--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -26,8 +26,8 @@
 	denied int
 }
 
-// Sent notes that a request is sent, with a grant of a gateway; "" is without one.
-func (g *Granter) Sent(backend string, kind AttemptKind, grantedBy string) {
+// RecordSent notes that a request is sent, with a grant of a gateway; "" is without one.
+func (g *Granter) RecordSent(backend string, kind AttemptKind, grantedBy string) {
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
