--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -48,7 +48,7 @@
 	}
 	j.grant.denials++
 	j.grant.denied = id
-	f.Granter.Denied(id)
+	f.Granter.RecordDenied(id)
 	f.mu.Lock()
 	f.balancer.Pause(id, now.Add(answer.RetryIn))
 	f.mu.Unlock()
--- a/gateway/granter/granter_test.go
+++ b/gateway/granter/granter_test.go
@@ -235,7 +235,7 @@
 	g.Observe("b", throttler.LimitOf(4), "r", 0)
 	g.RecordSent("b", First, "")
 	g.RecordSent("b", Repeat, "")
-	g.Denied("b")
+	g.RecordDenied("b")
 	c.Check(fmt.Sprint(g.takeUsage()), qt.Equals, "[{b 4 map[First:1 Repeat:1] 1}]")
 	c.Check(g.takeUsage(), qt.HasLen, 0)
 	y.clock.Advance(5 * time.Second)
--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Denied notes that a request was not sent for want of a grant.
-func (g *Granter) Denied(backend string) {
+// RecordDenied notes that a request was not sent for want of a grant.
+func (g *Granter) RecordDenied(backend string) {
 	g.mu.Lock()
 	g.sendsTo(backend).denied++
 	g.mu.Unlock()
