--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -189,7 +189,7 @@
 		f.Regulator.Hear(controller, res)
 	}
 	f.mu.Unlock()
-	f.Granter.Hear(res.GetRequestLimits(), throttler.News)
+	f.Granter.ReceiveLimits(res.GetRequestLimits(), throttler.News)
 	f.pump()
 }
 
--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -64,8 +64,8 @@
 		"AnswerTo", requestID, "SinceSent", sinceSent.Milliseconds())
 }
 
-// Hear takes limits that other instances know.
-func (g *Granter) Hear(list []*wire.RequestLimit, source throttler.Source) {
+// ReceiveLimits takes limits that other instances know.
+func (g *Granter) ReceiveLimits(list []*wire.RequestLimit, source throttler.Source) {
 	for _, l := range list {
 		o, ok := throttler.Decode(g.Clock.Now(), l, source)
 		if !ok {
@@ -79,7 +79,7 @@
 // hearLimit takes what another gateway knows of one limit.
 func (g *Granter) hearLimit(l *wire.RequestLimit) {
 	if l != nil {
-		g.Hear([]*wire.RequestLimit{l}, throttler.News)
+		g.ReceiveLimits([]*wire.RequestLimit{l}, throttler.News)
 	}
 }
 
--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -128,7 +128,7 @@
 		r.HearRuns(req.GetRunReports())
 	}
 	if len(req.GetRequestLimits()) > 0 {
-		r.Granter.Hear(req.GetRequestLimits(), throttler.Follower)
+		r.Granter.ReceiveLimits(req.GetRequestLimits(), throttler.Follower)
 	}
 	w, err := r.enter(req)
 	if err != nil {
--- a/gateway/relayer/relayer_test.go
+++ b/gateway/relayer/relayer_test.go
@@ -112,7 +112,7 @@
 	ask.RequestLimitsRevision = res.GetRequestLimitsRevision()
 	answer = b.sync(context.Background(), c, ask)
 	c.Check(b.waiters, qt.HasLen, 1)
-	b.Granter.Hear([]*wire.RequestLimit{{Backend: "told", RequestsPerSecond: 6}}, throttler.News)
+	b.Granter.ReceiveLimits([]*wire.RequestLimit{{Backend: "told", RequestsPerSecond: 6}}, throttler.News)
 	b.look()
 	c.Check((<-answer).GetRequestLimits(), qt.HasLen, 2)
 	c.Check(b.Granter.Report(), qt.HasLen, 1)
