--- a/gateway/granter/granter_test.go
+++ b/gateway/granter/granter_test.go
@@ -203,7 +203,7 @@
 	c.Check(standing.Limit.Named, qt.IsFalse)
 	c.Check(standing.Source, qt.Equals, throttler.News)
 	c.Check(y.granters[2].Report(), qt.HasLen, 0)
-	list, revision := y.granters[0].News()
+	list, revision := y.granters[0].Limits()
 	c.Check(list, qt.HasLen, 1)
 	c.Check(revision, qt.Equals, y.granters[0].Revision())
 }
--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -121,8 +121,8 @@
 	return g.book.Report(g.Clock.Now())
 }
 
-// News returns all limits and the number of that list, for gateways that get their news here.
-func (g *Granter) News() ([]*wire.RequestLimit, uint64) {
+// Limits returns all limits and the number of that list, for gateways that get their news here.
+func (g *Granter) Limits() ([]*wire.RequestLimit, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.Limits(g.Clock.Now()), g.book.Revision()
--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -203,7 +203,7 @@
 
 // tellLimits adds the request limits to an answer, if the follower knows another list.
 func (r *Relayer) tellLimits(req *wire.SyncRequest, res *wire.SyncResponse) {
-	list, revision := r.Granter.News()
+	list, revision := r.Granter.Limits()
 	res.RequestLimitsRevision = revision
 	if req.GetEpoch() != res.GetEpoch() || req.GetRequestLimitsRevision() != revision {
 		res.RequestLimits = list
