--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -58,12 +58,12 @@
 // limitAttributes returns what a log line says of the request limit that a job has met, if
 // any: that of the backend server it went to, or else the latest that had no grant for it.
 func (f *Forwarder) limitAttributes(j *job, backend string) []any {
-	standing, known := f.Granter.Standing(backend)
+	standing, known := f.Granter.Status(backend)
 	if !known && j.grant.denials == 0 {
 		return nil
 	}
 	if !known {
-		standing, _ = f.Granter.Standing(j.grant.denied)
+		standing, _ = f.Granter.Status(j.grant.denied)
 	}
 	return []any{
 		"RequestLimit", standing.Limit.Rate, "LimitNamed", standing.Limit.Named,
--- a/gateway/forwarder/throttle_test.go
+++ b/gateway/forwarder/throttle_test.go
@@ -89,7 +89,7 @@
 			_, f := gatewayAndForwarder(c)
 			f.Granter.Observe("b", throttler.LimitOf(5), "r", 0)
 			f.observeLimit(&job{last: &wire.Announcement{Id: "b"}}, test.status, test.answer)
-			standing, _ := f.Granter.Standing("b")
+			standing, _ := f.Granter.Status("b")
 			c.Check(standing.Limit, qt.Equals, test.want)
 		})
 	}
--- a/gateway/granter/granter_test.go
+++ b/gateway/granter/granter_test.go
@@ -199,7 +199,7 @@
 	y.clock.Advance(time.Second)
 	y.granters[0].Observe("b", throttler.Limit{}, "r", 0)
 	y.ask(2)
-	standing, _ := y.granters[2].Standing("b")
+	standing, _ := y.granters[2].Status("b")
 	c.Check(standing.Limit.Named, qt.IsFalse)
 	c.Check(standing.Source, qt.Equals, throttler.News)
 	c.Check(y.granters[2].Report(), qt.HasLen, 0)
--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -135,8 +135,8 @@
 	return g.book.Revision()
 }
 
-// Standing returns what is known of a backend server's limit, for logs.
-func (g *Granter) Standing(backend string) (throttler.Status, bool) {
+// Status returns what is known of a backend server's limit, for logs.
+func (g *Granter) Status(backend string) (throttler.Status, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.book.Status(backend)
