--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -59,7 +59,7 @@
 	regulator *regulator.Regulator
 	granter   *granter.Granter
 	isolator  *isolator.Isolator
-	borrower  *borrower.Borrower
+	borrower  *borrower.Enforcer
 	health    *server.Server
 	mesh      *server.Server
 	meter     *meter.Meter
@@ -113,7 +113,7 @@
 	r.granter = &granter.Granter{Clock: r.Clock, Log: r.Log, Meter: r.meter, Self: s.meshAddress(), Ranked: r.regulator.Ranked}
 	r.granter.Init()
 	r.isolator = &isolator.Isolator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress(), WordAge: r.wordAge}
-	r.borrower = &borrower.Borrower{
+	r.borrower = &borrower.Enforcer{
 		Clock: r.Clock, Log: r.Log, Meter: r.meter, Gateway: s.Instance.Name, Address: s.meshAddress(),
 		Upstream: func() string { return r.follower.Leader() }, Term: func() uint64 { return r.follower.Term() },
 	}
--- a/gateway/borrower/borrower.go
+++ b/gateway/borrower/borrower.go
@@ -46,8 +46,8 @@
 	RetryIn time.Duration
 }
 
-// Borrower is one gateway's part. Set the exported fields, call Init, then Run.
-type Borrower struct {
+// Enforcer is one gateway's part. Set the exported fields, call Init, then Run.
+type Enforcer struct {
 	Clock clockwork.Clock
 	Log   *slog.Logger
 	Meter *meter.Meter
@@ -96,7 +96,7 @@
 }
 
 // Init prepares the borrower for use.
-func (b *Borrower) Init() {
+func (b *Enforcer) Init() {
 	b.kick = make(chan struct{}, 1)
 	b.startedAt = b.Clock.Now()
 	b.accounts = map[string]*account{}
@@ -108,7 +108,7 @@
 }
 
 // SetCustomers takes the limits in force.
-func (b *Borrower) SetCustomers(customers []*wire.RoutedCustomer) {
+func (b *Enforcer) SetCustomers(customers []*wire.RoutedCustomer) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	limits := map[string]*wire.CustomerLimit{}
@@ -137,7 +137,7 @@
 
 // Admit holds credit for a request of a customer that has a limit, and waits for it if
 // needed.
-func (b *Borrower) Admit(ctx context.Context, customer string, limit *wire.CustomerLimit, size uint64) Verdict {
+func (b *Enforcer) Admit(ctx context.Context, customer string, limit *wire.CustomerLimit, size uint64) Verdict {
 	now := b.Clock.Now()
 	b.mu.Lock()
 	p := b.accounts[customer]
@@ -165,7 +165,7 @@
 }
 
 // leave takes out a request whose caller has left.
-func (b *Borrower) leave(customer string, w *waiter) Verdict {
+func (b *Enforcer) leave(customer string, w *waiter) Verdict {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
@@ -222,29 +222,29 @@
 }
 
 // Release gives back the credit of a request that was not sent on.
-func (b *Borrower) Release(customer string, size uint64) {
+func (b *Enforcer) Release(customer string, size uint64) {
 	b.with(customer, func(p *account) { p.Release(size) })
 }
 
 // Spend notes that a request is sent on whose credit is held.
-func (b *Borrower) Spend(customer string, size uint64) {
+func (b *Enforcer) Spend(customer string, size uint64) {
 	b.with(customer, func(p *account) { p.Spend(b.Clock.Now(), size) })
 }
 
 // Refund notes that a request which was sent on has certainly not run. Its credit is held
 // again.
-func (b *Borrower) Refund(customer string, size uint64) {
+func (b *Enforcer) Refund(customer string, size uint64) {
 	b.with(customer, func(p *account) { p.Refund(b.Clock.Now(), size) })
 }
 
 // Standing returns what decides on the requests of a customer now.
-func (b *Borrower) Standing(customer string) lender.Status {
+func (b *Enforcer) Standing(customer string) lender.Status {
 	standing := lender.Status{}
 	b.with(customer, func(p *account) { standing = p.Status(b.Clock.Now()) })
 	return standing
 }
 
-func (b *Borrower) with(customer string, f func(p *account)) {
+func (b *Enforcer) with(customer string, f func(p *account)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p := b.accounts[customer]; p != nil {
@@ -252,7 +252,7 @@
 	}
 }
 
-func (b *Borrower) wake() {
+func (b *Enforcer) wake() {
 	select {
 	case b.kick <- struct{}{}:
 	default:
@@ -260,7 +260,7 @@
 }
 
 // Run borrows until ctx ends.
-func (b *Borrower) Run(ctx context.Context) {
+func (b *Enforcer) Run(ctx context.Context) {
 	defer b.transport.CloseIdleConnections()
 	for b.await(ctx) {
 		b.round(ctx)
@@ -268,7 +268,7 @@
 }
 
 // await waits until there may be something to do, and reports false once ctx has ended.
-func (b *Borrower) await(ctx context.Context) bool {
+func (b *Enforcer) await(ctx context.Context) bool {
 	var due <-chan time.Time
 	if wait, ok := b.nextLook(); ok {
 		timer := b.Clock.NewTimer(wait)
@@ -285,7 +285,7 @@
 }
 
 // nextLook returns when to look again, and false if nothing is asked for.
-func (b *Borrower) nextLook() (time.Duration, bool) {
+func (b *Enforcer) nextLook() (time.Duration, bool) {
 	now := b.Clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -303,7 +303,7 @@
 }
 
 // newLeader returns the term of a leader that has not been told what was spent, or 0.
-func (b *Borrower) newLeader() uint64 {
+func (b *Enforcer) newLeader() uint64 {
 	if b.Term == nil || !b.limited {
 		return 0
 	}
@@ -314,7 +314,7 @@
 }
 
 // round calls the leader if that is due, and decides on the requests that wait.
-func (b *Borrower) round(ctx context.Context) {
+func (b *Enforcer) round(ctx context.Context) {
 	now := b.Clock.Now()
 	said := b.report(now)
 	if said == nil {
@@ -330,7 +330,7 @@
 }
 
 // report returns what the leader is to be told now, or nil.
-func (b *Borrower) report(now time.Time) *wire.Borrower {
+func (b *Enforcer) report(now time.Time) *wire.Borrower {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	urgent := false
@@ -362,7 +362,7 @@
 }
 
 // hear takes the end of a call that was made at a time.
-func (b *Borrower) hear(asked time.Time, res *wire.BorrowResponse, err error) {
+func (b *Enforcer) hear(asked time.Time, res *wire.BorrowResponse, err error) {
 	now := b.Clock.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -393,7 +393,7 @@
 	}
 }
 
-func (b *Borrower) settle(now time.Time) {
+func (b *Enforcer) settle(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.accounts {
@@ -403,7 +403,7 @@
 
 var errNoLeader = twirp.NewError(twirp.Unavailable, "no leader is known")
 
-func (b *Borrower) call(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
+func (b *Enforcer) call(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
 	address := b.Upstream()
 	if address == "" {
 		return nil, errNoLeader
@@ -414,7 +414,7 @@
 }
 
 // Borrow passes the call of a gateway on that follows this one.
-func (b *Borrower) Borrow(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
+func (b *Enforcer) Borrow(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
 	return b.call(ctx, req)
 }
 
@@ -422,6 +422,6 @@
 var errNotHere = twirp.NewError(twirp.Unavailable, "this is a gateway")
 
 // ListLimits is not for gateways.
-func (b *Borrower) ListLimits(context.Context, *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
+func (b *Enforcer) ListLimits(context.Context, *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
 	return nil, errNotHere
 }
--- a/gateway/borrower/borrower_test.go
+++ b/gateway/borrower/borrower_test.go
@@ -51,11 +51,11 @@
 var limit = &wire.CustomerLimit{Unit: wire.LimitUnit_LIMIT_UNIT_REQUESTS, RatePerSecond: 10, Burst: 20}
 
 // start runs a borrower with a leader that has led for longer than a window.
-func start(c *qt.C) (*Borrower, *leaderFake, *clockwork.FakeClock) {
+func start(c *qt.C) (*Enforcer, *leaderFake, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	leader := &leaderFake{clock: clock, lender: lender.Allocator{Rule: lender.Rule{Window: 8 * time.Second, Overage: 0.1, Slack: 20}}}
 	leader.lender.Begin(clock.Now().Add(-time.Minute), 1, []*wire.RoutedCustomer{{Name: "a", Limit: limit}})
-	b := &Borrower{
+	b := &Enforcer{
 		Clock: clock, Log: slog.New(slog.DiscardHandler), Gateway: "g", Upstream: func() string { return "leader" },
 		Client: func(string) wire.Limits { return leader },
 	}
@@ -67,7 +67,7 @@
 }
 
 // admit asks for one request, and lets time pass while it waits.
-func admit(ctx context.Context, b *Borrower, clock *clockwork.FakeClock) Verdict {
+func admit(ctx context.Context, b *Enforcer, clock *clockwork.FakeClock) Verdict {
 	done := make(chan Verdict, 1)
 	go func() { done <- b.Admit(ctx, "a", limit, 1) }()
 	for {
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -74,7 +74,7 @@
 	// Granter keeps backend servers to the request limits that they announce.
 	Granter *granter.Granter
 	// Borrower keeps customers to their limits; nil lets all pass.
-	Borrower *borrower.Borrower
+	Borrower *borrower.Enforcer
 	// Acquire asks the leader for adapters. It must not block.
 	Acquire func(wants []*wire.Want)
 	// NewsAge returns how old the leader's word is that decisions rest on; nil if nobody asks.
--- a/gateway/forwarder/limit_test.go
+++ b/gateway/forwarder/limit_test.go
@@ -34,7 +34,7 @@
 	table.Customers[0].Limit = &wire.CustomerLimit{Unit: unit, Burst: units, PlainTokens: 40}
 	l := &lender.Allocator{Rule: lender.Rule{Window: time.Hour, Slack: 1000}}
 	l.Begin(time.Now().Add(-2*time.Hour), 1, table.Customers)
-	f.Borrower = &borrower.Borrower{
+	f.Borrower = &borrower.Enforcer{
 		Clock: f.Clock, Log: slog.New(slog.DiscardHandler), Gateway: "g", Upstream: func() string { return "leader" },
 		Client: func(string) wire.Limits { return bank{l} },
 	}
