--- a/gateway/borrower/borrower.go
+++ b/gateway/borrower/borrower.go
@@ -36,8 +36,8 @@
 	firstCall = 250 * time.Millisecond
 )
 
-// Verdict is what becomes of a request.
-type Verdict struct {
+// Decision is what becomes of a request.
+type Decision struct {
 	// Admitted is set if its credit is held: Release or Spend ends that.
 	Admitted bool
 	// Over is set if its customer is beyond its limit; there will be room after RetryIn.
@@ -92,7 +92,7 @@
 	size  uint64
 	until time.Time
 	// verdict takes the verdict, once. It has room for it.
-	verdict chan Verdict
+	verdict chan Decision
 }
 
 // Init prepares the borrower for use.
@@ -137,7 +137,7 @@
 
 // Admit holds credit for a request of a customer that has a limit, and waits for it if
 // needed.
-func (b *Enforcer) Admit(ctx context.Context, customer string, limit *wire.CustomerLimit, size uint64) Verdict {
+func (b *Enforcer) Admit(ctx context.Context, customer string, limit *wire.CustomerLimit, size uint64) Decision {
 	now := b.Clock.Now()
 	b.mu.Lock()
 	p := b.accounts[customer]
@@ -146,7 +146,7 @@
 		b.accounts[customer] = p
 	}
 	p.RecordDemand(now, size)
-	w := &waiter{size: size, until: now.Add(longestWait), verdict: make(chan Verdict, 1)}
+	w := &waiter{size: size, until: now.Add(longestWait), verdict: make(chan Decision, 1)}
 	if len(p.waiters) == 0 {
 		if v, decided := p.judge(now, w); decided {
 			b.mu.Unlock()
@@ -165,7 +165,7 @@
 }
 
 // leave takes out a request whose caller has left.
-func (b *Enforcer) leave(customer string, w *waiter) Verdict {
+func (b *Enforcer) leave(customer string, w *waiter) Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	select {
@@ -176,7 +176,7 @@
 	if p := b.accounts[customer]; p != nil {
 		p.drop(w)
 	}
-	return Verdict{}
+	return Decision{}
 }
 
 func (p *account) drop(gone *waiter) {
@@ -191,19 +191,19 @@
 }
 
 // judge decides on a request, if that can be done now.
-func (p *account) judge(now time.Time, w *waiter) (Verdict, bool) {
+func (p *account) judge(now time.Time, w *waiter) (Decision, bool) {
 	if p.Hold(now, w.size) {
-		return Verdict{Admitted: true}, true
+		return Decision{Admitted: true}, true
 	}
 	if retryIn := p.RetryIn(now); retryIn > 0 {
 		p.RecordRefusal()
-		return Verdict{Over: true, RetryIn: retryIn}, true
+		return Decision{Over: true, RetryIn: retryIn}, true
 	}
 	if now.Before(w.until) {
-		return Verdict{}, false
+		return Decision{}, false
 	}
 	p.RecordRefusal()
-	return Verdict{}, true
+	return Decision{}, true
 }
 
 // settle decides on the requests that wait, as far as that can be done now.
--- a/gateway/borrower/borrower_test.go
+++ b/gateway/borrower/borrower_test.go
@@ -67,8 +67,8 @@
 }
 
 // admit asks for one request, and lets time pass while it waits.
-func admit(ctx context.Context, b *Enforcer, clock *clockwork.FakeClock) Verdict {
-	done := make(chan Verdict, 1)
+func admit(ctx context.Context, b *Enforcer, clock *clockwork.FakeClock) Decision {
+	done := make(chan Decision, 1)
 	go func() { done <- b.Admit(ctx, "a", limit, 1) }()
 	for {
 		select {
@@ -114,7 +114,7 @@
 	c := qt.New(t)
 	b, leader, clock := start(c)
 	leader.lose(true)
-	c.Check(admit(context.Background(), b, clock), qt.DeepEquals, Verdict{})
+	c.Check(admit(context.Background(), b, clock), qt.DeepEquals, Decision{})
 	leader.lose(false)
 	c.Check(admit(context.Background(), b, clock).Admitted, qt.IsTrue)
 }
@@ -147,10 +147,10 @@
 	b, leader, _ := start(c)
 	leader.lose(true)
 	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan Verdict)
+	done := make(chan Decision)
 	go func() { done <- b.Admit(ctx, "a", limit, 1) }()
 	cancel()
-	c.Check(<-done, qt.DeepEquals, Verdict{})
+	c.Check(<-done, qt.DeepEquals, Decision{})
 	b.with("a", func(p *account) { c.Check(p.waiters, qt.HasLen, 0) })
 }
 
