--- a/gateway/borrower/borrower.go
+++ b/gateway/borrower/borrower.go
@@ -40,10 +40,10 @@
 type Decision struct {
 	// Admitted is set if its credit is held: Release or Spend ends that.
 	Admitted bool
-	// Over is set if its customer is beyond its limit; there will be room after RetryIn.
+	// OverLimit is set if its customer is beyond its limit; there will be room after RetryIn.
 	// If neither is set, nobody could tell.
-	Over    bool
-	RetryIn time.Duration
+	OverLimit bool
+	RetryIn   time.Duration
 }
 
 // Enforcer is one gateway's part. Set the exported fields, call Init, then Run.
@@ -197,7 +197,7 @@
 	}
 	if retryIn := p.RetryIn(now); retryIn > 0 {
 		p.RecordRefusal()
-		return Decision{Over: true, RetryIn: retryIn}, true
+		return Decision{OverLimit: true, RetryIn: retryIn}, true
 	}
 	if now.Before(w.until) {
 		return Decision{}, false
--- a/gateway/borrower/borrower_test.go
+++ b/gateway/borrower/borrower_test.go
@@ -90,7 +90,7 @@
 		b.Spend("a", 1)
 	}
 	v := b.Admit(context.Background(), "a", limit, 1)
-	c.Check(v.Over, qt.IsTrue)
+	c.Check(v.OverLimit, qt.IsTrue)
 	c.Check(v.RetryIn > 0, qt.IsTrue)
 	c.Check(b.Standing("a").Unspent, qt.Equals, uint64(0))
 	clock.Advance(9 * time.Second)
--- a/gateway/forwarder/limit.go
+++ b/gateway/forwarder/limit.go
@@ -57,7 +57,7 @@
 	switch {
 	case ctx.Err() != nil:
 		f.expired(ctx, j)
-	case !verdict.Over:
+	case !verdict.OverLimit:
 		f.giveUp(j, reasonLimitUnknown, retryWithoutLeader)
 	case j.runs > 0 || j.reply.Begun():
 		f.giveUp(j, reasonOverLimit, 0)
