--- a/gateway/borrower/borrower.go
+++ b/gateway/borrower/borrower.go
@@ -237,8 +237,8 @@
 	b.with(customer, func(p *account) { p.Refund(b.Clock.Now(), size) })
 }
 
-// Standing returns what decides on the requests of a customer now.
-func (b *Enforcer) Standing(customer string) lender.Status {
+// Status returns what decides on the requests of a customer now.
+func (b *Enforcer) Status(customer string) lender.Status {
 	standing := lender.Status{}
 	b.with(customer, func(p *account) { standing = p.Status(b.Clock.Now()) })
 	return standing
--- a/gateway/borrower/borrower_test.go
+++ b/gateway/borrower/borrower_test.go
@@ -92,7 +92,7 @@
 	v := b.Admit(context.Background(), "a", limit, 1)
 	c.Check(v.OverLimit, qt.IsTrue)
 	c.Check(v.RetryIn > 0, qt.IsTrue)
-	c.Check(b.Standing("a").Unspent, qt.Equals, uint64(0))
+	c.Check(b.Status("a").Unspent, qt.Equals, uint64(0))
 	clock.Advance(9 * time.Second)
 	c.Check(admit(context.Background(), b, clock).Admitted, qt.IsTrue)
 }
@@ -169,10 +169,10 @@
 			b, _, clock := start(c)
 			// What is wished for comes with what is needed.
 			c.Assert(admit(context.Background(), b, clock).Admitted, qt.IsTrue)
-			before := b.Standing("a").Unspent
+			before := b.Status("a").Unspent
 			c.Assert(before > 0, qt.IsTrue)
 			b.SetCustomers([]*wire.RoutedCustomer{{Name: "a", Limit: test.limit}})
-			c.Check(b.Standing("a").Unspent == before, qt.Equals, test.kept)
+			c.Check(b.Status("a").Unspent == before, qt.Equals, test.kept)
 		})
 	}
 }
--- a/gateway/forwarder/limit_test.go
+++ b/gateway/forwarder/limit_test.go
@@ -104,7 +104,7 @@
 			}
 			c.Check(int(one.runs.Load()+other.runs.Load()), qt.Equals, test.want)
 			// The caller has its answer before the gateway has let go of the request.
-			eventually(c, func() bool { return f.Borrower.Standing("c1").Held == 0 })
+			eventually(c, func() bool { return f.Borrower.Status("c1").Held == 0 })
 		})
 	}
 }
