--- a/pkg/lender/account.go
+++ b/pkg/lender/account.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"bronzelead.example/pkg/windower"
+	"bronzelead.example/pkg/windowcounter"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -32,7 +32,7 @@
 	kept      float64
 	overdraft uint64
 	// recent is what was sent on in the window of the limit's rule.
-	recent windower.Window
+	recent windowcounter.Window
 	// alone is when the allowance was drawn last; zero while the leader is heard.
 	alone time.Time
 	// expired is set once what was lent and not spent has expired.
@@ -191,7 +191,7 @@
 	p.refused = 0
 	p.heard, p.alone, p.drawn, p.expired = asked, time.Time{}, 0, false
 	if length := time.Duration(c.GetWindowMs()) * time.Millisecond; length != p.recent.Length {
-		p.recent = windower.Window{Length: length}
+		p.recent = windowcounter.Window{Length: length}
 	}
 	p.allowance, p.overdraft, p.kept = c.GetAllowance(), c.GetOverdraft(), c.GetKept()
 	if c.GetRoomInMs() > 0 {
--- a/pkg/lender/lender.go
+++ b/pkg/lender/lender.go
@@ -9,7 +9,7 @@
 import (
 	"time"
 
-	"bronzelead.example/pkg/windower"
+	"bronzelead.example/pkg/windowcounter"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -85,7 +85,7 @@
 	earlier float64
 	lowered time.Time
 	// lent is what was lent and spent beyond that, by the time at which it was.
-	lent windower.Window
+	lent windowcounter.Window
 	// reserved is what is kept for gateways.
 	reserved float64
 	// reported is the usage under earlier leaders, and the reserves, of the gateways that have
@@ -144,7 +144,7 @@
 		named[listed.GetName()] = true
 		c := l.customers[listed.GetName()]
 		if c == nil {
-			c = &customer{leases: map[string]*lease{}, seen: map[string]bool{}, lent: windower.Window{Length: l.Rule.Window}}
+			c = &customer{leases: map[string]*lease{}, seen: map[string]bool{}, lent: windowcounter.Window{Length: l.Rule.Window}}
 			l.customers[listed.GetName()] = c
 		}
 		if earlier := l.mostInWindow(now, c); l.mostOf(listed.GetLimit()) < earlier {
--- a/pkg/throttler/allocator.go
+++ b/pkg/throttler/allocator.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"bronzelead.example/pkg/windower"
+	"bronzelead.example/pkg/windowcounter"
 )
 
 // Role is what an allocator shares out.
@@ -69,8 +69,8 @@
 	level    float64
 	filledAt time.Time
 	// granted are the grants in the window, and reported is what gateways sent without one.
-	granted  windower.Window
-	reported map[string]*windower.Window
+	granted  windowcounter.Window
+	reported map[string]*windowcounter.Window
 	waiting  []GrantRequest
 }
 
@@ -83,7 +83,7 @@
 	if a.filledAt.IsZero() {
 		a.filledAt = now
 		a.granted.Length = Window
-		a.reported = map[string]*windower.Window{}
+		a.reported = map[string]*windowcounter.Window{}
 	}
 	a.fill(now)
 	a.rate = rate
@@ -106,7 +106,7 @@
 		delete(a.reported, gateway)
 		return
 	}
-	w := &windower.Window{Length: Window}
+	w := &windowcounter.Window{Length: Window}
 	w.AddParts(now, parts)
 	a.reported[gateway] = w
 }
--- a/pkg/throttler/sends.go
+++ b/pkg/throttler/sends.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bronzelead.example/pkg/windower"
+	"bronzelead.example/pkg/windowcounter"
 )
 
 // maxGranters bounds the gateways whose grants are counted apart: owner and deputy, and those
@@ -20,14 +20,14 @@
 
 type granterSends struct {
 	granter string
-	window  windower.Window
+	window  windowcounter.Window
 }
 
 // Add notes that a request is sent, with a grant of a gateway; "" is without one.
 func (s *Sends) Add(now time.Time, granter string) { s.of(now, granter).Add(now, 1) }
 
 // of returns the count for a granter.
-func (s *Sends) of(now time.Time, granter string) *windower.Window {
+func (s *Sends) of(now time.Time, granter string) *windowcounter.Window {
 	for i := range s.granted {
 		if s.granted[i].granter == granter {
 			return s.latest(i)
@@ -40,12 +40,12 @@
 		s.granted[0].window.AddParts(now, s.granted[1].window.Parts(now))
 		s.granted = append(s.granted[:1], s.granted[2:]...)
 	}
-	s.granted = append(s.granted, granterSends{granter: granter, window: windower.Window{Length: Window}})
+	s.granted = append(s.granted, granterSends{granter: granter, window: windowcounter.Window{Length: Window}})
 	return &s.granted[len(s.granted)-1].window
 }
 
 // latest makes an entry the latest, but for the first, and returns its window.
-func (s *Sends) latest(i int) *windower.Window {
+func (s *Sends) latest(i int) *windowcounter.Window {
 	if last := len(s.granted) - 1; i > 0 && i < last {
 		used := s.granted[i]
 		copy(s.granted[i:], s.granted[i+1:])
--- a/pkg/windower/windower.go
+++ b/pkg/windowcounter/windower.go
@@ -1,6 +1,6 @@
 // Package windower counts what came within the time that ends now. It is pure. The lender
 // and the throttler count by it.
-package windower
+package windowcounter
 
 import "time"
 
--- a/pkg/windower/windower_test.go
+++ b/pkg/windowcounter/windower_test.go
@@ -1,4 +1,4 @@
-package windower
+package windowcounter
 
 import (
 	"testing"
