--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -19,9 +19,9 @@
 	"bronzelead.example/controller/transporter"
 	"bronzelead.example/pkg/ablator"
 	"bronzelead.example/pkg/connector"
-	"bronzelead.example/pkg/lender"
 	"bronzelead.example/pkg/meter"
 	"bronzelead.example/pkg/placer"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/replicator"
 	"bronzelead.example/pkg/server"
@@ -173,7 +173,7 @@
 	r.curator = &curator.Curator{
 		Clock: r.Clock, Log: r.Log, Keeper: r.keeper, In: items, Carry: r.orders().carry,
 		Relay: func(list []*wire.Announcement) { r.relays.send(r.addresses(), list) }, Controllers: r.addresses,
-		Limits: lender.Rule{Window: s.Limits.Window, Overage: s.Limits.Overage, Slack: s.Limits.Slack},
+		Limits: quotaallocator.Rule{Window: s.Limits.Window, Overage: s.Limits.Overage, Slack: s.Limits.Slack},
 		Policy: r.policy(), SilentAfter: silentAnnouncements * s.Timing.Announcements, HandOver: s.handOver(),
 		SnapshotEvery: uint64(s.Data.SnapshotEvery), SnapshotBytes: snapshotBytes,
 	}
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -18,8 +18,8 @@
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/keeper"
 	"bronzelead.example/pkg/caller"
-	"bronzelead.example/pkg/lender"
 	"bronzelead.example/pkg/placer"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/spreader"
 	"bronzelead.example/pkg/throttler"
@@ -77,7 +77,7 @@
 	CountHeld func(change string)
 
 	// Limits is the rule by which customers are kept to their limits.
-	Limits lender.Rule
+	Limits quotaallocator.Rule
 	Policy placer.Policy
 	// SilentAfter is the time without an announcement after which a backend server counts
 	// as silent.
@@ -125,7 +125,7 @@
 	planned     time.Time
 	placer      *placer.Placer
 	// lender lends of customers' limits while this instance leads.
-	lender *lender.Allocator
+	lender *quotaallocator.Allocator
 	// startedAt is when this life began, and met when each gateway was in the roster last.
 	startedAt time.Time
 	met       map[string]time.Time
@@ -318,7 +318,7 @@
 	c.holdings.Begin(c.placer.Revision())
 	c.arbiter.Begin()
 	c.placer.SetTable(c.state.Table().GetTable())
-	c.lender = &lender.Allocator{Rule: c.Limits, KnownGateways: c.knownGateways(now)}
+	c.lender = &quotaallocator.Allocator{Rule: c.Limits, KnownGateways: c.knownGateways(now)}
 	c.lender.Begin(now, term, c.state.Table().GetTable().GetCustomers())
 	for _, a := range c.tracker.All() {
 		c.placer.SetEngine(a)
--- a/controller/curator/limits.go
+++ b/controller/curator/limits.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"bronzelead.example/pkg/lender"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -48,7 +48,7 @@
 
 // spentFor is how long a gateway counts that is heard no more: what it sent on is in the
 // window, after it has spent what was kept for it.
-func (c *Curator) spentFor() time.Duration { return c.Limits.Window + lender.MaxOffline }
+func (c *Curator) spentFor() time.Duration { return c.Limits.Window + quotaallocator.MaxOffline }
 
 // meetGateways notes which gateways there are, so that a new leader knows of all that may
 // have spent.
--- a/controller/curator/limits_test.go
+++ b/controller/curator/limits_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"bronzelead.example/controller/keeper"
-	"bronzelead.example/pkg/lender"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -43,7 +43,7 @@
 func TestOnlyALeaderLends(t *testing.T) {
 	c := qt.New(t)
 	cu, k := newCurator()
-	cu.Limits = lender.Rule{Window: time.Nanosecond, Slack: 100}
+	cu.Limits = quotaallocator.Rule{Window: time.Nanosecond, Slack: 100}
 	cu.apply(keeper.Item{Applied: []keeper.Applied{k.entry(limitedTable(1, 3))}})
 	_, err := borrow(cu, 1)
 	c.Assert(err, qt.Equals, errNotLeader)
@@ -73,7 +73,7 @@
 func TestGatewaysThatMayHaveSpent(t *testing.T) {
 	c := qt.New(t)
 	cu, _ := newCurator()
-	cu.Limits = lender.Rule{Window: 8 * time.Second}
+	cu.Limits = quotaallocator.Rule{Window: 8 * time.Second}
 	start := cu.Clock.Now()
 	at := func(after time.Duration, gateways ...string) []string {
 		now := start.Add(after)
--- a/gateway/borrower/borrower.go
+++ b/gateway/borrower/borrower.go
@@ -15,8 +15,8 @@
 	"github.com/twitchtv/twirp"
 
 	"bronzelead.example/pkg/connector"
-	"bronzelead.example/pkg/lender"
 	"bronzelead.example/pkg/meter"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -82,7 +82,7 @@
 
 // account is what is kept of one customer.
 type account struct {
-	lender.Account
+	quotaallocator.Account
 	limit   *wire.CustomerLimit
 	waiters []*waiter
 }
@@ -238,8 +238,8 @@
 }
 
 // Status returns what decides on the requests of a customer now.
-func (b *Enforcer) Status(customer string) lender.Status {
-	standing := lender.Status{}
+func (b *Enforcer) Status(customer string) quotaallocator.Status {
+	standing := quotaallocator.Status{}
 	b.with(customer, func(p *account) { standing = p.Status(b.Clock.Now()) })
 	return standing
 }
--- a/gateway/borrower/borrower_test.go
+++ b/gateway/borrower/borrower_test.go
@@ -11,7 +11,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"bronzelead.example/pkg/lender"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -19,7 +19,7 @@
 type leaderFake struct {
 	clock  clockwork.Clock
 	mu     sync.Mutex
-	lender lender.Allocator
+	lender quotaallocator.Allocator
 	lost   bool
 	calls  int
 }
@@ -53,7 +53,7 @@
 // start runs a borrower with a leader that has led for longer than a window.
 func start(c *qt.C) (*Enforcer, *leaderFake, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
-	leader := &leaderFake{clock: clock, lender: lender.Allocator{Rule: lender.Rule{Window: 8 * time.Second, Overage: 0.1, Slack: 20}}}
+	leader := &leaderFake{clock: clock, lender: quotaallocator.Allocator{Rule: quotaallocator.Rule{Window: 8 * time.Second, Overage: 0.1, Slack: 20}}}
 	leader.lender.Begin(clock.Now().Add(-time.Minute), 1, []*wire.RoutedCustomer{{Name: "a", Limit: limit}})
 	b := &Enforcer{
 		Clock: clock, Log: slog.New(slog.DiscardHandler), Gateway: "g", Upstream: func() string { return "leader" },
--- a/gateway/forwarder/limit_test.go
+++ b/gateway/forwarder/limit_test.go
@@ -10,13 +10,13 @@
 	"github.com/jonboulle/clockwork"
 
 	"bronzelead.example/gateway/borrower"
-	"bronzelead.example/pkg/lender"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 	"bronzelead.example/platform"
 )
 
 // bank lends of the tests' limits without a network.
-type bank struct{ lender *lender.Allocator }
+type bank struct{ lender *quotaallocator.Allocator }
 
 func (b bank) Borrow(_ context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
 	return &wire.BorrowResponse{Borrowers: []*wire.BorrowerCredit{b.lender.Allocate(time.Now(), req.GetBorrowers()[0])}}, nil
@@ -32,7 +32,7 @@
 	address, f := newGateway(c, clockwork.NewRealClock())
 	table := keyed(4, "k1")
 	table.Customers[0].Limit = &wire.CustomerLimit{Unit: unit, Burst: units, PlainTokens: 40}
-	l := &lender.Allocator{Rule: lender.Rule{Window: time.Hour, Slack: 1000}}
+	l := &quotaallocator.Allocator{Rule: quotaallocator.Rule{Window: time.Hour, Slack: 1000}}
 	l.Begin(time.Now().Add(-2*time.Hour), 1, table.Customers)
 	f.Borrower = &borrower.Enforcer{
 		Clock: f.Clock, Log: slog.New(slog.DiscardHandler), Gateway: "g", Upstream: func() string { return "leader" },
--- a/pkg/lender/account.go
+++ b/pkg/quotaallocator/account.go
@@ -1,4 +1,4 @@
-package lender
+package quotaallocator
 
 import (
 	"math"
--- a/pkg/lender/lender.go
+++ b/pkg/quotaallocator/lender.go
@@ -4,7 +4,7 @@
 //
 // In any window the leader grants no more than rate and burst allow. Quota that was granted
 // before the window and is still unspent comes out of the rule's tolerance.
-package lender
+package quotaallocator
 
 import (
 	"time"
--- a/pkg/throttler/ways_test.go
+++ b/pkg/throttler/ways_test.go
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"bronzelead.example/pkg/lender"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -29,15 +29,15 @@
 
 // byLeases lets a leader lend of the limit, as it does of customers' limits.
 type byLeases struct {
-	lender   *lender.Allocator
-	accounts map[string]*lender.Account
+	lender   *quotaallocator.Allocator
+	accounts map[string]*quotaallocator.Account
 	calls    map[string]time.Time
 }
 
 func newLeases(now time.Time, limit RequestRate) *byLeases {
 	l := &byLeases{
-		lender:   &lender.Allocator{Rule: lender.Rule{Window: Window, Overage: tolerance - 1, Slack: slack}},
-		accounts: map[string]*lender.Account{}, calls: map[string]time.Time{},
+		lender:   &quotaallocator.Allocator{Rule: quotaallocator.Rule{Window: Window, Overage: tolerance - 1, Slack: slack}},
+		accounts: map[string]*quotaallocator.Account{}, calls: map[string]time.Time{},
 	}
 	l.lender.Begin(now.Add(-time.Hour), 1, []*wire.RoutedCustomer{
 		{Name: backendID, Limit: &wire.CustomerLimit{Unit: wire.LimitUnit_LIMIT_UNIT_REQUESTS, RatePerSecond: float64(limit)}},
@@ -48,7 +48,7 @@
 func (l *byLeases) mayBeSent(w *world, g *gatewayModel) (granted bool, by string, retryIn time.Duration) {
 	p := l.accounts[g.address]
 	if p == nil {
-		p = &lender.Account{}
+		p = &quotaallocator.Account{}
 		l.accounts[g.address] = p
 	}
 	p.RecordDemand(w.now, 1)
@@ -62,7 +62,7 @@
 	return true, "leader", 0
 }
 
-func (l *byLeases) call(w *world, gateway string, p *lender.Account, needed uint64) {
+func (l *byLeases) call(w *world, gateway string, p *quotaallocator.Account, needed uint64) {
 	l.lender.GatewayCount = len(w.gateways)
 	l.calls[gateway] = w.now
 	res := l.lender.Allocate(w.now, &wire.Borrower{
