--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -11,12 +11,12 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"bronzelead.example/gateway/borrower"
 	"bronzelead.example/gateway/doorkeeper"
 	"bronzelead.example/gateway/follower"
 	"bronzelead.example/gateway/forwarder"
 	"bronzelead.example/gateway/granter"
 	"bronzelead.example/gateway/isolator"
+	"bronzelead.example/gateway/quotaenforcer"
 	"bronzelead.example/gateway/regulator"
 	"bronzelead.example/gateway/relayer"
 	"bronzelead.example/gateway/sender"
@@ -59,7 +59,7 @@
 	regulator *regulator.Regulator
 	granter   *granter.Granter
 	isolator  *isolator.Isolator
-	borrower  *borrower.Enforcer
+	borrower  *quotaenforcer.Enforcer
 	health    *server.Server
 	mesh      *server.Server
 	meter     *meter.Meter
@@ -113,7 +113,7 @@
 	r.granter = &granter.Granter{Clock: r.Clock, Log: r.Log, Meter: r.meter, Self: s.meshAddress(), Ranked: r.regulator.Ranked}
 	r.granter.Init()
 	r.isolator = &isolator.Isolator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress(), WordAge: r.wordAge}
-	r.borrower = &borrower.Enforcer{
+	r.borrower = &quotaenforcer.Enforcer{
 		Clock: r.Clock, Log: r.Log, Meter: r.meter, Gateway: s.Instance.Name, Address: s.meshAddress(),
 		Upstream: func() string { return r.follower.Leader() }, Term: func() uint64 { return r.follower.Term() },
 	}
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -12,10 +12,10 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"bronzelead.example/gateway/borrower"
 	"bronzelead.example/gateway/doorkeeper"
 	"bronzelead.example/gateway/granter"
 	"bronzelead.example/gateway/isolator"
+	"bronzelead.example/gateway/quotaenforcer"
 	"bronzelead.example/gateway/regulator"
 	"bronzelead.example/gateway/sender"
 	"bronzelead.example/pkg/ablator"
@@ -74,7 +74,7 @@
 	// Granter keeps backend servers to the request limits that they announce.
 	Granter *granter.Granter
 	// Borrower keeps customers to their limits; nil lets all pass.
-	Borrower *borrower.Enforcer
+	Borrower *quotaenforcer.Enforcer
 	// Acquire asks the leader for adapters. It must not block.
 	Acquire func(wants []*wire.Want)
 	// NewsAge returns how old the leader's word is that decisions rest on; nil if nobody asks.
--- a/gateway/forwarder/limit_test.go
+++ b/gateway/forwarder/limit_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/jonboulle/clockwork"
 
-	"bronzelead.example/gateway/borrower"
+	"bronzelead.example/gateway/quotaenforcer"
 	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 	"bronzelead.example/platform"
@@ -34,7 +34,7 @@
 	table.Customers[0].Limit = &wire.CustomerLimit{Unit: unit, Burst: units, PlainTokens: 40}
 	l := &quotaallocator.Allocator{Rule: quotaallocator.Rule{Window: time.Hour, Slack: 1000}}
 	l.Begin(time.Now().Add(-2*time.Hour), 1, table.Customers)
-	f.Borrower = &borrower.Enforcer{
+	f.Borrower = &quotaenforcer.Enforcer{
 		Clock: f.Clock, Log: slog.New(slog.DiscardHandler), Gateway: "g", Upstream: func() string { return "leader" },
 		Client: func(string) wire.Limits { return bank{l} },
 	}
--- a/gateway/borrower/borrower.go
+++ b/gateway/quotaenforcer/borrower.go
@@ -1,7 +1,7 @@
 // Package borrower keeps customers to their limits at one gateway: it borrows credit of the
 // leader before it is needed, asks at once for what requests wait for, and passes the calls
 // of gateways on that follow this one.
-package borrower
+package quotaenforcer
 
 import (
 	"context"
--- a/gateway/borrower/borrower_test.go
+++ b/gateway/quotaenforcer/borrower_test.go
@@ -1,4 +1,4 @@
-package borrower
+package quotaenforcer
 
 import (
 	"context"
