--- a/controller/curator/limits.go
+++ b/controller/curator/limits.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"bronzelead.example/pkg/lender"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -18,7 +18,7 @@
 // ListLimits returns how the limits stand. Only a leader knows.
 func (c *Curator) ListLimits(ctx context.Context, _ *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
 	return asLeader(ctx, c, func(now time.Time) *wire.ListLimitsResponse {
-		return &wire.ListLimitsResponse{Limits: c.lender.Standings(now, true), RequestLimits: c.requestLimits.News(now)}
+		return &wire.ListLimitsResponse{Limits: c.lender.Statuses(now, true), RequestLimits: c.requestLimits.Limits(now)}
 	})
 }
 
@@ -48,7 +48,7 @@
 
 // spentFor is how long a gateway counts that is heard no more: what it sent on is in the
 // window, after it has spent what was kept for it.
-func (c *Curator) spentFor() time.Duration { return c.Limits.Window + lender.AloneFor }
+func (c *Curator) spentFor() time.Duration { return c.Limits.Window + quotaallocator.MaxOffline }
 
 // meetGateways notes which gateways there are, so that a new leader knows of all that may
 // have spent.
@@ -79,10 +79,10 @@
 
 func (c *Curator) borrow(now time.Time, req *wire.BorrowRequest) *wire.BorrowResponse {
 	c.roster.refresh(now, c.gateways)
-	c.lender.Gateways = int(c.roster.count())
-	res := &wire.BorrowResponse{AgainInMs: uint32(c.lender.AgainIn().Milliseconds())}
+	c.lender.GatewayCount = int(c.roster.count())
+	res := &wire.BorrowResponse{AgainInMs: uint32(c.lender.ReportInterval().Milliseconds())}
 	for _, b := range req.GetBorrowers() {
-		res.Borrowers = append(res.Borrowers, c.lender.Borrow(now, b))
+		res.Borrowers = append(res.Borrowers, c.lender.Allocate(now, b))
 	}
 	return res
 }
--- a/controller/curator/requestlimits.go
+++ b/controller/curator/requestlimits.go
@@ -31,13 +31,13 @@
 func (c *Curator) tellLimits(now time.Time, req *wire.SyncRequest, res *wire.SyncResponse) {
 	res.RequestLimitsRevision = c.requestLimits.Revision()
 	if req.GetEpoch() != c.epoch || req.GetRequestLimitsRevision() != res.GetRequestLimitsRevision() {
-		res.RequestLimits = c.requestLimits.News(now)
+		res.RequestLimits = c.requestLimits.Limits(now)
 	}
 }
 
 // limitOf returns the request limit of a backend server.
 func (c *Curator) limitOf(id string) throttler.Limit {
-	standing, _ := c.requestLimits.Standing(id)
+	standing, _ := c.requestLimits.Status(id)
 	return standing.Limit
 }
 
--- a/gateway/forwarder/limit_test.go
+++ b/gateway/forwarder/limit_test.go
@@ -9,21 +9,21 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/jonboulle/clockwork"
 
-	"bronzelead.example/gateway/borrower"
-	"bronzelead.example/pkg/lender"
+	"bronzelead.example/gateway/quotaenforcer"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 	"bronzelead.example/platform"
 )
 
 // bank lends of the tests' limits without a network.
-type bank struct{ lender *lender.Lender }
+type bank struct{ lender *quotaallocator.Allocator }
 
 func (b bank) Borrow(_ context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
-	return &wire.BorrowResponse{Borrowers: []*wire.BorrowerCredit{b.lender.Borrow(time.Now(), req.GetBorrowers()[0])}}, nil
+	return &wire.BorrowResponse{Borrowers: []*wire.BorrowerCredit{b.lender.Allocate(time.Now(), req.GetBorrowers()[0])}}, nil
 }
 
 func (b bank) ListLimits(context.Context, *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
-	return &wire.ListLimitsResponse{Limits: b.lender.Standings(time.Now(), true)}, nil
+	return &wire.ListLimitsResponse{Limits: b.lender.Statuses(time.Now(), true)}, nil
 }
 
 // limitedGateway is a gateway for one customer that may send a number of units in a window
@@ -32,9 +32,9 @@
 	address, f := newGateway(c, clockwork.NewRealClock())
 	table := keyed(4, "k1")
 	table.Customers[0].Limit = &wire.CustomerLimit{Unit: unit, Burst: units, PlainTokens: 40}
-	l := &lender.Lender{Rule: lender.Rule{Window: time.Hour, Slack: 1000}}
+	l := &quotaallocator.Allocator{Rule: quotaallocator.Rule{Window: time.Hour, Slack: 1000}}
 	l.Begin(time.Now().Add(-2*time.Hour), 1, table.Customers)
-	f.Borrower = &borrower.Borrower{
+	f.Borrower = &quotaenforcer.Enforcer{
 		Clock: f.Clock, Log: slog.New(slog.DiscardHandler), Gateway: "g", Upstream: func() string { return "leader" },
 		Client: func(string) wire.Limits { return bank{l} },
 	}
@@ -104,7 +104,7 @@
 			}
 			c.Check(int(one.runs.Load()+other.runs.Load()), qt.Equals, test.want)
 			// The caller has its answer before the gateway has let go of the request.
-			eventually(c, func() bool { return f.Borrower.Standing("c1").Held == 0 })
+			eventually(c, func() bool { return f.Borrower.Status("c1").Held == 0 })
 		})
 	}
 }
--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -37,18 +37,18 @@
 	if f.hasOther(began, j, id) {
 		wait = 0
 	}
-	answer := f.Granter.Ask(ctx, granter.Request{
-		Backend: id, Urgency: j.urgency(), ReceivedAt: j.req.ReceivedAt, GiveUp: began.Add(wait), Wait: wait,
+	answer := f.Granter.RequestGrant(ctx, granter.Request{
+		Backend: id, Urgency: j.urgency(), ReceivedAt: j.req.ReceivedAt, Deadline: began.Add(wait), Wait: wait,
 	})
 	now := f.Clock.Now()
 	j.waited += now.Sub(began)
 	if answer.Granted {
-		j.grant.by = answer.By
+		j.grant.by = answer.DecidedBy
 		return true
 	}
 	j.grant.denials++
 	j.grant.denied = id
-	f.Granter.Denied(id)
+	f.Granter.RecordDenied(id)
 	f.mu.Lock()
 	f.balancer.Pause(id, now.Add(answer.RetryIn))
 	f.mu.Unlock()
@@ -58,12 +58,12 @@
 // limitAttributes returns what a log line says of the request limit that a job has met, if
 // any: that of the backend server it went to, or else the latest that had no grant for it.
 func (f *Forwarder) limitAttributes(j *job, backend string) []any {
-	standing, known := f.Granter.Standing(backend)
+	standing, known := f.Granter.Status(backend)
 	if !known && j.grant.denials == 0 {
 		return nil
 	}
 	if !known {
-		standing, _ = f.Granter.Standing(j.grant.denied)
+		standing, _ = f.Granter.Status(j.grant.denied)
 	}
 	return []any{
 		"RequestLimit", standing.Limit.Rate, "LimitNamed", standing.Limit.Named,
@@ -117,5 +117,5 @@
 	case j.sends > 1:
 		kind = granter.Repeat
 	}
-	f.Granter.Sent(j.last.GetId(), kind, j.grant.by)
+	f.Granter.RecordSent(j.last.GetId(), kind, j.grant.by)
 }
--- a/gateway/granter/granter.go
+++ b/gateway/granter/granter.go
@@ -50,7 +50,7 @@
 	keys atomic.Uint64
 
 	mu    sync.Mutex
-	book  throttler.Book
+	book  throttler.Registry
 	sends map[string]*sends
 	pools map[poolKey]*pool
 	peers map[string]*peer
@@ -62,17 +62,17 @@
 	// Urgency is the request's priority; 0 goes first.
 	Urgency    uint32
 	ReceivedAt time.Time
-	// GiveUp is when it is no use to send it, and Wait how long it waits for its grant at most;
+	// Deadline is when it is no use to send it, and Wait how long it waits for its grant at most;
 	// 0 decides at once.
-	GiveUp time.Time
-	Wait   time.Duration
+	Deadline time.Time
+	Wait     time.Duration
 }
 
-// Answer is what became of a request.
-type Answer struct {
+// Result is what became of a request.
+type Result struct {
 	Granted bool
-	// By is the gateway that granted it.
-	By string
+	// DecidedBy is the gateway that granted it.
+	DecidedBy string
 	// RetryIn is when it would be granted, if it is not.
 	RetryIn time.Duration
 }
@@ -141,8 +141,8 @@
 	return limited
 }
 
-// Ask asks for a request to be sent, at the owner of the limit or at its deputy.
-func (g *Granter) Ask(ctx context.Context, r Request) Answer {
+// RequestGrant asks for a request to be sent, at the owner of the limit or at its deputy.
+func (g *Granter) RequestGrant(ctx context.Context, r Request) Result {
 	owner, deputy := g.Ranked(r.Backend)
 	// Ids of requests are the callers' to choose, and would not tell two of them apart.
 	key := g.Self + "/" + strconv.FormatUint(g.keys.Add(1), 10)
@@ -161,7 +161,7 @@
 			return decode(res, address)
 		}
 	}
-	return Answer{RetryIn: unreachableRetry}
+	return Result{RetryIn: unreachableRetry}
 }
 
 func (g *Granter) encode(address, key string, r Request) *wire.GrantRequest {
@@ -171,16 +171,16 @@
 	req := &wire.GrantRequest{
 		Backend: r.Backend, Key: key, Gateway: g.Self, Urgency: r.Urgency, Limit: g.book.Get(now, r.Backend),
 		AgeMs:    uint32(max(0, now.Sub(r.ReceivedAt).Milliseconds())),
-		GiveUpMs: uint32(max(0, r.GiveUp.Sub(now).Milliseconds())), WaitMs: uint32(r.Wait.Milliseconds()),
+		GiveUpMs: uint32(max(0, r.Deadline.Sub(now).Milliseconds())), WaitMs: uint32(r.Wait.Milliseconds()),
 	}
 	if s := g.sends[r.Backend]; s != nil {
-		req.Recent = s.Without(now, address)
+		req.Recent = s.Excluding(now, address)
 	}
 	return req
 }
 
-func decode(res *wire.GrantResponse, by string) Answer {
-	return Answer{Granted: res.GetGranted(), By: by, RetryIn: milliseconds(res.GetRetryInMs())}
+func decode(res *wire.GrantResponse, by string) Result {
+	return Result{Granted: res.GetGranted(), DecidedBy: by, RetryIn: milliseconds(res.GetRetryInMs())}
 }
 
 func milliseconds(n uint32) time.Duration { return time.Duration(n) * time.Millisecond }
--- a/gateway/granter/granter_test.go
+++ b/gateway/granter/granter_test.go
@@ -64,9 +64,9 @@
 	return nil, errors.New("no answer")
 }
 
-func (y *fleet) ask(gateway int) Answer {
+func (y *fleet) ask(gateway int) Result {
 	now := y.clock.Now()
-	return y.granters[gateway].Ask(context.Background(), Request{Backend: "b", ReceivedAt: now, GiveUp: now.Add(time.Second)})
+	return y.granters[gateway].RequestGrant(context.Background(), Request{Backend: "b", ReceivedAt: now, Deadline: now.Add(time.Second)})
 }
 
 // name lets all gateways read a limit in an answer.
@@ -115,7 +115,7 @@
 	c.Check(sum, qt.Equals, 40)
 	y.clock.Advance(denied.RetryIn)
 	c.Check(y.ask(1).Granted, qt.IsTrue)
-	c.Check(y.ask(0), qt.Equals, Answer{By: y.granters[0].Self, RetryIn: 500 * time.Millisecond})
+	c.Check(y.ask(0), qt.Equals, Result{DecidedBy: y.granters[0].Self, RetryIn: 500 * time.Millisecond})
 }
 
 // Without an owner its deputy grants a part of the limit, and the owner is not asked at every
@@ -133,7 +133,7 @@
 	for range 20 {
 		y.clock.Advance(500 * time.Millisecond)
 		if answer := y.ask(2); answer.Granted {
-			c.Check(answer.By, qt.Equals, y.granters[1].Self)
+			c.Check(answer.DecidedBy, qt.Equals, y.granters[1].Self)
 			sum++
 		}
 	}
@@ -141,10 +141,10 @@
 	c.Check(sum, qt.Equals, 20)
 	y.down[y.granters[1].Self] = true
 	y.clock.Advance(time.Second)
-	c.Check(y.ask(2), qt.Equals, Answer{RetryIn: unreachableRetry})
+	c.Check(y.ask(2), qt.Equals, Result{RetryIn: unreachableRetry})
 	clear(y.down)
 	y.clock.Advance(longestBackoff)
-	c.Check(y.ask(2).By, qt.Equals, y.granters[0].Self)
+	c.Check(y.ask(2).DecidedBy, qt.Equals, y.granters[0].Self)
 }
 
 // A request without another backend server waits for its turn at the owner.
@@ -166,9 +166,9 @@
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			now := y.clock.Now()
-			done := make(chan Answer, 1)
+			done := make(chan Result, 1)
 			go func() {
-				done <- y.granters[0].Ask(ctx, Request{Backend: "b", ReceivedAt: now, GiveUp: now.Add(test.wait), Wait: test.wait})
+				done <- y.granters[0].RequestGrant(ctx, Request{Backend: "b", ReceivedAt: now, Deadline: now.Add(test.wait), Wait: test.wait})
 			}()
 			if test.leaves || test.pass > 0 {
 				// The timers of the next grant and of the wait.
@@ -199,11 +199,11 @@
 	y.clock.Advance(time.Second)
 	y.granters[0].Observe("b", throttler.Limit{}, "r", 0)
 	y.ask(2)
-	standing, _ := y.granters[2].Standing("b")
+	standing, _ := y.granters[2].Status("b")
 	c.Check(standing.Limit.Named, qt.IsFalse)
 	c.Check(standing.Source, qt.Equals, throttler.News)
 	c.Check(y.granters[2].Report(), qt.HasLen, 0)
-	list, revision := y.granters[0].News()
+	list, revision := y.granters[0].Limits()
 	c.Check(list, qt.HasLen, 1)
 	c.Check(revision, qt.Equals, y.granters[0].Revision())
 }
@@ -213,7 +213,7 @@
 	c := qt.New(t)
 	y := newFleet(c, 3)
 	for range 30 {
-		y.granters[2].Sent("b", First, "")
+		y.granters[2].RecordSent("b", First, "")
 	}
 	y.granters[0].Observe("b", throttler.LimitOf(4), "r", 0)
 	y.granters[2].Observe("b", throttler.LimitOf(4), "r", 0)
@@ -230,12 +230,12 @@
 	c := qt.New(t)
 	y := newFleet(c, 2)
 	g := y.granters[1]
-	g.Sent("b", First, "")
+	g.RecordSent("b", First, "")
 	c.Check(g.takeUsage(), qt.HasLen, 0)
 	g.Observe("b", throttler.LimitOf(4), "r", 0)
-	g.Sent("b", First, "")
-	g.Sent("b", Repeat, "")
-	g.Denied("b")
+	g.RecordSent("b", First, "")
+	g.RecordSent("b", Repeat, "")
+	g.RecordDenied("b")
 	c.Check(fmt.Sprint(g.takeUsage()), qt.Equals, "[{b 4 map[First:1 Repeat:1] 1}]")
 	c.Check(g.takeUsage(), qt.HasLen, 0)
 	y.clock.Advance(5 * time.Second)
--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -8,26 +8,26 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Kind is why a request is sent to a backend server.
-type Kind string
+// AttemptKind is why a request is sent to a backend server.
+type AttemptKind string
 
 // The kinds, as they stand in logs.
 const (
-	First   Kind = "First"
-	Repeat  Kind = "Repeat"
-	Resumed Kind = "Resumed"
+	First   AttemptKind = "First"
+	Repeat  AttemptKind = "Repeat"
+	Resumed AttemptKind = "Resumed"
 )
 
 // sends is what this gateway has sent to a backend server.
 type sends struct {
 	throttler.Sends
 	// byKind and denied count since the usage was logged last, while a limit is in force.
-	byKind map[Kind]int
+	byKind map[AttemptKind]int
 	denied int
 }
 
-// Sent notes that a request is sent, with a grant of a gateway; "" is without one.
-func (g *Granter) Sent(backend string, kind Kind, grantedBy string) {
+// RecordSent notes that a request is sent, with a grant of a gateway; "" is without one.
+func (g *Granter) RecordSent(backend string, kind AttemptKind, grantedBy string) {
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -38,8 +38,8 @@
 	}
 }
 
-// Denied notes that a request was not sent for want of a grant.
-func (g *Granter) Denied(backend string) {
+// RecordDenied notes that a request was not sent for want of a grant.
+func (g *Granter) RecordDenied(backend string) {
 	g.mu.Lock()
 	g.sendsTo(backend).denied++
 	g.mu.Unlock()
@@ -50,7 +50,7 @@
 func (g *Granter) sendsTo(backend string) *sends {
 	s := g.sends[backend]
 	if s == nil {
-		s = &sends{byKind: map[Kind]int{}}
+		s = &sends{byKind: map[AttemptKind]int{}}
 		g.sends[backend] = s
 	}
 	return s
@@ -64,8 +64,8 @@
 		"AnswerTo", requestID, "SinceSent", sinceSent.Milliseconds())
 }
 
-// Hear takes limits that other instances know.
-func (g *Granter) Hear(list []*wire.RequestLimit, source throttler.Source) {
+// ReceiveLimits takes limits that other instances know.
+func (g *Granter) ReceiveLimits(list []*wire.RequestLimit, source throttler.Source) {
 	for _, l := range list {
 		o, ok := throttler.Decode(g.Clock.Now(), l, source)
 		if !ok {
@@ -79,7 +79,7 @@
 // hearLimit takes what another gateway knows of one limit.
 func (g *Granter) hearLimit(l *wire.RequestLimit) {
 	if l != nil {
-		g.Hear([]*wire.RequestLimit{l}, throttler.News)
+		g.ReceiveLimits([]*wire.RequestLimit{l}, throttler.News)
 	}
 }
 
@@ -121,11 +121,11 @@
 	return g.book.Report(g.Clock.Now())
 }
 
-// News returns all limits and the number of that list, for gateways that get their news here.
-func (g *Granter) News() ([]*wire.RequestLimit, uint64) {
+// Limits returns all limits and the number of that list, for gateways that get their news here.
+func (g *Granter) Limits() ([]*wire.RequestLimit, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.News(g.Clock.Now()), g.book.Revision()
+	return g.book.Limits(g.Clock.Now()), g.book.Revision()
 }
 
 // Revision returns the number of the list of limits.
@@ -135,18 +135,18 @@
 	return g.book.Revision()
 }
 
-// Standing returns what is known of a backend server's limit, for logs.
-func (g *Granter) Standing(backend string) (throttler.Standing, bool) {
+// Status returns what is known of a backend server's limit, for logs.
+func (g *Granter) Status(backend string) (throttler.Status, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.Standing(backend)
+	return g.book.Status(backend)
 }
 
 // usage is what was sent to a backend server with a limit since it was logged last.
 type usage struct {
 	backend string
 	limit   throttler.RequestRate
-	byKind  map[Kind]int
+	byKind  map[AttemptKind]int
 	denied  int
 }
 
@@ -155,7 +155,7 @@
 	defer g.mu.Unlock()
 	var list []usage
 	for id, s := range g.sends {
-		standing, limited := g.book.Standing(id)
+		standing, limited := g.book.Status(id)
 		if limited && len(s.byKind)+s.denied > 0 {
 			list = append(list, usage{id, standing.Limit.Rate, maps.Clone(s.byKind), s.denied})
 		}
--- a/gateway/granter/pool.go
+++ b/gateway/granter/pool.go
@@ -39,16 +39,16 @@
 	}
 	p := g.pool(req.GetBackend(), role)
 	p.allocator.SetRate(now, rate)
-	p.allocator.Report(now, req.GetGateway(), req.GetRecent())
+	p.allocator.RecordSends(now, req.GetGateway(), req.GetRecent())
 	if req.GetReportOnly() {
 		g.mu.Unlock()
 		return res
 	}
-	ask := throttler.Ask{
+	ask := throttler.GrantRequest{
 		Key: req.GetKey(), Urgency: req.GetUrgency(), ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())),
-		GiveUp: now.Add(milliseconds(req.GetGiveUpMs())), Waits: req.GetWaitMs() > 0,
+		Deadline: now.Add(milliseconds(req.GetGiveUpMs())), CanWait: req.GetWaitMs() > 0,
 	}
-	verdict := p.allocator.Add(now, ask)
+	verdict := p.allocator.Submit(now, ask)
 	granted := make(chan struct{})
 	if verdict.Waiting {
 		p.waiting[ask.Key] = granted
@@ -114,7 +114,7 @@
 
 // schedule serves a pool when its next grant is due. The caller holds the lock.
 func (g *Granter) schedule(now time.Time, p *pool) {
-	wait, ok := p.allocator.NextIn(now)
+	wait, ok := p.allocator.NextGrantIn(now)
 	if !ok || p.scheduled {
 		return
 	}
@@ -131,7 +131,7 @@
 	if rate, limited := g.book.Rate(now, p.backend); limited {
 		p.allocator.SetRate(now, rate)
 	}
-	for _, key := range p.allocator.Next(now) {
+	for _, key := range p.allocator.GrantDue(now) {
 		if granted, ok := p.waiting[key]; ok {
 			close(granted)
 			delete(p.waiting, key)
--- a/gateway/borrower/borrower_test.go
+++ b/gateway/quotaenforcer/borrower_test.go
@@ -1,4 +1,4 @@
-package borrower
+package quotaenforcer
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"bronzelead.example/pkg/lender"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -19,7 +19,7 @@
 type leaderFake struct {
 	clock  clockwork.Clock
 	mu     sync.Mutex
-	lender lender.Lender
+	lender quotaallocator.Allocator
 	lost   bool
 	calls  int
 }
@@ -33,7 +33,7 @@
 	}
 	res := &wire.BorrowResponse{}
 	for _, b := range req.GetBorrowers() {
-		res.Borrowers = append(res.Borrowers, l.lender.Borrow(l.clock.Now(), b))
+		res.Borrowers = append(res.Borrowers, l.lender.Allocate(l.clock.Now(), b))
 	}
 	return res, nil
 }
@@ -51,11 +51,11 @@
 var limit = &wire.CustomerLimit{Unit: wire.LimitUnit_LIMIT_UNIT_REQUESTS, RatePerSecond: 10, Burst: 20}
 
 // start runs a borrower with a leader that has led for longer than a window.
-func start(c *qt.C) (*Borrower, *leaderFake, *clockwork.FakeClock) {
+func start(c *qt.C) (*Enforcer, *leaderFake, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
-	leader := &leaderFake{clock: clock, lender: lender.Lender{Rule: lender.Rule{Window: 8 * time.Second, Overage: 0.1, Slack: 20}}}
+	leader := &leaderFake{clock: clock, lender: quotaallocator.Allocator{Rule: quotaallocator.Rule{Window: 8 * time.Second, Overage: 0.1, Slack: 20}}}
 	leader.lender.Begin(clock.Now().Add(-time.Minute), 1, []*wire.RoutedCustomer{{Name: "a", Limit: limit}})
-	b := &Borrower{
+	b := &Enforcer{
 		Clock: clock, Log: slog.New(slog.DiscardHandler), Gateway: "g", Upstream: func() string { return "leader" },
 		Client: func(string) wire.Limits { return leader },
 	}
@@ -67,8 +67,8 @@
 }
 
 // admit asks for one request, and lets time pass while it waits.
-func admit(ctx context.Context, b *Borrower, clock *clockwork.FakeClock) Verdict {
-	done := make(chan Verdict, 1)
+func admit(ctx context.Context, b *Enforcer, clock *clockwork.FakeClock) Decision {
+	done := make(chan Decision, 1)
 	go func() { done <- b.Admit(ctx, "a", limit, 1) }()
 	for {
 		select {
@@ -90,9 +90,9 @@
 		b.Spend("a", 1)
 	}
 	v := b.Admit(context.Background(), "a", limit, 1)
-	c.Check(v.Over, qt.IsTrue)
+	c.Check(v.OverLimit, qt.IsTrue)
 	c.Check(v.RetryIn > 0, qt.IsTrue)
-	c.Check(b.Standing("a").Credit, qt.Equals, uint64(0))
+	c.Check(b.Status("a").Unspent, qt.Equals, uint64(0))
 	clock.Advance(9 * time.Second)
 	c.Check(admit(context.Background(), b, clock).Admitted, qt.IsTrue)
 }
@@ -114,7 +114,7 @@
 	c := qt.New(t)
 	b, leader, clock := start(c)
 	leader.lose(true)
-	c.Check(admit(context.Background(), b, clock), qt.DeepEquals, Verdict{})
+	c.Check(admit(context.Background(), b, clock), qt.DeepEquals, Decision{})
 	leader.lose(false)
 	c.Check(admit(context.Background(), b, clock).Admitted, qt.IsTrue)
 }
@@ -147,10 +147,10 @@
 	b, leader, _ := start(c)
 	leader.lose(true)
 	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan Verdict)
+	done := make(chan Decision)
 	go func() { done <- b.Admit(ctx, "a", limit, 1) }()
 	cancel()
-	c.Check(<-done, qt.DeepEquals, Verdict{})
+	c.Check(<-done, qt.DeepEquals, Decision{})
 	b.with("a", func(p *account) { c.Check(p.waiters, qt.HasLen, 0) })
 }
 
@@ -169,10 +169,10 @@
 			b, _, clock := start(c)
 			// What is wished for comes with what is needed.
 			c.Assert(admit(context.Background(), b, clock).Admitted, qt.IsTrue)
-			before := b.Standing("a").Credit
+			before := b.Status("a").Unspent
 			c.Assert(before > 0, qt.IsTrue)
 			b.SetCustomers([]*wire.RoutedCustomer{{Name: "a", Limit: test.limit}})
-			c.Check(b.Standing("a").Credit == before, qt.Equals, test.kept)
+			c.Check(b.Status("a").Unspent == before, qt.Equals, test.kept)
 		})
 	}
 }
--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -128,7 +128,7 @@
 		r.HearRuns(req.GetRunReports())
 	}
 	if len(req.GetRequestLimits()) > 0 {
-		r.Granter.Hear(req.GetRequestLimits(), throttler.Follower)
+		r.Granter.ReceiveLimits(req.GetRequestLimits(), throttler.Follower)
 	}
 	w, err := r.enter(req)
 	if err != nil {
@@ -203,7 +203,7 @@
 
 // tellLimits adds the request limits to an answer, if the follower knows another list.
 func (r *Relayer) tellLimits(req *wire.SyncRequest, res *wire.SyncResponse) {
-	list, revision := r.Granter.News()
+	list, revision := r.Granter.Limits()
 	res.RequestLimitsRevision = revision
 	if req.GetEpoch() != res.GetEpoch() || req.GetRequestLimitsRevision() != revision {
 		res.RequestLimits = list
--- a/pkg/limiter/limiter.go
+++ b/pkg/limiter/limiter.go
@@ -55,17 +55,17 @@
 	l.customer(name).limit = limit
 }
 
-// Expect notes a session that may hold shares which aren't known. Until it has
+// ExpectReport notes a session that may hold shares which aren't known. Until it has
 // reported or is forgotten no share of any customer grows.
-func (l *Limiter) Expect(id SessionID) {
+func (l *Limiter) ExpectReport(id SessionID) {
 	if l.frozen == nil {
 		l.frozen = map[SessionID]bool{}
 	}
 	l.frozen[id] = true
 }
 
-// Reported notes that all of a session's shares are known.
-func (l *Limiter) Reported(id SessionID) { delete(l.frozen, id) }
+// MarkReported notes that all of a session's shares are known.
+func (l *Limiter) MarkReported(id SessionID) { delete(l.frozen, id) }
 
 // Forget drops all that a session had.
 func (l *Limiter) Forget(id SessionID) {
@@ -100,7 +100,7 @@
 			l.drop(id, name)
 		}
 	}
-	l.Reported(id)
+	l.MarkReported(id)
 }
 
 // Report takes a session's demand and returns its share from now on. A share
@@ -142,8 +142,8 @@
 // than the limit now allows.
 func (c *customer) contended() bool { return c.hungry > 0 || c.granted > c.limit }
 
-// Sum returns all shares of a customer together.
-func (l *Limiter) Sum(name string) uint32 { return l.customer(name).granted }
+// TotalGranted returns all shares of a customer together.
+func (l *Limiter) TotalGranted(name string) uint32 { return l.customer(name).granted }
 
 func (l *Limiter) customer(name string) *customer {
 	if l.customers == nil {
--- a/pkg/lender/account.go
+++ b/pkg/quotaallocator/account.go
@@ -1,10 +1,10 @@
-package lender
+package quotaallocator
 
 import (
 	"math"
 	"time"
 
-	"bronzelead.example/pkg/windower"
+	"bronzelead.example/pkg/windowcounter"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -32,7 +32,7 @@
 	kept      float64
 	overdraft uint64
 	// recent is what was sent on in the window of the limit's rule.
-	recent windower.Window
+	recent windowcounter.Window
 	// alone is when the allowance was drawn last; zero while the leader is heard.
 	alone time.Time
 	// expired is set once what was lent and not spent has expired.
@@ -64,11 +64,11 @@
 	if p.heard.IsZero() || now.Sub(p.heard) < aloneAfter {
 		return
 	}
-	if !p.expired && now.Sub(p.heard) > Lease {
+	if !p.expired && now.Sub(p.heard) > LeaseTTL {
 		p.expired = true
 		p.lent = min(p.lent, p.spent+p.held)
 	}
-	until := p.heard.Add(AloneFor)
+	until := p.heard.Add(MaxOffline)
 	if now.Before(until) {
 		until = now
 	}
@@ -84,8 +84,8 @@
 	p.lent += uint64(whole)
 }
 
-// Ask notes that a request of a size is asked for.
-func (p *Account) Ask(now time.Time, size uint64) {
+// RecordDemand notes that a request of a size is asked for.
+func (p *Account) RecordDemand(now time.Time, size uint64) {
 	p.decay(now)
 	p.rate += float64(size) / rateOver.Seconds()
 	if p.size == 0 {
@@ -107,7 +107,7 @@
 // Hold takes credit for a request, and reports whether there was enough.
 func (p *Account) Hold(now time.Time, size uint64) bool {
 	credit := p.credit(now)
-	if credit < size && (p.alone.IsZero() || now.Sub(p.heard) > AloneFor || p.lent+p.overdraft < p.spent+p.held+size) {
+	if credit < size && (p.alone.IsZero() || now.Sub(p.heard) > MaxOffline || p.lent+p.overdraft < p.spent+p.held+size) {
 		return false
 	}
 	p.held += size
@@ -154,8 +154,8 @@
 // wanted reports whether the customer is asked for here. The rate must be as of now.
 func (p *Account) wanted() bool { return p.rate > leastRate*p.size }
 
-// Refused notes that a request was refused.
-func (p *Account) Refused() { p.refused++ }
+// RecordRefusal notes that a request was refused.
+func (p *Account) RecordRefusal() { p.refused++ }
 
 // Report returns what the leader is told; needed is what waiting requests need. Where
 // nothing is asked for any more the credit is given up.
@@ -179,8 +179,8 @@
 	return said
 }
 
-// Hear takes the leader's word on a report that was made at a time.
-func (p *Account) Hear(now, asked time.Time, c *wire.Credit) {
+// Receive takes the leader's word on a report that was made at a time.
+func (p *Account) Receive(now, asked time.Time, c *wire.Credit) {
 	if c.GetAccount() != p.account {
 		// Another leader, or this one has forgotten the account. What was spent beyond the
 		// credit counts for the new one, as what is held does.
@@ -191,7 +191,7 @@
 	p.refused = 0
 	p.heard, p.alone, p.drawn, p.expired = asked, time.Time{}, 0, false
 	if length := time.Duration(c.GetWindowMs()) * time.Millisecond; length != p.recent.Length {
-		p.recent = windower.Window{Length: length}
+		p.recent = windowcounter.Window{Length: length}
 	}
 	p.allowance, p.overdraft, p.kept = c.GetAllowance(), c.GetOverdraft(), c.GetKept()
 	if c.GetRoomInMs() > 0 {
@@ -206,16 +206,16 @@
 	*p = Account{held: p.held, rate: p.rate, rated: p.rated, size: p.size, recent: p.recent}
 }
 
-// Standing is what decided on a request, for logs.
-type Standing struct {
-	// Credit is what could be spent, Held what is held for requests that were let in, and
+// Status is what decided on a request, for logs.
+type Status struct {
+	// Unspent is what could be spent, Held what is held for requests that were let in, and
 	// Allowance what may be spent in a second without the leader.
-	Credit, Held, Allowance uint64
+	Unspent, Held, Allowance uint64
 	// Age is how old the leader's word is.
 	Age time.Duration
 }
 
-// Standing returns what decides now.
-func (p *Account) Standing(now time.Time) Standing {
-	return Standing{Credit: p.credit(now), Held: p.held, Allowance: uint64(p.allowance), Age: now.Sub(p.heard)}
+// Status returns what decides now.
+func (p *Account) Status(now time.Time) Status {
+	return Status{Unspent: p.credit(now), Held: p.held, Allowance: uint64(p.allowance), Age: now.Sub(p.heard)}
 }
--- a/pkg/lender/lender.go
+++ b/pkg/quotaallocator/lender.go
@@ -4,12 +4,12 @@
 //
 // In any window the leader grants no more than rate and burst allow. Quota that was granted
 // before the window and is still unspent comes out of the rule's tolerance.
-package lender
+package quotaallocator
 
 import (
 	"time"
 
-	"bronzelead.example/pkg/windower"
+	"bronzelead.example/pkg/windowcounter"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -32,12 +32,12 @@
 	// while they can't reach the leader, and with the next leader. The rest is granted to
 	// whoever asks first.
 	keptShare = 0.8
-	// Lease is how long a gateway may spend its quota after its last call.
-	Lease = 2 * time.Second
-	// AloneFor is how long a gateway spends its allowance at most without the leader.
-	AloneFor = 4 * time.Second
+	// LeaseTTL is how long a gateway may spend its quota after its last call.
+	LeaseTTL = 2 * time.Second
+	// MaxOffline is how long a gateway spends its allowance at most without the leader.
+	MaxOffline = 4 * time.Second
 	// forgetAfter is when the lease of a gateway expires at the leader after its last call.
-	forgetAfter = AloneFor + Lease
+	forgetAfter = MaxOffline + LeaseTTL
 	// shortestWait and longestWait bound the retry time of a refused caller.
 	shortestWait = 100 * time.Millisecond
 	longestWait  = 2 * time.Second
@@ -61,14 +61,14 @@
 	return r.Overage*(l.GetRatePerSecond()*r.Window.Seconds()+l.GetBurst()) + r.Slack
 }
 
-// Lender is the leader's side. Set the exported fields, then call Begin.
-type Lender struct {
+// Allocator is the leader's side. Set the exported fields, then call Begin.
+type Allocator struct {
 	Rule Rule
-	// Gateways is the number of gateways that may serve.
-	Gateways int
-	// Known are the addresses of all gateways that may have sent requests in the window before
+	// GatewayCount is the number of gateways that may serve.
+	GatewayCount int
+	// KnownGateways are the addresses of all gateways that may have sent requests in the window before
 	// the term; empty if they are not known.
-	Known []string
+	KnownGateways []string
 
 	began     time.Time
 	customers map[string]*customer
@@ -85,7 +85,7 @@
 	earlier float64
 	lowered time.Time
 	// lent is what was lent and spent beyond that, by the time at which it was.
-	lent windower.Window
+	lent windowcounter.Window
 	// reserved is what is kept for gateways.
 	reserved float64
 	// reported is the usage under earlier leaders, and the reserves, of the gateways that have
@@ -121,18 +121,18 @@
 }
 
 // Begin begins a term as leader. Earlier grants are not known.
-func (l *Lender) Begin(now time.Time, term uint64, customers []*wire.RoutedCustomer) {
+func (l *Allocator) Begin(now time.Time, term uint64, customers []*wire.RoutedCustomer) {
 	const termBits = 32
 	l.began, l.opened, l.customers = now, term<<termBits, map[string]*customer{}
 	l.unreported = map[string]bool{}
-	for _, address := range l.Known {
+	for _, address := range l.KnownGateways {
 		l.unreported[address] = true
 	}
 	l.SetCustomers(now, customers)
 }
 
 // SetCustomers takes the limits in force. What was spent goes on to count.
-func (l *Lender) SetCustomers(now time.Time, customers []*wire.RoutedCustomer) {
+func (l *Allocator) SetCustomers(now time.Time, customers []*wire.RoutedCustomer) {
 	if l.customers == nil {
 		return
 	}
@@ -144,7 +144,7 @@
 		named[listed.GetName()] = true
 		c := l.customers[listed.GetName()]
 		if c == nil {
-			c = &customer{leases: map[string]*lease{}, seen: map[string]bool{}, lent: windower.Window{Length: l.Rule.Window}}
+			c = &customer{leases: map[string]*lease{}, seen: map[string]bool{}, lent: windowcounter.Window{Length: l.Rule.Window}}
 			l.customers[listed.GetName()] = c
 		}
 		if earlier := l.mostInWindow(now, c); l.mostOf(listed.GetLimit()) < earlier {
@@ -160,14 +160,14 @@
 }
 
 // mostOf returns what a limit allows in a window.
-func (l *Lender) mostOf(limit *wire.CustomerLimit) float64 {
+func (l *Allocator) mostOf(limit *wire.CustomerLimit) float64 {
 	return limit.GetRatePerSecond()*l.Rule.Window.Seconds() + limit.GetBurst()
 }
 
 // mostInWindow returns what may be lent in the window that ends now. One that began before the
 // limit was lowered may hold its part of what that allowed; otherwise a customer would get
 // nothing until what it had been given by then is out of the window.
-func (l *Lender) mostInWindow(now time.Time, c *customer) float64 {
+func (l *Allocator) mostInWindow(now time.Time, c *customer) float64 {
 	most := l.mostOf(c.limit)
 	if passed := now.Sub(c.lowered); !c.lowered.IsZero() && passed < l.Rule.Window && c.earlier > most {
 		most += (c.earlier - most) * (1 - passed.Seconds()/l.Rule.Window.Seconds())
@@ -176,11 +176,11 @@
 }
 
 // allReported reports whether all gateways have told this leader what they have spent.
-func (l *Lender) allReported() bool { return len(l.Known) > 0 && len(l.unreported) == 0 }
+func (l *Allocator) allReported() bool { return len(l.KnownGateways) > 0 && len(l.unreported) == 0 }
 
 // room returns what may still be lent in the window that ends now. In the first window of a
 // term, what nobody has reported for counts as spent until all gateways have called.
-func (l *Lender) room(now time.Time, c *customer) float64 {
+func (l *Allocator) room(now time.Time, c *customer) float64 {
 	most := l.mostInWindow(now, c)
 	if age := now.Sub(l.began); age < l.Rule.Window && !l.allReported() {
 		least := startShare*l.Rule.tolerance(c.limit) + leastRefill*c.limit.GetRatePerSecond()*age.Seconds()
@@ -189,8 +189,8 @@
 	return most - c.lent.Sum(now)
 }
 
-// Borrow takes what a gateway says, and returns its credit.
-func (l *Lender) Borrow(now time.Time, b *wire.Borrower) *wire.BorrowerCredit {
+// Allocate takes what a gateway says, and returns its credit.
+func (l *Allocator) Allocate(now time.Time, b *wire.Borrower) *wire.BorrowerCredit {
 	res := &wire.BorrowerCredit{}
 	if time.Duration(b.GetRunningMs())*time.Millisecond >= l.Rule.Window {
 		defer delete(l.unreported, b.GetAddress())
@@ -203,7 +203,7 @@
 	return res
 }
 
-func (l *Lender) lend(now time.Time, c *customer, gateway string, said *wire.CreditAccount) *wire.Credit {
+func (l *Allocator) lend(now time.Time, c *customer, gateway string, said *wire.CreditAccount) *wire.Credit {
 	a := l.lease(now, c, gateway, said)
 	a.heard = now
 	c.note(now, a, said)
@@ -214,11 +214,11 @@
 	c.lent.Add(now, granted)
 	c.unspent += granted
 	c.keep(a, l.part(c, a, room-granted))
-	a.allowance = min(a.kept/AloneFor.Seconds(), c.limit.GetRatePerSecond()*c.share(a))
+	a.allowance = min(a.kept/MaxOffline.Seconds(), c.limit.GetRatePerSecond()*c.share(a))
 	credit := &wire.Credit{
 		Customer: said.GetCustomer(), Account: a.id, Lent: a.lent, Allowance: a.allowance, Kept: a.kept,
 		WindowMs:  uint32(l.Rule.Window.Milliseconds()),
-		Overdraft: uint64(overdraftShare * l.Rule.tolerance(c.limit) / float64(max(l.Gateways, len(c.leases)))),
+		Overdraft: uint64(overdraftShare * l.Rule.tolerance(c.limit) / float64(max(l.GatewayCount, len(c.leases)))),
 	}
 	// What is missing only until others have told what they spent is asked for again.
 	if missing := float64(said.GetNeeded()) - granted; missing > 0 && room-granted-c.reserved < missing {
@@ -228,7 +228,7 @@
 }
 
 // lease returns a gateway's lease, a new one if it names none that is known.
-func (l *Lender) lease(now time.Time, c *customer, gateway string, said *wire.CreditAccount) *lease {
+func (l *Allocator) lease(now time.Time, c *customer, gateway string, said *wire.CreditAccount) *lease {
 	a := c.leases[gateway]
 	if a != nil && a.id == said.GetAccount() {
 		return a
@@ -271,7 +271,7 @@
 }
 
 // grant returns what is lent now, in whole units.
-func (l *Lender) grant(c *customer, room float64, said *wire.CreditAccount) float64 {
+func (l *Allocator) grant(c *customer, room float64, said *wire.CreditAccount) float64 {
 	most := unspentShare * l.Rule.tolerance(c.limit)
 	granted := min(float64(said.GetNeeded()), room, most-c.unspent)
 	if c.unspent == 0 {
@@ -299,7 +299,7 @@
 }
 
 // part returns what is kept for a gateway of the room that is left.
-func (l *Lender) part(c *customer, a *lease, room float64) float64 {
+func (l *Allocator) part(c *customer, a *lease, room float64) float64 {
 	return max(0, min(keptShare*room*c.share(a), keptShare*room-c.reserved))
 }
 
@@ -312,14 +312,14 @@
 	return min(longestWait, max(shortestWait, time.Duration(missing/rate*float64(time.Second))))
 }
 
-// AgainIn returns when a gateway is to call again at the latest, so that the calls of many
+// ReportInterval returns when a gateway is to call again at the latest, so that the calls of many
 // gateways don't use the leader up.
-func (l *Lender) AgainIn() time.Duration {
-	return min(latestCall, max(soonestCall, time.Second*time.Duration(l.Gateways)/callsPerSecond))
+func (l *Allocator) ReportInterval() time.Duration {
+	return min(latestCall, max(soonestCall, time.Second*time.Duration(l.GatewayCount)/callsPerSecond))
 }
 
 // Tick lets time pass for gateways that are silent.
-func (l *Lender) Tick(now time.Time) {
+func (l *Allocator) Tick(now time.Time) {
 	for _, c := range l.customers {
 		for gateway, a := range c.leases {
 			if now.Sub(a.heard) > forgetAfter {
@@ -332,7 +332,7 @@
 // close ends an account. It is taken that its gateway has spent its allowance since it was
 // heard.
 func (c *customer) close(now time.Time, gateway string, a *lease) {
-	alone := min(AloneFor, max(0, now.Sub(a.heard)-aloneAfter))
+	alone := min(MaxOffline, max(0, now.Sub(a.heard)-aloneAfter))
 	c.lent.Add(now, a.allowance*alone.Seconds())
 	c.keep(a, 0)
 	c.unspent -= a.unspent()
--- a/pkg/lender/lender_test.go
+++ b/pkg/quotaallocator/lender_test.go
@@ -1,4 +1,4 @@
-package lender
+package quotaallocator
 
 import (
 	"fmt"
@@ -23,7 +23,7 @@
 	limit    *wire.CustomerLimit
 	now      time.Time
 	term     uint64
-	lender   *Lender
+	lender   *Allocator
 	gateways []*gateway
 	sends    []sent
 	waiting  []waiting
@@ -74,9 +74,9 @@
 // lead lets another leader begin.
 func (w *world) lead() {
 	w.term++
-	w.lender = &Lender{Rule: w.rule, Gateways: len(w.gateways)}
+	w.lender = &Allocator{Rule: w.rule, GatewayCount: len(w.gateways)}
 	for _, g := range w.gateways {
-		w.lender.Known = append(w.lender.Known, g.name)
+		w.lender.KnownGateways = append(w.lender.KnownGateways, g.name)
 	}
 	w.lender.Begin(w.now, w.term, w.customers())
 }
@@ -88,10 +88,10 @@
 		return false
 	}
 	said := g.account.Report(w.now, "a", needed)
-	res := w.lender.Borrow(w.now, &wire.Borrower{
+	res := w.lender.Allocate(w.now, &wire.Borrower{
 		Gateway: g.name, Address: g.name, RunningMs: uint32(w.now.Sub(g.started).Milliseconds()), Accounts: []*wire.CreditAccount{said},
 	})
-	g.account.Hear(w.now, w.now, res.GetCredits()[0])
+	g.account.Receive(w.now, w.now, res.GetCredits()[0])
 	g.term = w.term
 	return true
 }
@@ -118,7 +118,7 @@
 		return
 	}
 	w.asked += float64(size)
-	g.account.Ask(w.now, size)
+	g.account.RecordDemand(w.now, size)
 	r := waiting{g, size, w.now.Add(patience)}
 	if !w.try(r) {
 		w.waiting = append(w.waiting, r)
@@ -465,10 +465,10 @@
 func BenchmarkHoldAndSpend(b *testing.B) {
 	now := time.Unix(1e9, 0)
 	p := &Account{}
-	p.Hear(now, now, &wire.Credit{Account: 1, Lent: 1 << 60})
+	p.Receive(now, now, &wire.Credit{Account: 1, Lent: 1 << 60})
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Ask(now, 700)
+		p.RecordDemand(now, 700)
 		if !p.Hold(now, 700) {
 			b.Fatal("there is no credit")
 		}
@@ -486,32 +486,32 @@
 		customers = append(customers, &wire.RoutedCustomer{Name: name, Limit: tokens(274_000, 274_000)})
 		said.Accounts = append(said.Accounts, &wire.CreditAccount{Customer: name, Rate: 200, Needed: 700})
 	}
-	l := &Lender{Rule: testRule, Gateways: 1200}
+	l := &Allocator{Rule: testRule, GatewayCount: 1200}
 	l.Begin(now, 1, customers)
 	for i := range 1200 {
 		said.Gateway = fmt.Sprint("g", i)
-		l.Borrow(now, said)
+		l.Allocate(now, said)
 	}
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		l.Borrow(now, said)
+		l.Allocate(now, said)
 	}
 }
 
 // The bytes of a call for one customer, and of its answer.
 func BenchmarkBytes(b *testing.B) {
 	now := time.Unix(1e9, 0)
-	l := &Lender{Rule: testRule, Gateways: 81}
+	l := &Allocator{Rule: testRule, GatewayCount: 81}
 	l.Begin(now.Add(-time.Hour), 1, []*wire.RoutedCustomer{{Name: "customer-17", Limit: tokens(274_000, 274_000)}})
 	p := &Account{}
 	var said *wire.Borrower
 	var res *wire.BorrowerCredit
 	for range 400 {
 		now = now.Add(25 * time.Millisecond)
-		p.Ask(now, 700)
+		p.RecordDemand(now, 700)
 		said = &wire.Borrower{Gateway: "edge-bergen-a-17", Accounts: []*wire.CreditAccount{p.Report(now, "customer-17", 700)}}
-		res = l.Borrow(now, said)
-		p.Hear(now, now, res.GetCredits()[0])
+		res = l.Allocate(now, said)
+		p.Receive(now, now, res.GetCredits()[0])
 		if p.Hold(now, 700) {
 			p.Spend(now, 700)
 		}
--- a/pkg/throttler/allocator.go
+++ b/pkg/throttler/allocator.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"bronzelead.example/pkg/windower"
+	"bronzelead.example/pkg/windowcounter"
 )
 
 // Role is what an allocator shares out.
@@ -37,21 +37,21 @@
 	cappedRetry = 250 * time.Millisecond
 )
 
-// Ask is a request that is to be sent to the backend server.
-type Ask struct {
+// GrantRequest is a request that is to be sent to the backend server.
+type GrantRequest struct {
 	// Key tells asks apart.
 	Key string
 	// Urgency is the request's priority; 0 goes first.
 	Urgency uint32
 	// ReceivedAt orders requests of one priority, and GiveUp is when it is no use to wait.
 	ReceivedAt time.Time
-	GiveUp     time.Time
-	// Waits is set if the request waits for its grant. Otherwise it is decided at once.
-	Waits bool
+	Deadline   time.Time
+	// CanWait is set if the request waits for its grant. Otherwise it is decided at once.
+	CanWait bool
 }
 
-// Verdict is what becomes of an ask.
-type Verdict struct {
+// Decision is what becomes of an ask.
+type Decision struct {
 	Granted bool
 	// Waiting is set if the ask waits for Next.
 	Waiting bool
@@ -69,9 +69,9 @@
 	level    float64
 	filledAt time.Time
 	// granted are the grants in the window, and reported is what gateways sent without one.
-	granted  windower.Window
-	reported map[string]*windower.Window
-	waiting  []Ask
+	granted  windowcounter.Window
+	reported map[string]*windowcounter.Window
+	waiting  []GrantRequest
 }
 
 // SetRate takes the rate of the limit. A new allocator begins without stored grants: another
@@ -83,7 +83,7 @@
 	if a.filledAt.IsZero() {
 		a.filledAt = now
 		a.granted.Length = Window
-		a.reported = map[string]*windower.Window{}
+		a.reported = map[string]*windowcounter.Window{}
 	}
 	a.fill(now)
 	a.rate = rate
@@ -100,13 +100,13 @@
 	}
 }
 
-// Report takes what a gateway sent in the window without a grant of this allocator.
-func (a *Allocator) Report(now time.Time, gateway string, parts []uint64) {
+// RecordSends takes what a gateway sent in the window without a grant of this allocator.
+func (a *Allocator) RecordSends(now time.Time, gateway string, parts []uint64) {
 	if len(parts) == 0 {
 		delete(a.reported, gateway)
 		return
 	}
-	w := &windower.Window{Length: Window}
+	w := &windowcounter.Window{Length: Window}
 	w.AddParts(now, parts)
 	a.reported[gateway] = w
 }
@@ -128,8 +128,8 @@
 	return sum+1 > capTolerance*full*Window.Seconds()+capSlack
 }
 
-// Add decides on an ask, or lets it wait.
-func (a *Allocator) Add(now time.Time, ask Ask) Verdict {
+// Submit decides on an ask, or lets it wait.
+func (a *Allocator) Submit(now time.Time, ask GrantRequest) Decision {
 	a.fill(now)
 	ahead := 0
 	for _, other := range a.waiting {
@@ -140,20 +140,20 @@
 	capped := a.isCapped(now)
 	if ahead == 0 && a.level >= 1 && !capped {
 		a.grant(now)
-		return Verdict{Granted: true}
+		return Decision{Granted: true}
 	}
 	wait := max(shortestRetry, a.timeUntil(float64(ahead)+1))
 	if capped {
 		wait = max(wait, cappedRetry)
 	}
-	if !ask.Waits || !now.Add(wait).Before(ask.GiveUp) {
+	if !ask.CanWait || !now.Add(wait).Before(ask.Deadline) {
 		if a.Role == Deputy {
 			wait = min(wait, deputyRetry)
 		}
-		return Verdict{RetryIn: wait}
+		return Decision{RetryIn: wait}
 	}
 	a.waiting = append(a.waiting, ask)
-	return Verdict{Waiting: true, RetryIn: wait}
+	return Decision{Waiting: true, RetryIn: wait}
 }
 
 // timeUntil returns the time until some requests could have been granted.
@@ -170,10 +170,10 @@
 	a.granted.Add(now, 1)
 }
 
-// Next returns the keys of waiting asks that are granted now, the most urgent first.
-func (a *Allocator) Next(now time.Time) []string {
+// GrantDue returns the keys of waiting asks that are granted now, the most urgent first.
+func (a *Allocator) GrantDue(now time.Time) []string {
 	a.fill(now)
-	a.waiting = slices.DeleteFunc(a.waiting, func(ask Ask) bool { return !now.Before(ask.GiveUp) })
+	a.waiting = slices.DeleteFunc(a.waiting, func(ask GrantRequest) bool { return !now.Before(ask.Deadline) })
 	if len(a.waiting) == 0 {
 		return nil
 	}
@@ -187,8 +187,8 @@
 	return keys
 }
 
-// NextIn returns when Next may grant something, and false if nothing waits.
-func (a *Allocator) NextIn(now time.Time) (time.Duration, bool) {
+// NextGrantIn returns when Next may grant something, and false if nothing waits.
+func (a *Allocator) NextGrantIn(now time.Time) (time.Duration, bool) {
 	if len(a.waiting) == 0 {
 		return 0, false
 	}
@@ -199,7 +199,7 @@
 // Withdraw takes back an ask that waits, and reports whether it did.
 func (a *Allocator) Withdraw(key string) bool {
 	before := len(a.waiting)
-	a.waiting = slices.DeleteFunc(a.waiting, func(ask Ask) bool { return ask.Key == key })
+	a.waiting = slices.DeleteFunc(a.waiting, func(ask GrantRequest) bool { return ask.Key == key })
 	return len(a.waiting) < before
 }
 
@@ -209,6 +209,6 @@
 }
 
 // compare puts urgent requests first, and among equals the one that came first.
-func compare(one, other Ask) int {
+func compare(one, other GrantRequest) int {
 	return cmp.Or(cmp.Compare(one.Urgency, other.Urgency), one.ReceivedAt.Compare(other.ReceivedAt), cmp.Compare(one.Key, other.Key))
 }
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -13,26 +13,26 @@
 	c := qt.New(t)
 	var a Allocator
 	a.SetRate(at(0), 10)
-	ask := func(key string, urgency uint32, received, giveUp int) Ask {
-		return Ask{Key: key, Urgency: urgency, ReceivedAt: at(received), GiveUp: at(giveUp), Waits: true}
+	ask := func(key string, urgency uint32, received, giveUp int) GrantRequest {
+		return GrantRequest{Key: key, Urgency: urgency, ReceivedAt: at(received), Deadline: at(giveUp), CanWait: true}
 	}
-	c.Check(a.Add(at(0), ask("late", 1, 5, 2000)).Waiting, qt.IsTrue)
-	c.Check(a.Add(at(0), ask("early", 1, 0, 2000)).Waiting, qt.IsTrue)
-	c.Check(a.Add(at(0), ask("urgent", 0, 9, 2000)).Waiting, qt.IsTrue)
-	c.Check(a.Add(at(0), ask("gone", 0, 9, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), ask("late", 1, 5, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), ask("early", 1, 0, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), ask("urgent", 0, 9, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), ask("gone", 0, 9, 2000)).Waiting, qt.IsTrue)
 	c.Check(a.Withdraw("gone"), qt.IsTrue)
-	c.Check(a.Add(at(0), ask("hopeless", 2, 0, 250)), qt.Equals, Verdict{RetryIn: 400 * time.Millisecond})
-	c.Check(a.Add(at(0), Ask{Key: "at once", ReceivedAt: at(9)}).RetryIn > 0, qt.IsTrue)
-	wait, ok := a.NextIn(at(0))
+	c.Check(a.Submit(at(0), ask("hopeless", 2, 0, 250)), qt.Equals, Decision{RetryIn: 400 * time.Millisecond})
+	c.Check(a.Submit(at(0), GrantRequest{Key: "at once", ReceivedAt: at(9)}).RetryIn > 0, qt.IsTrue)
+	wait, ok := a.NextGrantIn(at(0))
 	c.Check(ok, qt.IsTrue)
 	c.Check(wait, qt.Equals, 100*time.Millisecond)
-	c.Check(a.Next(at(99)), qt.HasLen, 0)
+	c.Check(a.GrantDue(at(99)), qt.HasLen, 0)
 	var order []string
 	for ms := 100; ms <= 300; ms += 100 {
-		order = append(order, a.Next(at(ms))...)
+		order = append(order, a.GrantDue(at(ms))...)
 	}
 	c.Check(order, qt.DeepEquals, []string{"urgent", "early", "late"})
-	_, ok = a.NextIn(at(300))
+	_, ok = a.NextGrantIn(at(300))
 	c.Check(ok, qt.IsFalse)
 }
 
@@ -46,11 +46,11 @@
 		before.Add(at(0), "")
 	}
 	for range 3 {
-		a.Report(at(0), "gateway", before.Without(at(0), "owner"))
+		a.RecordSends(at(0), "gateway", before.Excluding(at(0), "owner"))
 	}
-	v := a.Add(at(1000), Ask{Key: "k", ReceivedAt: at(1000), GiveUp: at(9000)})
-	c.Check(v, qt.Equals, Verdict{RetryIn: cappedRetry})
-	c.Check(a.Add(at(4500), Ask{Key: "k", ReceivedAt: at(4500), GiveUp: at(9000)}).Granted, qt.IsTrue)
+	v := a.Submit(at(1000), GrantRequest{Key: "k", ReceivedAt: at(1000), Deadline: at(9000)})
+	c.Check(v, qt.Equals, Decision{RetryIn: cappedRetry})
+	c.Check(a.Submit(at(4500), GrantRequest{Key: "k", ReceivedAt: at(4500), Deadline: at(9000)}).Granted, qt.IsTrue)
 	c.Check(a.Idle(at(4500)), qt.IsFalse)
 	c.Check(a.Idle(at(9000)), qt.IsTrue)
 }
@@ -60,7 +60,7 @@
 	c := qt.New(t)
 	var s Sends
 	sum := func(granter string) (n uint64) {
-		for _, part := range s.Without(at(100), granter) {
+		for _, part := range s.Excluding(at(100), granter) {
 			n += part
 		}
 		return n
@@ -76,7 +76,7 @@
 }
 
 func BenchmarkRateWithoutLimits(b *testing.B) {
-	var book Book
+	var book Registry
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/throttler/book_test.go
+++ b/pkg/throttler/book_test.go
@@ -42,11 +42,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			var b Book
+			var b Registry
 			for _, s := range test.said {
 				b.Observe(Observation{Backend: "b", Limit: s.limit, At: at(s.at), Source: s.source})
 			}
-			standing, _ := b.Standing("b")
+			standing, _ := b.Status("b")
 			c.Check(standing.Limit, qt.Equals, test.want)
 			c.Check(b.Revision(), qt.Equals, test.changes)
 		})
@@ -56,7 +56,7 @@
 // After a limit the rate rises by degrees, and then nothing is limited.
 func TestTheRateRisesAfterALimit(t *testing.T) {
 	c := qt.New(t)
-	var b Book
+	var b Registry
 	b.Observe(Observation{Backend: "b", Limit: LimitOf(5), At: at(0), Source: Answer})
 	b.Observe(Observation{Backend: "b", Limit: Limit{}, At: at(1000), Source: Answer})
 	for ms, want := range map[int]RequestRate{1000: 5, 1500: 10, 2000: 20, 3500: 160} {
@@ -75,7 +75,7 @@
 // Limits pass between instances with their ages; what came as news is not passed back.
 func TestLimitsPassBetweenInstances(t *testing.T) {
 	c := qt.New(t)
-	var gateway, controller Book
+	var gateway, controller Registry
 	gateway.Observe(Observation{Backend: "own", Limit: LimitOf(5), At: at(0), Source: Answer})
 	gateway.Observe(Observation{Backend: "told", Limit: LimitOf(6), At: at(0), Source: News})
 	report := gateway.Report(at(300))
@@ -84,8 +84,8 @@
 	c.Assert(ok, qt.IsTrue)
 	c.Check(o, qt.Equals, Observation{Backend: "own", Limit: LimitOf(5), At: at(10), Source: Follower})
 	controller.Observe(o)
-	c.Check(controller.News(at(400)), qt.HasLen, 1)
-	c.Check(gateway.News(at(400)), qt.HasLen, 2)
+	c.Check(controller.Limits(at(400)), qt.HasLen, 1)
+	c.Check(gateway.Limits(at(400)), qt.HasLen, 2)
 	controller.Prune(at(400), func(id string) bool { return id != "own" })
 	c.Check(controller.Empty(), qt.IsTrue)
 	for name, l := range map[string]*wire.RequestLimit{
--- a/pkg/throttler/ways_test.go
+++ b/pkg/throttler/ways_test.go
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"bronzelead.example/pkg/lender"
+	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -21,7 +21,7 @@
 		g.owned[Owner] = a
 	}
 	a.SetRate(w.now, e.limit/RequestRate(len(w.gateways)))
-	v := a.Add(w.now, Ask{ReceivedAt: w.now, GiveUp: w.now.Add(time.Second)})
+	v := a.Submit(w.now, GrantRequest{ReceivedAt: w.now, Deadline: w.now.Add(time.Second)})
 	return v.Granted, g.address, v.RetryIn
 }
 
@@ -29,15 +29,15 @@
 
 // byLeases lets a leader lend of the limit, as it does of customers' limits.
 type byLeases struct {
-	lender   *lender.Lender
-	accounts map[string]*lender.Account
+	lender   *quotaallocator.Allocator
+	accounts map[string]*quotaallocator.Account
 	calls    map[string]time.Time
 }
 
 func newLeases(now time.Time, limit RequestRate) *byLeases {
 	l := &byLeases{
-		lender:   &lender.Lender{Rule: lender.Rule{Window: Window, Overage: tolerance - 1, Slack: slack}},
-		accounts: map[string]*lender.Account{}, calls: map[string]time.Time{},
+		lender:   &quotaallocator.Allocator{Rule: quotaallocator.Rule{Window: Window, Overage: tolerance - 1, Slack: slack}},
+		accounts: map[string]*quotaallocator.Account{}, calls: map[string]time.Time{},
 	}
 	l.lender.Begin(now.Add(-time.Hour), 1, []*wire.RoutedCustomer{
 		{Name: backendID, Limit: &wire.CustomerLimit{Unit: wire.LimitUnit_LIMIT_UNIT_REQUESTS, RatePerSecond: float64(limit)}},
@@ -48,10 +48,10 @@
 func (l *byLeases) mayBeSent(w *world, g *gatewayModel) (granted bool, by string, retryIn time.Duration) {
 	p := l.accounts[g.address]
 	if p == nil {
-		p = &lender.Account{}
+		p = &quotaallocator.Account{}
 		l.accounts[g.address] = p
 	}
-	p.Ask(w.now, 1)
+	p.RecordDemand(w.now, 1)
 	if !p.Hold(w.now, 1) {
 		l.call(w, g.address, p, 1)
 		if !p.Hold(w.now, 1) {
@@ -62,21 +62,21 @@
 	return true, "leader", 0
 }
 
-func (l *byLeases) call(w *world, gateway string, p *lender.Account, needed uint64) {
-	l.lender.Gateways = len(w.gateways)
+func (l *byLeases) call(w *world, gateway string, p *quotaallocator.Account, needed uint64) {
+	l.lender.GatewayCount = len(w.gateways)
 	l.calls[gateway] = w.now
-	res := l.lender.Borrow(w.now, &wire.Borrower{
+	res := l.lender.Allocate(w.now, &wire.Borrower{
 		Gateway: gateway, Address: gateway, RunningMs: uint32(time.Hour.Milliseconds()),
 		Accounts: []*wire.CreditAccount{p.Report(w.now, backendID, needed)},
 	})
-	p.Hear(w.now, w.now, res.GetCredits()[0])
+	p.Receive(w.now, w.now, res.GetCredits()[0])
 }
 
 // tick lets the gateways call that have not for a while.
 func (l *byLeases) tick(w *world) {
 	l.lender.Tick(w.now)
 	for gateway, p := range l.accounts {
-		if !p.Idle(w.now) && w.now.Sub(l.calls[gateway]) >= l.lender.AgainIn() {
+		if !p.Idle(w.now) && w.now.Sub(l.calls[gateway]) >= l.lender.ReportInterval() {
 			l.call(w, gateway, p, 0)
 		}
 	}
--- a/pkg/throttler/world_test.go
+++ b/pkg/throttler/world_test.go
@@ -56,7 +56,7 @@
 	up      bool
 	// lag is how long it takes to hear of news.
 	lag  time.Duration
-	book Book
+	book Registry
 	// heard is which news it has heard.
 	heard       time.Time
 	sent        Sends
@@ -215,8 +215,8 @@
 			owner.owned[Role(role)] = a
 		}
 		a.SetRate(w.now, rate)
-		a.Report(w.now, g.address, g.sent.Without(w.now, address))
-		v := a.Add(w.now, Ask{Key: "k", ReceivedAt: w.now, GiveUp: w.now.Add(time.Second)})
+		a.RecordSends(w.now, g.address, g.sent.Excluding(w.now, address))
+		v := a.Submit(w.now, GrantRequest{Key: "k", ReceivedAt: w.now, Deadline: w.now.Add(time.Second)})
 		return v.Granted, address, v.RetryIn
 	}
 	return false, "", 250 * time.Millisecond
