--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -228,7 +228,7 @@
 	}
 	w := &balancer.Waiter{
 		ID: j.about.ID, Service: j.service, Adapter: j.adapter, Urgency: j.urgency(),
-		Tokens: j.about.PromptTokens, GiveUp: until.Add(-reserve(j, until)), Avoid: j.avoid,
+		Tokens: j.about.PromptTokens, Deadline: until.Add(-reserve(j, until)), Avoid: j.avoid,
 		Dispensed: j.dispensed,
 	}
 	decided := make(chan balancer.Decision, 1)
--- a/pkg/balancer/ablation_test.go
+++ b/pkg/balancer/ablation_test.go
@@ -43,7 +43,7 @@
 				test.prepare(b)
 				waiters := make([]*Waiter, 0, len(test.waiters))
 				for _, w := range test.waiters {
-					waiters = append(waiters, &Waiter{ID: w.ID, Service: w.Service, Adapter: w.Adapter, Urgency: w.Urgency, GiveUp: w.GiveUp, Avoid: w.Avoid})
+					waiters = append(waiters, &Waiter{ID: w.ID, Service: w.Service, Adapter: w.Adapter, Urgency: w.Urgency, Deadline: w.Deadline, Avoid: w.Avoid})
 				}
 				c.Check(decide(b, begin(), waiters...)["w"], qt.Equals, want, qt.Commentf("off: %v", isOff))
 			}
--- a/pkg/balancer/adapters_test.go
+++ b/pkg/balancer/adapters_test.go
@@ -219,7 +219,7 @@
 	_, wants := b.Next(begin())
 	c.Assert(wants, qt.HasLen, 1)
 	later := waiter("second", adapter("m/x"))
-	later.GiveUp = begin().Add(1300 * time.Millisecond)
+	later.Deadline = begin().Add(1300 * time.Millisecond)
 	b.Enqueue(later)
 	_, wants = b.Next(begin().Add(300 * time.Millisecond))
 	c.Assert(wants, qt.HasLen, 0)
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -83,8 +83,8 @@
 	Urgency uint32
 	// Tokens is the size of the prompt.
 	Tokens int
-	// GiveUp is when it is no use to wait longer.
-	GiveUp time.Time
+	// Deadline is when it is no use to wait longer.
+	Deadline time.Time
 	// Avoid are backend servers that have failed this request.
 	Avoid []string
 	// Dispensed is set if the backend server's slots are given out elsewhere, so that what is
@@ -328,11 +328,11 @@
 	if w.declined && len(holders) == 0 {
 		return &Decision{Waiter: w, Reason: ReasonDeclined, RetryAfter: b.spread(retryWhenDeclined)}
 	}
-	over := !now.Before(w.GiveUp)
+	over := !now.Before(w.Deadline)
 	at, limited := roomAgain(now, holders)
 	elsewhere := w.Adapter != "" && len(others) > 0
 	switch {
-	case limited && (over || !elsewhere && !at.Before(w.GiveUp)):
+	case limited && (over || !elsewhere && !at.Before(w.Deadline)):
 		return &Decision{Waiter: w, Reason: ReasonLimited, RetryAfter: at.Sub(now)}
 	case over && len(holders) == 0 && w.Adapter != "":
 		return &Decision{Waiter: w, Reason: ReasonNoAdapter, RetryAfter: retryForAdapter}
@@ -348,7 +348,7 @@
 func (b *Balancer) Decline(adapter string) {
 	last := b.wanted[adapter]
 	for _, w := range b.queue {
-		if w.Adapter == adapter && !w.GiveUp.After(last.until) {
+		if w.Adapter == adapter && !w.Deadline.After(last.until) {
 			w.declined = true
 		}
 	}
@@ -396,8 +396,8 @@
 	if b.wanted == nil {
 		b.wanted = map[string]asked{}
 	}
-	b.wanted[w.Adapter] = asked{at: now, until: w.GiveUp}
-	want := &wire.Want{Adapter: w.Adapter, LeftMs: uint32(max(1, w.GiveUp.Sub(now).Milliseconds()))}
+	b.wanted[w.Adapter] = asked{at: now, until: w.Deadline}
+	want := &wire.Want{Adapter: w.Adapter, LeftMs: uint32(max(1, w.Deadline.Sub(now).Milliseconds()))}
 	for _, k := range b.byService[w.Service] {
 		if !slices.Contains(candidates, k) {
 			want.Avoid = append(want.Avoid, k.info.GetId())
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -26,7 +26,7 @@
 }
 
 func waiter(id string, change ...func(*Waiter)) *Waiter {
-	w := &Waiter{ID: id, Service: "s", GiveUp: begin().Add(time.Second)}
+	w := &Waiter{ID: id, Service: "s", Deadline: begin().Add(time.Second)}
 	for _, c := range change {
 		c(w)
 	}
@@ -153,7 +153,7 @@
 				tellLoads(all)
 			}
 			by := n * 7 % gateways
-			id := decide(all[by], now, waiter("w", func(w *Waiter) { w.GiveUp = now.Add(time.Second) }))["w"]
+			id := decide(all[by], now, waiter("w", func(w *Waiter) { w.Deadline = now.Add(time.Second) }))["w"]
 			running = append(running, run{by, id, now})
 			there := 0
 			for _, r := range running {
--- a/pkg/balancer/failures_test.go
+++ b/pkg/balancer/failures_test.go
@@ -20,7 +20,7 @@
 		bad, total := 0, 0
 		for n := range 400 {
 			now = now.Add(20 * time.Millisecond)
-			id := decide(b, now, waiter("w", func(w *Waiter) { w.GiveUp = now.Add(time.Second) }))["w"]
+			id := decide(b, now, waiter("w", func(w *Waiter) { w.Deadline = now.Add(time.Second) }))["w"]
 			outcome := Served
 			if fails(id, n) {
 				outcome = Failed
@@ -77,7 +77,7 @@
 			running = running[1:]
 			b.Done(now, "c", "", 0, Served)
 		}
-		id := decide(b, now, waiter("w", func(w *Waiter) { w.GiveUp = now.Add(time.Second) }))["w"]
+		id := decide(b, now, waiter("w", func(w *Waiter) { w.Deadline = now.Add(time.Second) }))["w"]
 		if id == "c" {
 			running = append(running, now.Add(25*time.Millisecond))
 			continue
--- a/pkg/dispenser/fleet_test.go
+++ b/pkg/dispenser/fleet_test.go
@@ -222,7 +222,7 @@
 
 func (f *fleet) choose(t *try) {
 	dispensed := t.gateway.balancer.Contended(f.now, "s")
-	w := &balancer.Waiter{ID: t.key, Service: "s", GiveUp: t.received.Add(timeout), Avoid: t.avoid, Dispensed: dispensed}
+	w := &balancer.Waiter{ID: t.key, Service: "s", Deadline: t.received.Add(timeout), Avoid: t.avoid, Dispensed: dispensed}
 	t.gateway.balancer.Enqueue(w)
 	f.decide(t, w)
 }
