--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -229,7 +229,7 @@
 	w := &balancer.Waiter{
 		ID: j.about.ID, Service: j.service, Adapter: j.adapter, Urgency: j.urgency(),
 		Tokens: j.about.PromptTokens, Deadline: until.Add(-reserve(j, until)), Avoid: j.avoid,
-		Dispensed: j.dispensed,
+		UsesSlotGrants: j.dispensed,
 	}
 	decided := make(chan balancer.Decision, 1)
 	began := f.Clock.Now()
--- a/gateway/forwarder/slot.go
+++ b/gateway/forwarder/slot.go
@@ -81,7 +81,7 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := &balancer.Waiter{Service: j.service, Adapter: j.adapter, Avoid: j.avoid, Dispensed: true}
+	w := &balancer.Waiter{Service: j.service, Adapter: j.adapter, Avoid: j.avoid, UsesSlotGrants: true}
 	return f.balancer.HasOther(now, w, backend)
 }
 
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -87,9 +87,9 @@
 	Deadline time.Time
 	// Avoid are backend servers that have failed this request.
 	Avoid []string
-	// Dispensed is set if the backend server's slots are given out elsewhere, so that what is
+	// UsesSlotGrants is set if the backend server's slots are given out elsewhere, so that what is
 	// known here of its room does not count.
-	Dispensed bool
+	UsesSlotGrants bool
 
 	order uint64
 	// declined is set once the leader has said that the adapter does not come in time.
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -177,7 +177,7 @@
 	b.SetLoads([]*wire.Load{{Backend: "a", Requests: 4}, {Backend: "b", Requests: 4}})
 	chosen := map[string]int{}
 	for range 400 {
-		id := decide(b, begin(), waiter("w", func(w *Waiter) { w.Dispensed = true }))["w"]
+		id := decide(b, begin(), waiter("w", func(w *Waiter) { w.UsesSlotGrants = true }))["w"]
 		b.Done(begin(), id, "", 0, Abandoned)
 		chosen[id]++
 	}
@@ -247,7 +247,7 @@
 		"the pause is over":      {map[string]time.Duration{"a": late, "b": soon}, waiter("w"), soon, "b", true},
 		"all for too long":       {map[string]time.Duration{"a": late, "b": late}, waiter("w"), 0, "refused", false},
 		"the holder, not others": {map[string]time.Duration{"a": late}, waiter("w", adapter("m/x")), 0, "waits", false},
-		"an idle slot is given":  {map[string]time.Duration{"a": late}, waiter("w", func(w *Waiter) { w.Dispensed = true }), 0, "b", true},
+		"an idle slot is given":  {map[string]time.Duration{"a": late}, waiter("w", func(w *Waiter) { w.UsesSlotGrants = true }), 0, "b", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
--- a/pkg/balancer/chooser.go
+++ b/pkg/balancer/chooser.go
@@ -13,7 +13,7 @@
 func (b *Balancer) choose(now time.Time, w *Waiter, c candidates) (best *backend, holders []*backend) {
 	for _, list := range [][]*backend{c.preferred, c.tried, c.suspects} {
 		able := b.able(now, list, w.Adapter)
-		if best := b.best(now, able, w.Dispensed); best != nil {
+		if best := b.best(now, able, w.UsesSlotGrants); best != nil {
 			return best, append(holders, able...)
 		}
 		holders = append(holders, able...)
@@ -180,7 +180,7 @@
 func (b *Balancer) HasOther(now time.Time, w *Waiter, id string) bool {
 	able := b.able(now, b.candidates(now, w).preferred, w.Adapter)
 	return slices.ContainsFunc(able, func(k *backend) bool {
-		return k.info.GetId() != id && !k.paused(now) && (w.Dispensed || !now.Before(k.fullUntil) && k.hasRoom())
+		return k.info.GetId() != id && !k.paused(now) && (w.UsesSlotGrants || !now.Before(k.fullUntil) && k.hasRoom())
 	})
 }
 
--- a/pkg/dispenser/fleet_test.go
+++ b/pkg/dispenser/fleet_test.go
@@ -222,7 +222,7 @@
 
 func (f *fleet) choose(t *try) {
 	dispensed := t.gateway.balancer.Contended(f.now, "s")
-	w := &balancer.Waiter{ID: t.key, Service: "s", Deadline: t.received.Add(timeout), Avoid: t.avoid, Dispensed: dispensed}
+	w := &balancer.Waiter{ID: t.key, Service: "s", Deadline: t.received.Add(timeout), Avoid: t.avoid, UsesSlotGrants: dispensed}
 	t.gateway.balancer.Enqueue(w)
 	f.decide(t, w)
 }
@@ -238,7 +238,7 @@
 			return
 		}
 		s := f.server(d.Backend.GetId())
-		if w.Dispensed {
+		if w.UsesSlotGrants {
 			f.after(hop, func() { f.ask(t, s) })
 			return
 		}
@@ -267,7 +267,7 @@
 	key := fmt.Sprint(t.key, "/", len(t.avoid), "/", t.runs)
 	ask := dispenser.Ask{Key: key, InTimeUntil: t.asked.Add(objective), GiveUp: t.received.Add(timeout), Slots: slots}
 	ask.Elsewhere = t.slow < maxSlow && f.now.Before(t.asked.Add(objective)) &&
-		t.gateway.balancer.HasOther(f.now, &balancer.Waiter{Service: "s", Avoid: t.avoid, Dispensed: true}, s.id)
+		t.gateway.balancer.HasOther(f.now, &balancer.Waiter{Service: "s", Avoid: t.avoid, UsesSlotGrants: true}, s.id)
 	if !s.dispenser.Add(f.now, ask) {
 		slow := ask.Elsewhere && s.dispenser.TooSlow(f.now, ask)
 		f.after(hop, func() { f.noSlot(t, s, slow) })
