--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -241,7 +241,7 @@
 	select {
 	case d := <-decided:
 		j.waited += f.Clock.Since(began)
-		j.course.lacked = j.course.lacked || w.Lacked()
+		j.course.lacked = j.course.lacked || w.WaitedForAdapter()
 		return d, true
 	case <-ctx.Done():
 	}
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -98,8 +98,8 @@
 	lacked bool
 }
 
-// Lacked reports whether the request has waited for its adapter, and not only for a place.
-func (w *Waiter) Lacked() bool { return w.lacked }
+// WaitedForAdapter reports whether the request has waited for its adapter, and not only for a place.
+func (w *Waiter) WaitedForAdapter() bool { return w.lacked }
 
 // Weight returns how much load a request adds to a backend server.
 func Weight(tokens int) float64 { return 1 + float64(tokens)/tokensPerUnit }
