--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -196,7 +196,7 @@
 // announced takes what is new of backend servers. The caller holds the lock.
 func (f *Forwarder) announced(now time.Time, list []*wire.Announcement) {
 	for _, a := range list {
-		f.balancer.Announce(now, a)
+		f.balancer.UpdateBackend(now, a)
 		f.Isolator.Announced(a)
 		switch {
 		case a.GetReplaced():
--- a/pkg/balancer/ablation_test.go
+++ b/pkg/balancer/ablation_test.go
@@ -67,7 +67,7 @@
 			got := map[string]bool{}
 			for i := range 100 {
 				b := newBalancer("a", "b", "d")
-				b.Announce(begin(), &wire.Announcement{Id: "c", Service: "s", Address: "c", Zone: "elsewhere", Slots: 4, Sequence: 1})
+				b.UpdateBackend(begin(), &wire.Announcement{Id: "c", Service: "s", Address: "c", Zone: "elsewhere", Slots: 4, Sequence: 1})
 				b.Off = ablator.Without(test.off...)
 				b.SetLoads([]*wire.Load{{Backend: "b", Requests: 1}, {Backend: "d", Requests: 3}})
 				got[decide(b, begin().Add(time.Duration(i)), waiter("w"))["w"]] = true
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -125,9 +125,9 @@
 	ReasonLimited   = "the backend servers' request limits have no room in time"
 )
 
-// Announce takes what is known of a backend server. Silent counts only from a
+// UpdateBackend takes what is known of a backend server. Silent counts only from a
 // controller that hears the others, which is for the caller to check.
-func (b *Balancer) Announce(now time.Time, a *wire.Announcement) {
+func (b *Balancer) UpdateBackend(now time.Time, a *wire.Announcement) {
 	if b.backends == nil {
 		b.backends, b.byService = map[string]*backend{}, map[string][]*backend{}
 	}
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -16,7 +16,7 @@
 func newBalancer(ids ...string) *Balancer {
 	b := &Balancer{Zone: "z"}
 	for _, id := range ids {
-		b.Announce(begin(), announcement(id))
+		b.UpdateBackend(begin(), announcement(id))
 	}
 	return b
 }
@@ -101,7 +101,7 @@
 	for _, id := range ids {
 		a := announcement(id)
 		a.Sequence, a.Draining = 2, true
-		b.Announce(begin(), a)
+		b.UpdateBackend(begin(), a)
 	}
 }
 
@@ -132,7 +132,7 @@
 			for _, id := range ids {
 				a := announcement(id)
 				a.Slots = 64
-				b.Announce(begin(), a)
+				b.UpdateBackend(begin(), a)
 			}
 			all = append(all, b)
 		}
@@ -216,7 +216,7 @@
 		"loads":     func(b *Balancer) { b.SetLoads([]*wire.Load{{Backend: "b", Requests: 1}}) },
 		"a backlog": func(b *Balancer) { b.SetBacklog(time.Unix(1000, 0), "b", time.Second) },
 		"a departure": func(b *Balancer) {
-			b.Announce(time.Unix(1000, 0), &wire.Announcement{Id: "b", Gone: true})
+			b.UpdateBackend(time.Unix(1000, 0), &wire.Announcement{Id: "b", Gone: true})
 		},
 		"a request": func(b *Balancer) {
 			b.Enqueue(&Waiter{Service: "s", Adapter: "m/a"})
--- a/pkg/balancer/failures_test.go
+++ b/pkg/balancer/failures_test.go
@@ -55,7 +55,7 @@
 	b := newBalancer("a", "b")
 	silent := announcement("a")
 	silent.Silent, silent.Sequence = true, 1
-	b.Announce(begin(), silent)
+	b.UpdateBackend(begin(), silent)
 	for range 5 {
 		id := decide(b, begin(), waiter("w"))["w"]
 		c.Check(id, qt.Equals, "b")
--- a/pkg/dispenser/fleet_test.go
+++ b/pkg/dispenser/fleet_test.go
@@ -121,7 +121,7 @@
 	for range gateways {
 		g := &gateway{balancer: &balancer.Balancer{Zone: "z", Rand: f.random}}
 		for _, s := range f.servers {
-			g.balancer.Announce(begun, &wire.Announcement{Id: s.id, Service: "s", Address: s.id, Zone: "z", Slots: slots, Sequence: 1})
+			g.balancer.UpdateBackend(begun, &wire.Announcement{Id: s.id, Service: "s", Address: s.id, Zone: "z", Slots: slots, Sequence: 1})
 		}
 		f.gateways = append(f.gateways, g)
 	}
