--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -223,7 +223,7 @@
 	f.Log.Info("a backend server is forgotten", "Backend", backend.GetId(), "Address", backend.GetAddress(),
 		"Reason", "another start answers at its address")
 	f.mu.Lock()
-	f.balancer.Left(backend.GetId())
+	f.balancer.RemoveBackend(backend.GetId())
 	f.mu.Unlock()
 	f.Sender.Forget(backend.GetId())
 }
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// Left takes out a backend server that turned out to be no more.
-func (b *Balancer) Left(id string) {
+// RemoveBackend takes out a backend server that turned out to be no more.
+func (b *Balancer) RemoveBackend(id string) {
 	if known := b.backends[id]; known != nil {
 		b.drop(known)
 	}
