--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -170,7 +170,7 @@
 		f.balancer.SetVersion(v)
 	}
 	for _, h := range res.GetHoldings() {
-		f.balancer.SetHolding(res.GetTerm(), h)
+		f.balancer.SetLoadedAdapters(res.GetTerm(), h)
 	}
 	for _, adapter := range res.GetDeclined() {
 		f.balancer.Decline(adapter)
--- a/pkg/balancer/adapters_test.go
+++ b/pkg/balancer/adapters_test.go
@@ -11,7 +11,7 @@
 )
 
 func hold(b *Balancer, term uint64, id string, adapters ...string) {
-	b.SetHolding(term, &wire.Holding{Backend: id, Adapters: adapters})
+	b.SetLoadedAdapters(term, &wire.Holding{Backend: id, Adapters: adapters})
 }
 
 func TestAdapters(t *testing.T) {
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -161,8 +161,8 @@
 	b.byService[service] = slices.DeleteFunc(b.byService[service], func(o *backend) bool { return o == gone })
 }
 
-// SetHolding takes what the leader of a term says that an engine holds.
-func (b *Balancer) SetHolding(term uint64, h *wire.Holding) {
+// SetLoadedAdapters takes what the leader of a term says that an engine holds.
+func (b *Balancer) SetLoadedAdapters(term uint64, h *wire.Holding) {
 	known := b.backends[h.GetBackend()]
 	if known == nil || term < b.term {
 		return
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -212,7 +212,7 @@
 		"a version": func(b *Balancer) {
 			b.SetVersion(&wire.AdapterVersion{Model: "m", Adapter: "a", Version: 2})
 		},
-		"a holding": func(b *Balancer) { b.SetHolding(1, &wire.Holding{Backend: "b"}) },
+		"a holding": func(b *Balancer) { b.SetLoadedAdapters(1, &wire.Holding{Backend: "b"}) },
 		"loads":     func(b *Balancer) { b.SetLoads([]*wire.Load{{Backend: "b", Requests: 1}}) },
 		"a backlog": func(b *Balancer) { b.SetBacklog(time.Unix(1000, 0), "b", time.Second) },
 		"a departure": func(b *Balancer) {
@@ -252,7 +252,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			b := newBalancer("a", "b")
-			b.SetHolding(1, &wire.Holding{Backend: "a", Adapters: []string{"m/x@1"}})
+			b.SetLoadedAdapters(1, &wire.Holding{Backend: "a", Adapters: []string{"m/x@1"}})
 			for id, pause := range test.paused {
 				b.Pause(id, begin().Add(pause))
 			}
@@ -267,7 +267,7 @@
 func TestCopiesAreWantedWhereThereIsRoom(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b", "d")
-	b.SetHolding(1, &wire.Holding{Backend: "a", Adapters: []string{"m/x@1"}})
+	b.SetLoadedAdapters(1, &wire.Holding{Backend: "a", Adapters: []string{"m/x@1"}})
 	b.Pause("a", begin().Add(time.Second))
 	b.Pause("b", begin().Add(time.Second))
 	b.Enqueue(waiter("w", adapter("m/x")))
