--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -110,7 +110,7 @@
 	}
 	if gap > 0 && !first && j.mayBePaced() {
 		f.mu.Lock()
-		f.balancer.NoteGap(j.last.GetId(), gap)
+		f.balancer.ObserveEventGap(j.last.GetId(), gap)
 		f.mu.Unlock()
 	}
 }
--- a/pkg/balancer/backend.go
+++ b/pkg/balancer/backend.go
@@ -114,8 +114,8 @@
 	leastGap = 2 * time.Millisecond
 )
 
-// NoteGap takes the time between two events of a stream.
-func (b *Balancer) NoteGap(id string, gap time.Duration) {
+// ObserveEventGap takes the time between two events of a stream.
+func (b *Balancer) ObserveEventGap(id string, gap time.Duration) {
 	k := b.backends[id]
 	switch {
 	case k == nil || gap < leastGap:
