--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -39,7 +39,7 @@
 	f.mu.Lock()
 	need := f.need(j.service)
 	paced, seen := need.Paces(began), need.Seen(began)
-	eventTime := f.balancer.EventTime(backend.GetId())
+	eventTime := f.balancer.EventInterval(backend.GetId())
 	f.mu.Unlock()
 	if !paced {
 		return true
--- a/pkg/balancer/backend.go
+++ b/pkg/balancer/backend.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// EventTime returns about the time between two events of a stream at a backend server while
+// EventInterval returns about the time between two events of a stream at a backend server while
 // it reads no prompt; 0 if it is not known.
-func (b *Balancer) EventTime(id string) time.Duration {
+func (b *Balancer) EventInterval(id string) time.Duration {
 	if k := b.backends[id]; k != nil {
 		return k.eventTime
 	}
