--- a/gateway/forwarder/slot.go
+++ b/gateway/forwarder/slot.go
@@ -82,7 +82,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := &balancer.Waiter{Service: j.service, Adapter: j.adapter, Avoid: j.avoid, UsesSlotGrants: true}
-	return f.balancer.HasOther(now, w, backend)
+	return f.balancer.HasAlternative(now, w, backend)
 }
 
 // refuseSlot gives up a choice whose backend server had no slot, and reports whether another
--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -76,7 +76,7 @@
 func (f *Forwarder) hasOther(now time.Time, j *job, id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.balancer.HasOther(now, &balancer.Waiter{Service: j.service, Adapter: j.adapter, Avoid: j.avoid}, id)
+	return f.balancer.HasAlternative(now, &balancer.Waiter{Service: j.service, Adapter: j.adapter, Avoid: j.avoid}, id)
 }
 
 // observeLimit takes the request limit that an answer to the job's last try names. Only a
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -257,7 +257,7 @@
 				b.Pause(id, begin().Add(pause))
 			}
 			now := begin().Add(test.at)
-			c.Check(b.HasOther(now, test.w, "a"), qt.Equals, test.other)
+			c.Check(b.HasAlternative(now, test.w, "a"), qt.Equals, test.other)
 			c.Check(decide(b, now, test.w)["w"], qt.Equals, test.want)
 		})
 	}
--- a/pkg/balancer/chooser.go
+++ b/pkg/balancer/chooser.go
@@ -175,9 +175,9 @@
 	return slices.DeleteFunc(slices.Clone(list), func(k *backend) bool { return slices.Contains(others, k) })
 }
 
-// HasOther reports whether a request could go to another backend server than the one with an
+// HasAlternative reports whether a request could go to another backend server than the one with an
 // id at once.
-func (b *Balancer) HasOther(now time.Time, w *Waiter, id string) bool {
+func (b *Balancer) HasAlternative(now time.Time, w *Waiter, id string) bool {
 	able := b.able(now, b.candidates(now, w).preferred, w.Adapter)
 	return slices.ContainsFunc(able, func(k *backend) bool {
 		return k.info.GetId() != id && !k.paused(now) && (w.UsesSlotGrants || !now.Before(k.fullUntil) && k.hasRoom())
--- a/pkg/dispenser/fleet_test.go
+++ b/pkg/dispenser/fleet_test.go
@@ -267,7 +267,7 @@
 	key := fmt.Sprint(t.key, "/", len(t.avoid), "/", t.runs)
 	ask := dispenser.Ask{Key: key, InTimeUntil: t.asked.Add(objective), GiveUp: t.received.Add(timeout), Slots: slots}
 	ask.Elsewhere = t.slow < maxSlow && f.now.Before(t.asked.Add(objective)) &&
-		t.gateway.balancer.HasOther(f.now, &balancer.Waiter{Service: "s", Avoid: t.avoid, UsesSlotGrants: true}, s.id)
+		t.gateway.balancer.HasAlternative(f.now, &balancer.Waiter{Service: "s", Avoid: t.avoid, UsesSlotGrants: true}, s.id)
 	if !s.dispenser.Add(f.now, ask) {
 		slow := ask.Elsewhere && s.dispenser.TooSlow(f.now, ask)
 		f.after(hop, func() { f.noSlot(t, s, slow) })
