--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -95,7 +95,7 @@
 	demand   map[string]uint32
 	gateways uint32
 	// needs tells for each service whether its prompts are paced.
-	needs map[string]*pacer.Need
+	needs map[string]*pacer.Activation
 	// backdaters estimate the age of retries, by route.
 	backdaters map[string]*backdater.Backdater
 	// verdicts counts how the streams went that have ended since they were logged last.
@@ -118,7 +118,7 @@
 	f.verdicts = map[verdict]int{}
 	f.endings = map[string]map[ending]int{}
 	f.backdaters = map[string]*backdater.Backdater{}
-	f.needs = map[string]*pacer.Need{}
+	f.needs = map[string]*pacer.Activation{}
 	f.initIsolator()
 	f.initGranter()
 }
--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -62,10 +62,10 @@
 }
 
 // need tells whether prompts for a service are paced. The caller holds the lock.
-func (f *Forwarder) need(service string) *pacer.Need {
+func (f *Forwarder) need(service string) *pacer.Activation {
 	n := f.needs[service]
 	if n == nil {
-		n = &pacer.Need{}
+		n = &pacer.Activation{}
 		f.needs[service] = n
 	}
 	return n
--- a/pkg/pacer/need.go
+++ b/pkg/pacer/need.go
@@ -25,8 +25,8 @@
 	heardFor     = 3 * time.Second
 )
 
-// Need tells whether prompts for a service have to be paced. The zero value is ready for use.
-type Need struct {
+// Activation tells whether prompts for a service have to be paced. The zero value is ready for use.
+type Activation struct {
 	share float64
 	hold  time.Duration
 	until time.Time
@@ -35,7 +35,7 @@
 }
 
 // Note takes a stream that has paused for too long, or that has ended without.
-func (n *Need) Note(now time.Time, paused bool) {
+func (n *Activation) Note(now time.Time, paused bool) {
 	outcome := 0.0
 	if paused {
 		outcome = 1
@@ -55,7 +55,7 @@
 }
 
 // Hear notes that another gateway paces prompts for what it has seen itself.
-func (n *Need) Hear(now time.Time, gateway string) {
+func (n *Activation) Hear(now time.Time, gateway string) {
 	if n.others == nil {
 		n.others = map[string]time.Time{}
 	}
@@ -64,10 +64,10 @@
 
 // Seen reports whether prompts have to be paced for what was seen here. Only this is told to
 // others, or gateways would keep each other at it for ever.
-func (n *Need) Seen(now time.Time) bool { return now.Before(n.until) }
+func (n *Activation) Seen(now time.Time) bool { return now.Before(n.until) }
 
 // Paces reports whether prompts have to be paced now.
-func (n *Need) Paces(now time.Time) bool {
+func (n *Activation) Paces(now time.Time) bool {
 	if n.Seen(now) {
 		return true
 	}
--- a/pkg/pacer/need_test.go
+++ b/pkg/pacer/need_test.go
@@ -9,7 +9,7 @@
 
 // streams lets a hundred streams end in a second, one of several of them with a long pause;
 // none if one of 0.
-func streams(n *Need, now time.Time, oneOf int) time.Time {
+func streams(n *Activation, now time.Time, oneOf int) time.Time {
 	for i := range 100 {
 		n.Note(now.Add(time.Duration(i)*10*time.Millisecond), oneOf > 0 && i%oneOf == 0)
 	}
@@ -28,7 +28,7 @@
 		"one of twenty-five": {25, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var n Need
+			var n Activation
 			now := begin()
 			for range 5 {
 				now = streams(&n, now, test.oneOf)
@@ -42,7 +42,7 @@
 // ends after a while, longer each time that the pauses come back at once.
 func TestPacingEndsAndComesBack(t *testing.T) {
 	c := qt.New(t)
-	var n Need
+	var n Activation
 	now := begin()
 	for _, hold := range []time.Duration{firstHold, 2 * firstHold, 4 * firstHold} {
 		for !n.Paces(now) {
@@ -77,7 +77,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			var n Need
+			var n Activation
 			for _, gateway := range test.gateways {
 				n.Hear(begin(), gateway)
 			}
