--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -94,7 +94,7 @@
 	defer f.mu.Unlock()
 	need := f.need(j.service)
 	before := need.Seen(now)
-	need.Note(now, paused)
+	need.ObserveStream(now, paused)
 	if !before && need.Seen(now) {
 		f.Log.Info("prompts are paced, since streams pause for too long", "Service", j.service)
 	}
--- a/gateway/forwarder/prompt_test.go
+++ b/gateway/forwarder/prompt_test.go
@@ -41,7 +41,7 @@
 			address, f := gatewayAndForwarder(c, b)
 			need := f.need("s")
 			for range 100 {
-				need.Note(f.Clock.Now(), true)
+				need.ObserveStream(f.Clock.Now(), true)
 			}
 			ended := make(chan got, 2)
 			go func() { ended <- callFor(c, time.Hour, address, "/prompt/", large) }()
--- a/pkg/pacer/need.go
+++ b/pkg/pacer/need.go
@@ -34,8 +34,8 @@
 	others map[string]time.Time
 }
 
-// Note takes a stream that has paused for too long, or that has ended without.
-func (n *Activation) Note(now time.Time, paused bool) {
+// ObserveStream takes a stream that has paused for too long, or that has ended without.
+func (n *Activation) ObserveStream(now time.Time, paused bool) {
 	outcome := 0.0
 	if paused {
 		outcome = 1
--- a/pkg/pacer/need_test.go
+++ b/pkg/pacer/need_test.go
@@ -11,7 +11,7 @@
 // none if one of 0.
 func streams(n *Activation, now time.Time, oneOf int) time.Time {
 	for i := range 100 {
-		n.Note(now.Add(time.Duration(i)*10*time.Millisecond), oneOf > 0 && i%oneOf == 0)
+		n.ObserveStream(now.Add(time.Duration(i)*10*time.Millisecond), oneOf > 0 && i%oneOf == 0)
 	}
 	return now.Add(time.Second)
 }
