--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -78,7 +78,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if service := f.balancer.ServiceOf(backend); service != "" {
-		f.need(service).Hear(now, gateway)
+		f.need(service).ObservePeer(now, gateway)
 	}
 }
 
--- a/pkg/pacer/need.go
+++ b/pkg/pacer/need.go
@@ -54,8 +54,8 @@
 	n.until = now.Add(n.hold)
 }
 
-// Hear notes that another gateway paces prompts for what it has seen itself.
-func (n *Activation) Hear(now time.Time, gateway string) {
+// ObservePeer notes that another gateway paces prompts for what it has seen itself.
+func (n *Activation) ObservePeer(now time.Time, gateway string) {
 	if n.others == nil {
 		n.others = map[string]time.Time{}
 	}
--- a/pkg/pacer/need_test.go
+++ b/pkg/pacer/need_test.go
@@ -79,7 +79,7 @@
 			c := qt.New(t)
 			var n Activation
 			for _, gateway := range test.gateways {
-				n.Hear(begin(), gateway)
+				n.ObservePeer(begin(), gateway)
 			}
 			c.Check(n.Paces(begin().Add(test.after)), qt.Equals, test.want)
 			c.Check(n.Seen(begin().Add(test.after)), qt.IsFalse)
