--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -38,7 +38,7 @@
 	began := f.Clock.Now()
 	f.mu.Lock()
 	need := f.need(j.service)
-	paced, seen := need.Paces(began), need.Seen(began)
+	paced, seen := need.Paces(began), need.PausesObserved(began)
 	eventTime := f.balancer.EventInterval(backend.GetId())
 	f.mu.Unlock()
 	if !paced {
@@ -93,9 +93,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	need := f.need(j.service)
-	before := need.Seen(now)
+	before := need.PausesObserved(now)
 	need.ObserveStream(now, paused)
-	if !before && need.Seen(now) {
+	if !before && need.PausesObserved(now) {
 		f.Log.Info("prompts are paced, since streams pause for too long", "Service", j.service)
 	}
 }
--- a/pkg/pacer/need.go
+++ b/pkg/pacer/need.go
@@ -62,13 +62,13 @@
 	n.others[gateway] = now
 }
 
-// Seen reports whether prompts have to be paced for what was seen here. Only this is told to
+// PausesObserved reports whether prompts have to be paced for what was seen here. Only this is told to
 // others, or gateways would keep each other at it for ever.
-func (n *Activation) Seen(now time.Time) bool { return now.Before(n.until) }
+func (n *Activation) PausesObserved(now time.Time) bool { return now.Before(n.until) }
 
 // Paces reports whether prompts have to be paced now.
 func (n *Activation) Paces(now time.Time) bool {
-	if n.Seen(now) {
+	if n.PausesObserved(now) {
 		return true
 	}
 	for gateway, at := range n.others {
--- a/pkg/pacer/need_test.go
+++ b/pkg/pacer/need_test.go
@@ -82,7 +82,7 @@
 				n.ObservePeer(begin(), gateway)
 			}
 			c.Check(n.Paces(begin().Add(test.after)), qt.Equals, test.want)
-			c.Check(n.Seen(begin().Add(test.after)), qt.IsFalse)
+			c.Check(n.PausesObserved(begin().Add(test.after)), qt.IsFalse)
 		})
 	}
 }
