--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -38,7 +38,7 @@
 	began := f.Clock.Now()
 	f.mu.Lock()
 	need := f.need(j.service)
-	paced, seen := need.Paces(began), need.PausesObserved(began)
+	paced, seen := need.Active(began), need.PausesObserved(began)
 	eventTime := f.balancer.EventInterval(backend.GetId())
 	f.mu.Unlock()
 	if !paced {
--- a/pkg/pacer/need.go
+++ b/pkg/pacer/need.go
@@ -66,8 +66,8 @@
 // others, or gateways would keep each other at it for ever.
 func (n *Activation) PausesObserved(now time.Time) bool { return now.Before(n.until) }
 
-// Paces reports whether prompts have to be paced now.
-func (n *Activation) Paces(now time.Time) bool {
+// Active reports whether prompts have to be paced now.
+func (n *Activation) Active(now time.Time) bool {
 	if n.PausesObserved(now) {
 		return true
 	}
--- a/pkg/pacer/need_test.go
+++ b/pkg/pacer/need_test.go
@@ -33,7 +33,7 @@
 			for range 5 {
 				now = streams(&n, now, test.oneOf)
 			}
-			qt.New(t).Check(n.Paces(now), qt.Equals, test.want)
+			qt.New(t).Check(n.Active(now), qt.Equals, test.want)
 		})
 	}
 }
@@ -45,18 +45,18 @@
 	var n Activation
 	now := begin()
 	for _, hold := range []time.Duration{firstHold, 2 * firstHold, 4 * firstHold} {
-		for !n.Paces(now) {
+		for !n.Active(now) {
 			now = streams(&n, now, 3)
 		}
 		ends := 0 * time.Second
-		for n.Paces(now) {
+		for n.Active(now) {
 			now = streams(&n, now, 0)
 			ends += time.Second
 		}
 		c.Check(ends <= hold+time.Second && ends >= hold-2*time.Second, qt.IsTrue, qt.Commentf("%v", ends))
 	}
 	now = now.Add(time.Hour)
-	for !n.Paces(now) {
+	for !n.Active(now) {
 		now = streams(&n, now, 3)
 	}
 	c.Check(n.hold <= longestHold, qt.IsTrue)
@@ -81,7 +81,7 @@
 			for _, gateway := range test.gateways {
 				n.ObservePeer(begin(), gateway)
 			}
-			c.Check(n.Paces(begin().Add(test.after)), qt.Equals, test.want)
+			c.Check(n.Active(begin().Add(test.after)), qt.Equals, test.want)
 			c.Check(n.PausesObserved(begin().Add(test.after)), qt.IsFalse)
 		})
 	}
