--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -44,7 +44,7 @@
 	if !paced {
 		return true
 	}
-	answer := f.Regulator.Ask(ctx, &regulator.Prompt{Backend: backend.GetId(), Seen: seen, Ask: pacer.Ask{
+	answer := f.Regulator.Ask(ctx, &regulator.Prompt{Backend: backend.GetId(), Seen: seen, GrantRequest: pacer.GrantRequest{
 		Tokens: j.about.PromptTokens, Urgency: j.route.GetPriority(), ReceivedAt: j.req.ReceivedAt,
 		InTimeUntil: j.inTimeUntil(),
 		Pause:       milliseconds(j.route.GetPauseObjectiveMs()), EventTime: eventTime,
--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -84,7 +84,7 @@
 	// Seen is set if this gateway has seen long pauses itself.
 	Seen bool
 	// Ask is what its engine's pacer is asked; its key is set by Ask.
-	pacer.Ask
+	pacer.GrantRequest
 	// Slots is set for a request of a plain service: the number that its backend server runs
 	// at once. GiveUp is when it is no use to wait longer.
 	Slots  int
@@ -278,7 +278,7 @@
 	if p.Slots > 0 {
 		return e.dispenser.Add(now, p.slot())
 	}
-	e.pacer.Add(p.Ask)
+	e.pacer.Add(p.GrantRequest)
 	return true
 }
 
@@ -368,7 +368,7 @@
 	if req.GetSeen() && r.Heard != nil {
 		r.Heard(req.GetBackend(), req.GetGateway())
 	}
-	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), GiveUp: now.Add(milliseconds(req.GetGiveUpMs())), Elsewhere: req.GetElsewhere(), Ask: pacer.Ask{
+	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), GiveUp: now.Add(milliseconds(req.GetGiveUpMs())), Elsewhere: req.GetElsewhere(), GrantRequest: pacer.GrantRequest{
 		Key: req.GetKey(), Tokens: int(req.GetTokens()), Urgency: req.GetUrgency(),
 		ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())), InTimeUntil: now.Add(milliseconds(req.GetInTimeForMs())),
 		Pause: milliseconds(req.GetPauseMs()), EventTime: time.Duration(req.GetEventUs()) * time.Microsecond,
--- a/gateway/regulator/regulator_test.go
+++ b/gateway/regulator/regulator_test.go
@@ -63,7 +63,7 @@
 // large is a prompt beside which no other fits.
 func large(backend string) *Prompt {
 	now := time.Now()
-	return &Prompt{Backend: backend, Ask: pacer.Ask{
+	return &Prompt{Backend: backend, GrantRequest: pacer.GrantRequest{
 		Tokens: 1 << 20, ReceivedAt: now, InTimeUntil: now.Add(time.Minute), Pause: 300 * time.Millisecond,
 	}}
 }
@@ -253,7 +253,7 @@
 	r.Clock = clock
 	ask := func(urgency uint32) Answer {
 		now := clock.Now()
-		return r.Ask(context.Background(), &Prompt{Backend: "b", Slots: 1, GiveUp: now.Add(time.Hour), Ask: pacer.Ask{
+		return r.Ask(context.Background(), &Prompt{Backend: "b", Slots: 1, GiveUp: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
 			Urgency: urgency, ReceivedAt: now, InTimeUntil: now.Add(100 * time.Millisecond),
 		}}, time.Hour)
 	}
@@ -273,7 +273,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			r.Ask(ctx, &Prompt{Backend: "b", Slots: 1, GiveUp: now.Add(time.Hour), Ask: pacer.Ask{
+			r.Ask(ctx, &Prompt{Backend: "b", Slots: 1, GiveUp: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
 				ReceivedAt: now, InTimeUntil: now.Add(100 * time.Millisecond),
 			}}, time.Hour)
 		}()
--- a/pkg/pacer/pacer.go
+++ b/pkg/pacer/pacer.go
@@ -32,8 +32,8 @@
 	forgetAfter  = 500 * time.Millisecond
 )
 
-// Ask is a prompt that is to be sent to the engine.
-type Ask struct {
+// GrantRequest is a prompt that is to be sent to the engine.
+type GrantRequest struct {
 	// Key tells asks apart.
 	Key string
 	// Tokens is the size of the prompt.
@@ -74,7 +74,7 @@
 	pace     pace
 	unread   map[string]sent
 	settling []settling
-	waiting  []Ask
+	waiting  []GrantRequest
 	// tokens are those unread, and settled those of the prompts that settle.
 	tokens    int
 	settled   int
@@ -83,7 +83,7 @@
 }
 
 // Add lets a prompt wait for its grant.
-func (p *Pacer) Add(a Ask) {
+func (p *Pacer) Add(a GrantRequest) {
 	p.waiting = append(p.waiting, a)
 	if a.Pause > 0 {
 		p.pause = a.Pause
@@ -96,7 +96,7 @@
 // Withdraw takes back an ask that waits, and reports whether it did.
 func (p *Pacer) Withdraw(key string) bool {
 	before := len(p.waiting)
-	p.waiting = slices.DeleteFunc(p.waiting, func(a Ask) bool { return a.Key == key })
+	p.waiting = slices.DeleteFunc(p.waiting, func(a GrantRequest) bool { return a.Key == key })
 	return len(p.waiting) < before
 }
 
@@ -151,12 +151,12 @@
 }
 
 // Next returns the asks that are granted now.
-func (p *Pacer) Next(now time.Time) []Ask {
+func (p *Pacer) Next(now time.Time) []GrantRequest {
 	p.forget(now)
 	if len(p.waiting) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(p.waiting, func(a, b Ask) int { return compare(now, a, b) })
+	slices.SortStableFunc(p.waiting, func(a, b GrantRequest) int { return compare(now, a, b) })
 	granted := 0
 	for granted < len(p.waiting) && p.fits(p.waiting[granted]) {
 		p.send(now, p.waiting[granted])
@@ -169,7 +169,7 @@
 
 // compare puts those first that can still be in time, among them the urgent, and among
 // equals the one that came first.
-func compare(now time.Time, a, b Ask) int {
+func compare(now time.Time, a, b GrantRequest) int {
 	lateA, lateB := now.After(a.InTimeUntil), now.After(b.InTimeUntil)
 	if lateA != lateB {
 		if lateA {
@@ -182,7 +182,7 @@
 
 // fits reports whether the engine can read a prompt now without too long a pause. One that
 // is larger than that is read alone.
-func (p *Pacer) fits(a Ask) bool {
+func (p *Pacer) fits(a GrantRequest) bool {
 	none := len(p.unread) == 0 && len(p.settling) == 0
 	return none || p.tokens+p.settled+a.Tokens <= p.limit()
 }
@@ -192,7 +192,7 @@
 	return int(p.pace.perSecond() * p.pause.Seconds() * pauseShare)
 }
 
-func (p *Pacer) send(now time.Time, a Ask) {
+func (p *Pacer) send(now time.Time, a GrantRequest) {
 	if p.unread == nil {
 		p.unread = map[string]sent{}
 	}
--- a/pkg/pacer/pacer_test.go
+++ b/pkg/pacer/pacer_test.go
@@ -14,21 +14,21 @@
 
 func begin() time.Time { return time.Unix(1000, 0) }
 
-func ask(key string, tokens int, change ...func(*Ask)) Ask {
-	a := Ask{Key: key, Tokens: tokens, ReceivedAt: begin(), InTimeUntil: begin().Add(time.Second), Pause: 300 * ms}
+func ask(key string, tokens int, change ...func(*GrantRequest)) GrantRequest {
+	a := GrantRequest{Key: key, Tokens: tokens, ReceivedAt: begin(), InTimeUntil: begin().Add(time.Second), Pause: 300 * ms}
 	for _, c := range change {
 		c(&a)
 	}
 	return a
 }
 
-func urgency(u uint32) func(*Ask) { return func(a *Ask) { a.Urgency = u } }
-func received(after time.Duration) func(*Ask) {
-	return func(a *Ask) { a.ReceivedAt = begin().Add(after) }
+func urgency(u uint32) func(*GrantRequest) { return func(a *GrantRequest) { a.Urgency = u } }
+func received(after time.Duration) func(*GrantRequest) {
+	return func(a *GrantRequest) { a.ReceivedAt = begin().Add(after) }
 }
-func late(a *Ask) { a.InTimeUntil = begin().Add(-ms) }
+func late(a *GrantRequest) { a.InTimeUntil = begin().Add(-ms) }
 
-func keys(asks []Ask) []string {
+func keys(asks []GrantRequest) []string {
 	list := []string{}
 	for _, a := range asks {
 		list = append(list, a.Key)
@@ -39,17 +39,17 @@
 // The pace is not known yet, so that 10 tokens are read in a ms and 2,400 may be unread.
 func TestGrants(t *testing.T) {
 	for name, test := range map[string]struct {
-		asks []Ask
+		asks []GrantRequest
 		want []string
 	}{
-		"what fits":                  {[]Ask{ask("a", 1000), ask("b", 1400)}, []string{"a", "b"}},
-		"not what doesn't":           {[]Ask{ask("a", 1000), ask("b", 1401)}, []string{"a"}},
-		"a large one, alone":         {[]Ask{ask("a", 9000), ask("b", 1)}, []string{"a"}},
-		"nothing overtakes the next": {[]Ask{ask("a", 1000), ask("b", 9000), ask("c", 1)}, []string{"a"}},
-		"urgent ones first":          {[]Ask{ask("a", 1500, urgency(1)), ask("b", 1500)}, []string{"b"}},
-		"who came first":             {[]Ask{ask("a", 1500, received(2*ms)), ask("b", 1500, received(ms))}, []string{"b"}},
-		"late ones last":             {[]Ask{ask("a", 1500, late), ask("b", 1500, urgency(3))}, []string{"b"}},
-		"late ones in the end":       {[]Ask{ask("a", 1500, late)}, []string{"a"}},
+		"what fits":                  {[]GrantRequest{ask("a", 1000), ask("b", 1400)}, []string{"a", "b"}},
+		"not what doesn't":           {[]GrantRequest{ask("a", 1000), ask("b", 1401)}, []string{"a"}},
+		"a large one, alone":         {[]GrantRequest{ask("a", 9000), ask("b", 1)}, []string{"a"}},
+		"nothing overtakes the next": {[]GrantRequest{ask("a", 1000), ask("b", 9000), ask("c", 1)}, []string{"a"}},
+		"urgent ones first":          {[]GrantRequest{ask("a", 1500, urgency(1)), ask("b", 1500)}, []string{"b"}},
+		"who came first":             {[]GrantRequest{ask("a", 1500, received(2*ms)), ask("b", 1500, received(ms))}, []string{"b"}},
+		"late ones last":             {[]GrantRequest{ask("a", 1500, late), ask("b", 1500, urgency(3))}, []string{"b"}},
+		"late ones in the end":       {[]GrantRequest{ask("a", 1500, late)}, []string{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var p Pacer
@@ -103,7 +103,7 @@
 // token for all that run. It notes the longest time of three steps, which is the pause of a
 // stream whose events hold three tokens.
 type engine struct {
-	queue   []Ask
+	queue   []GrantRequest
 	left    int
 	steps   [3]time.Duration
 	longest time.Duration
@@ -141,7 +141,7 @@
 	}
 }
 
-func (e *engine) take(a Ask) {
+func (e *engine) take(a GrantRequest) {
 	e.queue = append(e.queue, a)
 	if len(e.queue) == 1 {
 		e.begin()
@@ -183,7 +183,7 @@
 	for now := begin(); now.Before(begin().Add(time.Minute)); {
 		for !next.After(now) {
 			size := min(350+int(1110*random.ExpFloat64()), 4140)
-			p.Add(ask(fmt.Sprint(count), size, func(a *Ask) { a.ReceivedAt = next }))
+			p.Add(ask(fmt.Sprint(count), size, func(a *GrantRequest) { a.ReceivedAt = next }))
 			count++
 			next = next.Add(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
 		}
