--- a/gateway/forwarder/slot.go
+++ b/gateway/forwarder/slot.go
@@ -46,7 +46,7 @@
 	answer := f.Regulator.Ask(ctx, &regulator.Prompt{
 		Backend: backend.GetId(), Slots: slots, GiveUp: j.sendBy, Elsewhere: f.maySlotElsewhere(j, backend.GetId(), began), GrantRequest: pacer.GrantRequest{
 			Urgency: j.urgency(), ReceivedAt: j.req.ReceivedAt,
-			InTimeUntil: j.inTimeUntil(),
+			OnTimeUntil: j.inTimeUntil(),
 		},
 	}, j.slotWait(began))
 	j.waited += f.Clock.Since(began)
--- a/gateway/regulator/regulator_test.go
+++ b/gateway/regulator/regulator_test.go
@@ -64,7 +64,7 @@
 func large(backend string) *Prompt {
 	now := time.Now()
 	return &Prompt{Backend: backend, GrantRequest: pacer.GrantRequest{
-		Tokens: 1 << 20, ReceivedAt: now, InTimeUntil: now.Add(time.Minute), Pause: 300 * time.Millisecond,
+		Tokens: 1 << 20, ReceivedAt: now, OnTimeUntil: now.Add(time.Minute), Pause: 300 * time.Millisecond,
 	}}
 }
 
@@ -254,7 +254,7 @@
 	ask := func(urgency uint32) Answer {
 		now := clock.Now()
 		return r.Ask(context.Background(), &Prompt{Backend: "b", Slots: 1, GiveUp: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
-			Urgency: urgency, ReceivedAt: now, InTimeUntil: now.Add(100 * time.Millisecond),
+			Urgency: urgency, ReceivedAt: now, OnTimeUntil: now.Add(100 * time.Millisecond),
 		}}, time.Hour)
 	}
 	c.Assert(ask(0).Granted, qt.IsTrue)
@@ -274,7 +274,7 @@
 		go func() {
 			defer close(done)
 			r.Ask(ctx, &Prompt{Backend: "b", Slots: 1, GiveUp: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
-				ReceivedAt: now, InTimeUntil: now.Add(100 * time.Millisecond),
+				ReceivedAt: now, OnTimeUntil: now.Add(100 * time.Millisecond),
 			}}, time.Hour)
 		}()
 		for r.Waiting() == waiting && !refused {
--- a/pkg/pacer/pacer.go
+++ b/pkg/pacer/pacer.go
@@ -43,7 +43,7 @@
 	// ReceivedAt is when the request came from its caller, and InTimeUntil until when its
 	// first event would be in time.
 	ReceivedAt  time.Time
-	InTimeUntil time.Time
+	OnTimeUntil time.Time
 	// Pause is the longest pause that streams at the engine may have; 0 if there is none.
 	Pause time.Duration
 	// EventTime is the time between two events of a stream there while nothing is read; 0 if
@@ -170,7 +170,7 @@
 // compare puts those first that can still be in time, among them the urgent, and among
 // equals the one that came first.
 func compare(now time.Time, a, b GrantRequest) int {
-	lateA, lateB := now.After(a.InTimeUntil), now.After(b.InTimeUntil)
+	lateA, lateB := now.After(a.OnTimeUntil), now.After(b.OnTimeUntil)
 	if lateA != lateB {
 		if lateA {
 			return 1
--- a/pkg/pacer/pacer_test.go
+++ b/pkg/pacer/pacer_test.go
@@ -15,7 +15,7 @@
 func begin() time.Time { return time.Unix(1000, 0) }
 
 func ask(key string, tokens int, change ...func(*GrantRequest)) GrantRequest {
-	a := GrantRequest{Key: key, Tokens: tokens, ReceivedAt: begin(), InTimeUntil: begin().Add(time.Second), Pause: 300 * ms}
+	a := GrantRequest{Key: key, Tokens: tokens, ReceivedAt: begin(), OnTimeUntil: begin().Add(time.Second), Pause: 300 * ms}
 	for _, c := range change {
 		c(&a)
 	}
@@ -26,7 +26,7 @@
 func received(after time.Duration) func(*GrantRequest) {
 	return func(a *GrantRequest) { a.ReceivedAt = begin().Add(after) }
 }
-func late(a *GrantRequest) { a.InTimeUntil = begin().Add(-ms) }
+func late(a *GrantRequest) { a.OnTimeUntil = begin().Add(-ms) }
 
 func keys(asks []GrantRequest) []string {
 	list := []string{}
