--- a/gateway/regulator/regulator_test.go
+++ b/gateway/regulator/regulator_test.go
@@ -64,7 +64,7 @@
 func large(backend string) *Prompt {
 	now := time.Now()
 	return &Prompt{Backend: backend, GrantRequest: pacer.GrantRequest{
-		Tokens: 1 << 20, ReceivedAt: now, OnTimeUntil: now.Add(time.Minute), Pause: 300 * time.Millisecond,
+		Tokens: 1 << 20, ReceivedAt: now, OnTimeUntil: now.Add(time.Minute), MaxPause: 300 * time.Millisecond,
 	}}
 }
 
--- a/pkg/pacer/pacer.go
+++ b/pkg/pacer/pacer.go
@@ -44,8 +44,8 @@
 	// first event would be in time.
 	ReceivedAt  time.Time
 	OnTimeUntil time.Time
-	// Pause is the longest pause that streams at the engine may have; 0 if there is none.
-	Pause time.Duration
+	// MaxPause is the longest pause that streams at the engine may have; 0 if there is none.
+	MaxPause time.Duration
 	// EventTime is the time between two events of a stream there while nothing is read; 0 if
 	// it is not known.
 	EventTime time.Duration
@@ -85,8 +85,8 @@
 // Add lets a prompt wait for its grant.
 func (p *Pacer) Add(a GrantRequest) {
 	p.waiting = append(p.waiting, a)
-	if a.Pause > 0 {
-		p.pause = a.Pause
+	if a.MaxPause > 0 {
+		p.pause = a.MaxPause
 	}
 	if a.EventTime > 0 {
 		p.eventTime = min(a.EventTime, p.pause/leastEvents)
--- a/pkg/pacer/pacer_test.go
+++ b/pkg/pacer/pacer_test.go
@@ -15,7 +15,7 @@
 func begin() time.Time { return time.Unix(1000, 0) }
 
 func ask(key string, tokens int, change ...func(*GrantRequest)) GrantRequest {
-	a := GrantRequest{Key: key, Tokens: tokens, ReceivedAt: begin(), OnTimeUntil: begin().Add(time.Second), Pause: 300 * ms}
+	a := GrantRequest{Key: key, Tokens: tokens, ReceivedAt: begin(), OnTimeUntil: begin().Add(time.Second), MaxPause: 300 * ms}
 	for _, c := range change {
 		c(&a)
 	}
