--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -47,7 +47,7 @@
 	answer := f.Regulator.Ask(ctx, &regulator.Prompt{Backend: backend.GetId(), Seen: seen, GrantRequest: pacer.GrantRequest{
 		Tokens: j.about.PromptTokens, Urgency: j.route.GetPriority(), ReceivedAt: j.req.ReceivedAt,
 		OnTimeUntil: j.inTimeUntil(),
-		MaxPause:    milliseconds(j.route.GetPauseObjectiveMs()), EventTime: eventTime,
+		MaxPause:    milliseconds(j.route.GetPauseObjectiveMs()), EventInterval: eventTime,
 	}}, min(askFor, max(0, j.sendBy.Sub(began))))
 	now := f.Clock.Now()
 	j.waited += now.Sub(began)
--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -371,7 +371,7 @@
 	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), GiveUp: now.Add(milliseconds(req.GetGiveUpMs())), Elsewhere: req.GetElsewhere(), GrantRequest: pacer.GrantRequest{
 		Key: req.GetKey(), Tokens: int(req.GetTokens()), Urgency: req.GetUrgency(),
 		ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())), OnTimeUntil: now.Add(milliseconds(req.GetInTimeForMs())),
-		MaxPause: milliseconds(req.GetPauseMs()), EventTime: time.Duration(req.GetEventUs()) * time.Microsecond,
+		MaxPause: milliseconds(req.GetPauseMs()), EventInterval: time.Duration(req.GetEventUs()) * time.Microsecond,
 	}}, milliseconds(req.GetWaitMs()))
 	return &wire.AdmitResponse{Granted: answer.Granted, BacklogMs: uint32(answer.Backlog.Milliseconds()), Slow: answer.Slow}, nil
 }
@@ -394,7 +394,7 @@
 		Backend: p.Backend, Key: p.Key, Tokens: uint32(p.Tokens), Urgency: p.Urgency,
 		AgeMs: uint32(now.Sub(p.ReceivedAt).Milliseconds()), InTimeForMs: int32(p.OnTimeUntil.Sub(now).Milliseconds()),
 		PauseMs: uint32(p.MaxPause.Milliseconds()), WaitMs: uint32(wait.Milliseconds()),
-		EventUs: uint32(p.EventTime.Microseconds()), Gateway: r.Self, Seen: p.Seen,
+		EventUs: uint32(p.EventInterval.Microseconds()), Gateway: r.Self, Seen: p.Seen,
 		Slots: uint32(p.Slots), GiveUpMs: uint32(max(0, p.GiveUp.Sub(now).Milliseconds())), Elsewhere: p.Elsewhere,
 	})
 	if err != nil {
--- a/pkg/pacer/pacer.go
+++ b/pkg/pacer/pacer.go
@@ -46,9 +46,9 @@
 	OnTimeUntil time.Time
 	// MaxPause is the longest pause that streams at the engine may have; 0 if there is none.
 	MaxPause time.Duration
-	// EventTime is the time between two events of a stream there while nothing is read; 0 if
+	// EventInterval is the time between two events of a stream there while nothing is read; 0 if
 	// it is not known.
-	EventTime time.Duration
+	EventInterval time.Duration
 }
 
 // sent is a prompt that the engine has not read yet, as far as is known.
@@ -88,8 +88,8 @@
 	if a.MaxPause > 0 {
 		p.pause = a.MaxPause
 	}
-	if a.EventTime > 0 {
-		p.eventTime = min(a.EventTime, p.pause/leastEvents)
+	if a.EventInterval > 0 {
+		p.eventTime = min(a.EventInterval, p.pause/leastEvents)
 	}
 }
 
