--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -152,10 +152,10 @@
 }
 
 // budget returns the budget of a service. The caller holds the lock.
-func (f *Forwarder) budget(service string) *budgeter.Budgeter {
+func (f *Forwarder) budget(service string) *budgeter.Limiter {
 	b := f.budgets[service]
 	if b == nil {
-		b = &budgeter.Budgeter{Window: f.Budget.Window, Ratio: f.budgetMargin() * f.Budget.Ratio}
+		b = &budgeter.Limiter{Window: f.Budget.Window, Ratio: f.budgetMargin() * f.Budget.Ratio}
 		f.budgets[service] = b
 	}
 	return b
--- a/pkg/budgeter/budgeter.go
+++ b/pkg/budgeter/budgeter.go
@@ -8,8 +8,8 @@
 // parts is the number of parts that a window is counted in.
 const parts = 10
 
-// Budgeter bounds the repeats to one service. Set the exported fields before use.
-type Budgeter struct {
+// Limiter bounds the repeats to one service. Set the exported fields before use.
+type Limiter struct {
 	// Window is the span over which repeats are counted.
 	Window time.Duration
 	// Ratio is the part of the requests that may be sent again.
@@ -22,14 +22,14 @@
 type count struct{ requests, repeats int }
 
 // Request counts a request that came from a caller.
-func (b *Budgeter) Request(now time.Time) {
+func (b *Limiter) Request(now time.Time) {
 	b.advance(now)
 	b.current().requests++
 }
 
 // Allow counts a repeat and reports true if the budget has room for it. Slack is this
 // gateway's share of the repeats that are allowed beside the ratio.
-func (b *Budgeter) Allow(now time.Time, slack float64) bool {
+func (b *Limiter) Allow(now time.Time, slack float64) bool {
 	b.advance(now)
 	sum := count{}
 	for i, c := range b.counts {
@@ -47,10 +47,10 @@
 	return true
 }
 
-func (b *Budgeter) current() *count { return &b.counts[b.at%int64(len(b.counts))] }
+func (b *Limiter) current() *count { return &b.counts[b.at%int64(len(b.counts))] }
 
 // advance clears the parts that lie a window back.
-func (b *Budgeter) advance(now time.Time) {
+func (b *Limiter) advance(now time.Time) {
 	at := now.UnixNano() / int64(b.Window/parts)
 	if at-b.at > int64(len(b.counts)) {
 		b.counts = [parts + 1]count{}
--- a/pkg/budgeter/budgeter_test.go
+++ b/pkg/budgeter/budgeter_test.go
@@ -12,7 +12,7 @@
 
 func TestRepeatsAreAPartOfTheRequests(t *testing.T) {
 	c := qt.New(t)
-	b := &Budgeter{Window: 10 * time.Second, Ratio: 0.2}
+	b := &Limiter{Window: 10 * time.Second, Ratio: 0.2}
 	for range 100 {
 		b.Request(begin())
 	}
@@ -27,7 +27,7 @@
 
 func TestTheSlackHoldsWithoutRequests(t *testing.T) {
 	c := qt.New(t)
-	b := &Budgeter{Window: 10 * time.Second, Ratio: 0.2}
+	b := &Limiter{Window: 10 * time.Second, Ratio: 0.2}
 	c.Check(b.Allow(begin(), 2), qt.IsTrue)
 	c.Check(b.Allow(begin(), 2), qt.IsTrue)
 	c.Check(b.Allow(begin(), 2), qt.IsFalse)
@@ -43,7 +43,7 @@
 	for seed := range uint64(20) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 1))
-		b := &Budgeter{Window: window, Ratio: ratio}
+		b := &Limiter{Window: window, Ratio: ratio}
 		var requests, repeats []time.Time
 		now := begin()
 		for range 3000 {
