--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -140,7 +140,7 @@
 func (f *Forwarder) count(j *job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.budget(j.service).Request(f.Clock.Now())
+	f.budget(j.service).RecordRequest(f.Clock.Now())
 	if j.adapter != "" {
 		f.demand[j.adapter]++
 	}
--- a/pkg/budgeter/budgeter.go
+++ b/pkg/budgeter/budgeter.go
@@ -21,8 +21,8 @@
 
 type count struct{ requests, repeats int }
 
-// Request counts a request that came from a caller.
-func (b *Limiter) Request(now time.Time) {
+// RecordRequest counts a request that came from a caller.
+func (b *Limiter) RecordRequest(now time.Time) {
 	b.advance(now)
 	b.current().requests++
 }
--- a/pkg/budgeter/budgeter_test.go
+++ b/pkg/budgeter/budgeter_test.go
@@ -14,7 +14,7 @@
 	c := qt.New(t)
 	b := &Limiter{Window: 10 * time.Second, Ratio: 0.2}
 	for range 100 {
-		b.Request(begin())
+		b.RecordRequest(begin())
 	}
 	allowed := 0
 	for range 100 {
@@ -51,7 +51,7 @@
 			if random.IntN(200) == 0 {
 				now = now.Add(time.Duration(random.IntN(8000)) * time.Millisecond)
 			}
-			b.Request(now)
+			b.RecordRequest(now)
 			requests = append(requests, now)
 			for range random.IntN(4) {
 				if b.Allow(now, slack) {
