--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -170,7 +170,7 @@
 		gateways = assumedGateways
 	}
 	slack := f.budgetMargin() * f.Budget.Slack / float64(gateways)
-	return f.budget(service).Allow(f.Clock.Now(), slack)
+	return f.budget(service).AllowRetry(f.Clock.Now(), slack)
 }
 
 // repeats reports whether a request may be sent again by the budget, and counts it if not.
--- a/pkg/budgeter/budgeter.go
+++ b/pkg/budgeter/budgeter.go
@@ -27,9 +27,9 @@
 	b.current().requests++
 }
 
-// Allow counts a repeat and reports true if the budget has room for it. Slack is this
+// AllowRetry counts a repeat and reports true if the budget has room for it. Slack is this
 // gateway's share of the repeats that are allowed beside the ratio.
-func (b *Limiter) Allow(now time.Time, slack float64) bool {
+func (b *Limiter) AllowRetry(now time.Time, slack float64) bool {
 	b.advance(now)
 	sum := count{}
 	for i, c := range b.counts {
--- a/pkg/budgeter/budgeter_test.go
+++ b/pkg/budgeter/budgeter_test.go
@@ -18,7 +18,7 @@
 	}
 	allowed := 0
 	for range 100 {
-		if b.Allow(begin(), 5) {
+		if b.AllowRetry(begin(), 5) {
 			allowed++
 		}
 	}
@@ -28,11 +28,11 @@
 func TestTheSlackHoldsWithoutRequests(t *testing.T) {
 	c := qt.New(t)
 	b := &Limiter{Window: 10 * time.Second, Ratio: 0.2}
-	c.Check(b.Allow(begin(), 2), qt.IsTrue)
-	c.Check(b.Allow(begin(), 2), qt.IsTrue)
-	c.Check(b.Allow(begin(), 2), qt.IsFalse)
-	c.Check(b.Allow(begin().Add(5*time.Second), 2), qt.IsFalse)
-	c.Check(b.Allow(begin().Add(12*time.Second), 2), qt.IsTrue)
+	c.Check(b.AllowRetry(begin(), 2), qt.IsTrue)
+	c.Check(b.AllowRetry(begin(), 2), qt.IsTrue)
+	c.Check(b.AllowRetry(begin(), 2), qt.IsFalse)
+	c.Check(b.AllowRetry(begin().Add(5*time.Second), 2), qt.IsFalse)
+	c.Check(b.AllowRetry(begin().Add(12*time.Second), 2), qt.IsTrue)
 }
 
 // In no window, wherever it begins, may there be more repeats than the ratio of the
@@ -54,7 +54,7 @@
 			b.RecordRequest(now)
 			requests = append(requests, now)
 			for range random.IntN(4) {
-				if b.Allow(now, slack) {
+				if b.AllowRetry(now, slack) {
 					repeats = append(repeats, now)
 				}
 			}
