--- a/pkg/retrier/retrier.go
+++ b/pkg/retrier/retrier.go
@@ -5,9 +5,9 @@
 
 // Backoff is a wait that doubles with each failure in a row, up to a bound.
 type Backoff struct {
-	// First is the wait after one failure, and Most the longest.
-	First time.Duration
-	Most  time.Duration
+	// Initial is the wait after one failure, and Most the longest.
+	Initial time.Duration
+	Most    time.Duration
 }
 
 // maxDoublings keeps the shift within the range of time.Duration.
@@ -20,6 +20,6 @@
 	if failures <= 0 {
 		return 0
 	}
-	wait := min(b.First<<min(failures-1, maxDoublings), b.Most)
+	wait := min(b.Initial<<min(failures-1, maxDoublings), b.Most)
 	return wait - time.Duration(spread*float64(wait)/2)
 }
