--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -60,7 +60,7 @@
 	return Policy{
 		Reserve: 1, MaxComing: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
 		ConfirmAgain: 30 * time.Millisecond, Notice: 80 * time.Millisecond, UnknownWait: 250 * time.Millisecond,
-		Unanswered:     retrier.Backoff{Initial: 10 * time.Millisecond, Most: time.Second},
+		Unanswered:     retrier.Backoff{Initial: 10 * time.Millisecond, Max: time.Second},
 		DemandHalfLife: 4 * time.Second, QuickHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerCopy: 0.4, RatePerCopy: 16,
 		WantFor: 700 * time.Millisecond, IdleFor: 600 * time.Millisecond, IdleUnderPressure: 250 * time.Millisecond,
 		UnloadAgain: 60 * time.Millisecond, LostLoad: 3 * time.Second,
--- a/pkg/retrier/retrier.go
+++ b/pkg/retrier/retrier.go
@@ -7,7 +7,7 @@
 type Backoff struct {
 	// Initial is the wait after one failure, and Most the longest.
 	Initial time.Duration
-	Most    time.Duration
+	Max     time.Duration
 }
 
 // maxDoublings keeps the shift within the range of time.Duration.
@@ -20,6 +20,6 @@
 	if failures <= 0 {
 		return 0
 	}
-	wait := min(b.Initial<<min(failures-1, maxDoublings), b.Most)
+	wait := min(b.Initial<<min(failures-1, maxDoublings), b.Max)
 	return wait - time.Duration(spread*float64(wait)/2)
 }
--- a/pkg/retrier/retrier_test.go
+++ b/pkg/retrier/retrier_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestWaitsDoubleUpToABound(t *testing.T) {
-	b := Backoff{Initial: 10 * time.Millisecond, Most: 70 * time.Millisecond}
+	b := Backoff{Initial: 10 * time.Millisecond, Max: 70 * time.Millisecond}
 	for name, test := range map[string]struct {
 		failures int
 		spread   float64
