--- a/gateway/granter/peer.go
+++ b/gateway/granter/peer.go
@@ -50,7 +50,7 @@
 		g.peers[address] = p
 	}
 	p.failures++
-	p.until = g.Clock.Now().Add(retrier.Backoff{Initial: firstBackoff, Max: longestBackoff}.Wait(p.failures, 0))
+	p.until = g.Clock.Now().Add(retrier.Backoff{Initial: firstBackoff, Max: longestBackoff}.Delay(p.failures, 0))
 	if p.failures == 1 {
 		g.Log.Info("owner of a request limit does not answer", "Gateway", address, "Error", err.Error())
 	}
--- a/gateway/regulator/peer.go
+++ b/gateway/regulator/peer.go
@@ -108,7 +108,7 @@
 		return
 	}
 	p.failures++
-	p.aloneUntil = now.Add(retrier.Backoff{Initial: firstAlone, Max: longestAlone}.Wait(p.failures, 0))
+	p.aloneUntil = now.Add(retrier.Backoff{Initial: firstAlone, Max: longestAlone}.Delay(p.failures, 0))
 	r.Log.Info("owner of engines does not answer", "Gateway", address, "Error", err.Error())
 }
 
--- a/pkg/retrier/retrier.go
+++ b/pkg/retrier/retrier.go
@@ -13,10 +13,10 @@
 // maxDoublings keeps the shift within the range of time.Duration.
 const maxDoublings = 16
 
-// Wait returns the time until the next try after some failures in a row. Spread is a
+// Delay returns the time until the next try after some failures in a row. Spread is a
 // random number from 0 to 1: up to half of the wait is left away, so that what has failed
 // together is not tried again together.
-func (b Backoff) Wait(failures int, spread float64) time.Duration {
+func (b Backoff) Delay(failures int, spread float64) time.Duration {
 	if failures <= 0 {
 		return 0
 	}
--- a/pkg/retrier/retrier_test.go
+++ b/pkg/retrier/retrier_test.go
@@ -23,7 +23,7 @@
 		"many, by a half":    {9, 0.5, 52500 * time.Microsecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.New(t).Check(b.Wait(test.failures, test.spread), qt.Equals, test.want)
+			qt.New(t).Check(b.Delay(test.failures, test.spread), qt.Equals, test.want)
 		})
 	}
 }
