--- a/gateway/forwarder/age.go
+++ b/gateway/forwarder/age.go
@@ -18,7 +18,7 @@
 	defer f.mu.Unlock()
 	b := f.backdaters[j.route.GetName()]
 	if b == nil {
-		b = &backdater.Backdater{}
+		b = &backdater.Estimator{}
 		f.backdaters[j.route.GetName()] = b
 	}
 	if j.req.Reused {
@@ -36,7 +36,7 @@
 // forgetRoutes drops what is known of routes that a new table does not have. The caller holds
 // the lock.
 func (f *Forwarder) forgetRoutes(t *wire.RoutingTable) {
-	kept := map[string]*backdater.Backdater{}
+	kept := map[string]*backdater.Estimator{}
 	for _, r := range t.GetRoutes() {
 		if b := f.backdaters[r.GetName()]; b != nil {
 			kept[r.GetName()] = b
--- a/pkg/backdater/backdater.go
+++ b/pkg/backdater/backdater.go
@@ -19,16 +19,16 @@
 	marginShare = 0.02
 )
 
-// Backdater remembers the time that callers had left at their latest first tries. The zero
+// Estimator remembers the time that callers had left at their latest first tries. The zero
 // value knows none.
-type Backdater struct {
+type Estimator struct {
 	left  [capacity]time.Duration
 	known int
 	next  int
 }
 
 // Observe takes the time that a caller has left at a first try.
-func (b *Backdater) Observe(left time.Duration) {
+func (b *Estimator) Observe(left time.Duration) {
 	b.left[b.next] = left
 	b.next = (b.next + 1) % capacity
 	b.known = min(b.known+1, capacity)
@@ -36,7 +36,7 @@
 
 // Age returns about how long ago a caller first sent a request for which it has a time left. It
 // is 0 unless the request can only be a retry.
-func (b *Backdater) Age(left time.Duration) time.Duration {
+func (b *Estimator) Age(left time.Duration) time.Duration {
 	if b.known < leastKnown {
 		return 0
 	}
--- a/pkg/backdater/backdater_test.go
+++ b/pkg/backdater/backdater_test.go
@@ -29,7 +29,7 @@
 		"callers of which some wait for a short time": {append([]time.Duration{300 * ms}, spread...), 1100 * ms, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := &Backdater{}
+			b := &Estimator{}
 			for _, left := range test.first {
 				b.Observe(left)
 			}
@@ -42,7 +42,7 @@
 // remembered.
 func TestOldFirstTriesAreForgotten(t *testing.T) {
 	c := qt.New(t)
-	b := &Backdater{}
+	b := &Estimator{}
 	for range 100 {
 		b.Observe(400 * ms)
 	}
--- a/pkg/dispenser/fleet_test.go
+++ b/pkg/dispenser/fleet_test.go
@@ -55,7 +55,7 @@
 
 type gateway struct {
 	balancer  *balancer.Balancer
-	backdater backdater.Backdater
+	backdater backdater.Estimator
 }
 
 type server struct {
