--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -128,7 +128,7 @@
 			IdleMargin: s.Backends.IdleMargin, Unacknowledged: s.Backends.Unacknowledged, OwnAnswer: ownAnswer,
 		},
 	}
-	r.regulator.Heard = r.forwarder.HearOfPauses
+	r.regulator.OnPeerPauses = r.forwarder.HearOfPauses
 	r.forwarder.Init()
 	self := &wire.GatewayEntry{Address: s.meshAddress(), Zone: s.Instance.Zone}
 	r.relayer = &relayer.Relayer{
--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -47,9 +47,9 @@
 	Log   *slog.Logger
 	// Self is where the other gateways reach this one.
 	Self string
-	// Heard notes that another gateway paces prompts for an engine for long pauses that it has
+	// OnPeerPauses notes that another gateway paces prompts for an engine for long pauses that it has
 	// seen itself.
-	Heard func(backend, gateway string)
+	OnPeerPauses func(backend, gateway string)
 
 	asks  atomic.Uint64
 	mu    sync.Mutex
@@ -365,8 +365,8 @@
 func (s *Server) Admit(ctx context.Context, req *wire.AdmitRequest) (*wire.AdmitResponse, error) {
 	r := s.Regulator
 	now := r.Clock.Now()
-	if req.GetSeen() && r.Heard != nil {
-		r.Heard(req.GetBackend(), req.GetGateway())
+	if req.GetSeen() && r.OnPeerPauses != nil {
+		r.OnPeerPauses(req.GetBackend(), req.GetGateway())
 	}
 	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), GiveUp: now.Add(milliseconds(req.GetGiveUpMs())), Elsewhere: req.GetElsewhere(), GrantRequest: pacer.GrantRequest{
 		Key: req.GetKey(), Tokens: int(req.GetTokens()), Urgency: req.GetUrgency(),
