--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -81,8 +81,8 @@
 // Prompt is what is to be sent to an engine.
 type Prompt struct {
 	Backend string
-	// Seen is set if this gateway has seen long pauses itself.
-	Seen bool
+	// PausesObserved is set if this gateway has seen long pauses itself.
+	PausesObserved bool
 	// Ask is what its engine's pacer is asked; its key is set by Ask.
 	pacer.GrantRequest
 	// Slots is set for a request of a plain service: the number that its backend server runs
@@ -394,7 +394,7 @@
 		Backend: p.Backend, Key: p.Key, Tokens: uint32(p.Tokens), Urgency: p.Urgency,
 		AgeMs: uint32(now.Sub(p.ReceivedAt).Milliseconds()), InTimeForMs: int32(p.OnTimeUntil.Sub(now).Milliseconds()),
 		PauseMs: uint32(p.MaxPause.Milliseconds()), WaitMs: uint32(wait.Milliseconds()),
-		EventUs: uint32(p.EventInterval.Microseconds()), Gateway: r.Self, Seen: p.Seen,
+		EventUs: uint32(p.EventInterval.Microseconds()), Gateway: r.Self, Seen: p.PausesObserved,
 		Slots: uint32(p.Slots), GiveUpMs: uint32(max(0, p.GiveUp.Sub(now).Milliseconds())), Elsewhere: p.Elsewhere,
 	})
 	if err != nil {
