--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -87,15 +87,15 @@
 	pacer.GrantRequest
 	// Slots is set for a request of a plain service: the number that its backend server runs
 	// at once. GiveUp is when it is no use to wait longer.
-	Slots  int
-	GiveUp time.Time
+	Slots    int
+	Deadline time.Time
 	// Elsewhere is set if another backend server can be asked next.
 	Elsewhere bool
 }
 
 // slot returns what the dispenser is asked for a request of a plain service.
 func (p *Prompt) slot() dispenser.Ask {
-	return dispenser.Ask{Key: p.Key, Urgency: p.Urgency, InTimeUntil: p.OnTimeUntil, GiveUp: p.GiveUp, Slots: p.Slots, Elsewhere: p.Elsewhere}
+	return dispenser.Ask{Key: p.Key, Urgency: p.Urgency, InTimeUntil: p.OnTimeUntil, GiveUp: p.Deadline, Slots: p.Slots, Elsewhere: p.Elsewhere}
 }
 
 // Answer is what became of an ask.
@@ -368,7 +368,7 @@
 	if req.GetSeen() && r.OnPeerPauses != nil {
 		r.OnPeerPauses(req.GetBackend(), req.GetGateway())
 	}
-	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), GiveUp: now.Add(milliseconds(req.GetGiveUpMs())), Elsewhere: req.GetElsewhere(), GrantRequest: pacer.GrantRequest{
+	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), Deadline: now.Add(milliseconds(req.GetGiveUpMs())), Elsewhere: req.GetElsewhere(), GrantRequest: pacer.GrantRequest{
 		Key: req.GetKey(), Tokens: int(req.GetTokens()), Urgency: req.GetUrgency(),
 		ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())), OnTimeUntil: now.Add(milliseconds(req.GetInTimeForMs())),
 		MaxPause: milliseconds(req.GetPauseMs()), EventInterval: time.Duration(req.GetEventUs()) * time.Microsecond,
@@ -395,7 +395,7 @@
 		AgeMs: uint32(now.Sub(p.ReceivedAt).Milliseconds()), InTimeForMs: int32(p.OnTimeUntil.Sub(now).Milliseconds()),
 		PauseMs: uint32(p.MaxPause.Milliseconds()), WaitMs: uint32(wait.Milliseconds()),
 		EventUs: uint32(p.EventInterval.Microseconds()), Gateway: r.Self, Seen: p.PausesObserved,
-		Slots: uint32(p.Slots), GiveUpMs: uint32(max(0, p.GiveUp.Sub(now).Milliseconds())), Elsewhere: p.Elsewhere,
+		Slots: uint32(p.Slots), GiveUpMs: uint32(max(0, p.Deadline.Sub(now).Milliseconds())), Elsewhere: p.Elsewhere,
 	})
 	if err != nil {
 		r.unanswered(ctx, address, err)
--- a/gateway/regulator/regulator_test.go
+++ b/gateway/regulator/regulator_test.go
@@ -253,7 +253,7 @@
 	r.Clock = clock
 	ask := func(urgency uint32) Answer {
 		now := clock.Now()
-		return r.Ask(context.Background(), &Prompt{Backend: "b", Slots: 1, GiveUp: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
+		return r.Ask(context.Background(), &Prompt{Backend: "b", Slots: 1, Deadline: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
 			Urgency: urgency, ReceivedAt: now, OnTimeUntil: now.Add(100 * time.Millisecond),
 		}}, time.Hour)
 	}
@@ -273,7 +273,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			r.Ask(ctx, &Prompt{Backend: "b", Slots: 1, GiveUp: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
+			r.Ask(ctx, &Prompt{Backend: "b", Slots: 1, Deadline: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
 				ReceivedAt: now, OnTimeUntil: now.Add(100 * time.Millisecond),
 			}}, time.Hour)
 		}()
