--- a/gateway/forwarder/slot.go
+++ b/gateway/forwarder/slot.go
@@ -44,7 +44,7 @@
 		slots = assumedSlots
 	}
 	answer := f.Regulator.Ask(ctx, &regulator.Prompt{
-		Backend: backend.GetId(), Slots: slots, Deadline: j.sendBy, Elsewhere: f.maySlotElsewhere(j, backend.GetId(), began), GrantRequest: pacer.GrantRequest{
+		Backend: backend.GetId(), Slots: slots, Deadline: j.sendBy, HasAlternative: f.maySlotElsewhere(j, backend.GetId(), began), GrantRequest: pacer.GrantRequest{
 			Urgency: j.urgency(), ReceivedAt: j.req.ReceivedAt,
 			OnTimeUntil: j.inTimeUntil(),
 		},
--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -89,13 +89,13 @@
 	// at once. GiveUp is when it is no use to wait longer.
 	Slots    int
 	Deadline time.Time
-	// Elsewhere is set if another backend server can be asked next.
-	Elsewhere bool
+	// HasAlternative is set if another backend server can be asked next.
+	HasAlternative bool
 }
 
 // slot returns what the dispenser is asked for a request of a plain service.
 func (p *Prompt) slot() dispenser.Ask {
-	return dispenser.Ask{Key: p.Key, Urgency: p.Urgency, InTimeUntil: p.OnTimeUntil, GiveUp: p.Deadline, Slots: p.Slots, Elsewhere: p.Elsewhere}
+	return dispenser.Ask{Key: p.Key, Urgency: p.Urgency, InTimeUntil: p.OnTimeUntil, GiveUp: p.Deadline, Slots: p.Slots, Elsewhere: p.HasAlternative}
 }
 
 // Answer is what became of an ask.
@@ -239,7 +239,7 @@
 	e.askedAt = r.Clock.Now()
 	if !e.add(e.askedAt, p) {
 		defer r.mu.Unlock()
-		return Answer{Backlog: e.backlog(p), Slow: p.Elsewhere && e.dispenser.TooSlow(e.askedAt, p.slot())}
+		return Answer{Backlog: e.backlog(p), Slow: p.HasAlternative && e.dispenser.TooSlow(e.askedAt, p.slot())}
 	}
 	e.waiting[p.Key] = decided
 	e.grant(e.askedAt)
@@ -368,7 +368,7 @@
 	if req.GetSeen() && r.OnPeerPauses != nil {
 		r.OnPeerPauses(req.GetBackend(), req.GetGateway())
 	}
-	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), Deadline: now.Add(milliseconds(req.GetGiveUpMs())), Elsewhere: req.GetElsewhere(), GrantRequest: pacer.GrantRequest{
+	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), Deadline: now.Add(milliseconds(req.GetGiveUpMs())), HasAlternative: req.GetElsewhere(), GrantRequest: pacer.GrantRequest{
 		Key: req.GetKey(), Tokens: int(req.GetTokens()), Urgency: req.GetUrgency(),
 		ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())), OnTimeUntil: now.Add(milliseconds(req.GetInTimeForMs())),
 		MaxPause: milliseconds(req.GetPauseMs()), EventInterval: time.Duration(req.GetEventUs()) * time.Microsecond,
@@ -395,7 +395,7 @@
 		AgeMs: uint32(now.Sub(p.ReceivedAt).Milliseconds()), InTimeForMs: int32(p.OnTimeUntil.Sub(now).Milliseconds()),
 		PauseMs: uint32(p.MaxPause.Milliseconds()), WaitMs: uint32(wait.Milliseconds()),
 		EventUs: uint32(p.EventInterval.Microseconds()), Gateway: r.Self, Seen: p.PausesObserved,
-		Slots: uint32(p.Slots), GiveUpMs: uint32(max(0, p.Deadline.Sub(now).Milliseconds())), Elsewhere: p.Elsewhere,
+		Slots: uint32(p.Slots), GiveUpMs: uint32(max(0, p.Deadline.Sub(now).Milliseconds())), Elsewhere: p.HasAlternative,
 	})
 	if err != nil {
 		r.unanswered(ctx, address, err)
