--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -98,8 +98,8 @@
 	return dispenser.Ask{Key: p.Key, Urgency: p.Urgency, InTimeUntil: p.OnTimeUntil, GiveUp: p.Deadline, Slots: p.Slots, Elsewhere: p.HasAlternative}
 }
 
-// Answer is what became of an ask.
-type Answer struct {
+// Result is what became of an ask.
+type Result struct {
 	// Granted means that the prompt may be sent.
 	Granted bool
 	// Key names the prompt for End.
@@ -193,7 +193,7 @@
 }
 
 // Ask waits until the prompt may be sent, or for a time at most.
-func (r *Regulator) Ask(ctx context.Context, p *Prompt, wait time.Duration) Answer {
+func (r *Regulator) Ask(ctx context.Context, p *Prompt, wait time.Duration) Result {
 	// Ids of requests are the callers' to choose, and would not tell two of them apart.
 	p.Key = r.Self + "/" + strconv.FormatUint(r.asks.Add(1), 10)
 	for range maxAsked {
@@ -232,14 +232,14 @@
 }
 
 // wait is Ask at the owner.
-func (r *Regulator) wait(ctx context.Context, p *Prompt, wait time.Duration) Answer {
+func (r *Regulator) wait(ctx context.Context, p *Prompt, wait time.Duration) Result {
 	decided := make(chan bool, 1)
 	r.mu.Lock()
 	e := r.engine(p.Backend)
 	e.askedAt = r.Clock.Now()
 	if !e.add(e.askedAt, p) {
 		defer r.mu.Unlock()
-		return Answer{Backlog: e.backlog(p), Slow: p.HasAlternative && e.dispenser.TooSlow(e.askedAt, p.slot())}
+		return Result{Backlog: e.backlog(p), Slow: p.HasAlternative && e.dispenser.TooSlow(e.askedAt, p.slot())}
 	}
 	e.waiting[p.Key] = decided
 	e.grant(e.askedAt)
@@ -247,14 +247,14 @@
 	r.mu.Unlock()
 	select {
 	case granted := <-decided:
-		return Answer{Granted: granted, Key: p.Key, Backlog: backlog}
+		return Result{Granted: granted, Key: p.Key, Backlog: backlog}
 	default:
 	}
 	timer := r.Clock.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case granted := <-decided:
-		return Answer{Granted: granted, Key: p.Key, Backlog: backlog}
+		return Result{Granted: granted, Key: p.Key, Backlog: backlog}
 	case <-ctx.Done():
 	case <-timer.Chan():
 	}
@@ -264,13 +264,13 @@
 		// It was decided meanwhile, or a call that came twice has taken its place.
 		select {
 		case granted := <-decided:
-			return Answer{Granted: granted, Key: p.Key, Backlog: backlog}
+			return Result{Granted: granted, Key: p.Key, Backlog: backlog}
 		default:
-			return Answer{Granted: true, Key: p.Key, Backlog: backlog}
+			return Result{Granted: true, Key: p.Key, Backlog: backlog}
 		}
 	}
 	delete(e.waiting, p.Key)
-	return Answer{Backlog: e.backlog(p)}
+	return Result{Backlog: e.backlog(p)}
 }
 
 // add lets a request wait, and reports whether it does.
@@ -387,7 +387,7 @@
 func milliseconds[T uint32 | int32](n T) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // askPeer asks another gateway. It reports false if that one does not answer.
-func (r *Regulator) askPeer(ctx context.Context, address string, p *Prompt, wait time.Duration) (Answer, bool) {
+func (r *Regulator) askPeer(ctx context.Context, address string, p *Prompt, wait time.Duration) (Result, bool) {
 	now := r.Clock.Now()
 	client := &connector.Client{Timeout: wait + answerMargin, Transport: r.peer(address).transport}
 	res, err := wire.NewPacingProtobufClient("http://"+address, client).Admit(ctx, &wire.AdmitRequest{
@@ -399,8 +399,8 @@
 	})
 	if err != nil {
 		r.unanswered(ctx, address, err)
-		return Answer{}, false
+		return Result{}, false
 	}
 	r.answered(address)
-	return Answer{Granted: res.GetGranted(), Key: p.Key, Backlog: milliseconds(res.GetBacklogMs()), Slow: res.GetSlow()}, true
+	return Result{Granted: res.GetGranted(), Key: p.Key, Backlog: milliseconds(res.GetBacklogMs()), Slow: res.GetSlow()}, true
 }
--- a/gateway/regulator/regulator_test.go
+++ b/gateway/regulator/regulator_test.go
@@ -251,7 +251,7 @@
 	clock := clockwork.NewFakeClock()
 	r := newRegulator("self")
 	r.Clock = clock
-	ask := func(urgency uint32) Answer {
+	ask := func(urgency uint32) Result {
 		now := clock.Now()
 		return r.Ask(context.Background(), &Prompt{Backend: "b", Slots: 1, Deadline: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
 			Urgency: urgency, ReceivedAt: now, OnTimeUntil: now.Add(100 * time.Millisecond),
@@ -259,7 +259,7 @@
 	}
 	c.Assert(ask(0).Granted, qt.IsTrue)
 	c.Assert(ask(0).Granted, qt.IsTrue)
-	answers := make(chan Answer)
+	answers := make(chan Result)
 	go func() { answers <- ask(1) }()
 	for r.Waiting() == 0 {
 		runtime.Gosched()
