--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -186,7 +186,7 @@
 		f.Isolator.SetSuspects(res.GetSuspectsRevision(), res.GetSuspects())
 	}
 	if f.Regulator != nil {
-		f.Regulator.Hear(controller, res)
+		f.Regulator.UpdateGateways(controller, res)
 	}
 	f.mu.Unlock()
 	f.Granter.Hear(res.GetRequestLimits(), throttler.News)
--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -118,10 +118,10 @@
 	r.lists = map[string][]string{}
 }
 
-// Hear takes a controller's list of gateways. The leader's counts. Before a leader is known
+// UpdateGateways takes a controller's list of gateways. The leader's counts. Before a leader is known
 // the longest does: after the loss of everything many requests come at once, and gateways
 // that did not know each other then would each send theirs.
-func (r *Regulator) Hear(controller string, res *wire.SyncResponse) {
+func (r *Regulator) UpdateGateways(controller string, res *wire.SyncResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if list := res.GetGatewayList(); len(list) > 0 {
--- a/gateway/regulator/regulator_test.go
+++ b/gateway/regulator/regulator_test.go
@@ -41,7 +41,7 @@
 		all, addresses = append(all, r), append(addresses, r.Self)
 	}
 	for _, r := range all {
-		r.Hear("controller", listOf(addresses))
+		r.UpdateGateways("controller", listOf(addresses))
 	}
 	return all, addresses
 }
@@ -75,10 +75,10 @@
 		addresses = append(addresses, fmt.Sprintf("10.0.%d.1:80", i))
 	}
 	a, b := newRegulator(addresses[0]), newRegulator(addresses[1])
-	a.Hear("controller", listOf(addresses))
-	b.Hear("controller", listOf(addresses))
+	a.UpdateGateways("controller", listOf(addresses))
+	b.UpdateGateways("controller", listOf(addresses))
 	lost := newRegulator(addresses[0])
-	lost.Hear("controller", listOf(addresses[:6]))
+	lost.UpdateGateways("controller", listOf(addresses[:6]))
 	engines := map[string]int{}
 	for i := range 700 {
 		id := fmt.Sprint("engine-", i)
@@ -99,7 +99,7 @@
 func TestWhoseListCounts(t *testing.T) {
 	hear := func(controller string, leads bool, addresses ...string) func(*Regulator) {
 		return func(r *Regulator) {
-			r.Hear(controller, &wire.SyncResponse{Leads: leads, GatewayList: entries(addresses)})
+			r.UpdateGateways(controller, &wire.SyncResponse{Leads: leads, GatewayList: entries(addresses)})
 		}
 	}
 	for name, test := range map[string]struct {
@@ -150,7 +150,7 @@
 	c := qt.New(t)
 	all, addresses := gateways(c, 2)
 	const nobody = "127.0.0.1:1"
-	all[0].Hear("controller", listOf(append(addresses, nobody)))
+	all[0].UpdateGateways("controller", listOf(append(addresses, nobody)))
 	id := engineOf(all[0], nobody)
 	c.Check(all[0].Ask(context.Background(), large(id), longWait).Granted, qt.IsTrue)
 	c.Check(all[0].owner(id), qt.Not(qt.Equals), nobody)
@@ -161,7 +161,7 @@
 func TestAGatewayAloneStillPaces(t *testing.T) {
 	c := qt.New(t)
 	r := newRegulator("self")
-	r.Hear("controller", listOf([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"}))
+	r.UpdateGateways("controller", listOf([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"}))
 	c.Check(r.Ask(context.Background(), large("engine"), longWait).Granted, qt.IsTrue)
 	c.Check(r.Ask(context.Background(), large("engine"), 0).Granted, qt.IsFalse)
 }
