--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -44,7 +44,7 @@
 	if !paced {
 		return true
 	}
-	answer := f.Regulator.Ask(ctx, &regulator.Prompt{Backend: backend.GetId(), PausesObserved: seen, GrantRequest: pacer.GrantRequest{
+	answer := f.Regulator.Acquire(ctx, &regulator.Prompt{Backend: backend.GetId(), PausesObserved: seen, GrantRequest: pacer.GrantRequest{
 		Tokens: j.about.PromptTokens, Urgency: j.route.GetPriority(), ReceivedAt: j.req.ReceivedAt,
 		OnTimeUntil: j.inTimeUntil(),
 		MaxPause:    milliseconds(j.route.GetPauseObjectiveMs()), EventInterval: eventTime,
--- a/gateway/forwarder/slot.go
+++ b/gateway/forwarder/slot.go
@@ -43,7 +43,7 @@
 	if slots == 0 {
 		slots = assumedSlots
 	}
-	answer := f.Regulator.Ask(ctx, &regulator.Prompt{
+	answer := f.Regulator.Acquire(ctx, &regulator.Prompt{
 		Backend: backend.GetId(), Slots: slots, Deadline: j.sendBy, HasAlternative: f.maySlotElsewhere(j, backend.GetId(), began), GrantRequest: pacer.GrantRequest{
 			Urgency: j.urgency(), ReceivedAt: j.req.ReceivedAt,
 			OnTimeUntil: j.inTimeUntil(),
--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -192,8 +192,8 @@
 		"ServiceUs", s.Service.Microseconds())
 }
 
-// Ask waits until the prompt may be sent, or for a time at most.
-func (r *Regulator) Ask(ctx context.Context, p *Prompt, wait time.Duration) Result {
+// Acquire waits until the prompt may be sent, or for a time at most.
+func (r *Regulator) Acquire(ctx context.Context, p *Prompt, wait time.Duration) Result {
 	// Ids of requests are the callers' to choose, and would not tell two of them apart.
 	p.Key = r.Self + "/" + strconv.FormatUint(r.asks.Add(1), 10)
 	for range maxAsked {
--- a/gateway/regulator/regulator_test.go
+++ b/gateway/regulator/regulator_test.go
@@ -132,11 +132,11 @@
 			all, addresses := gateways(c, 3)
 			for _, address := range addresses {
 				id := engineOf(all[0], address)
-				first := all[0].Ask(context.Background(), large(id), longWait)
+				first := all[0].Acquire(context.Background(), large(id), longWait)
 				c.Assert(first.Granted, qt.IsTrue)
-				c.Assert(all[1].Ask(context.Background(), large(id), 0).Granted, qt.IsFalse)
+				c.Assert(all[1].Acquire(context.Background(), large(id), 0).Granted, qt.IsFalse)
 				granted := make(chan bool)
-				go func() { granted <- all[2].Ask(context.Background(), large(id), longWait).Granted }()
+				go func() { granted <- all[2].Acquire(context.Background(), large(id), longWait).Granted }()
 				all[0].End(id, first.Key, read)
 				c.Check(<-granted, qt.IsTrue)
 			}
@@ -152,9 +152,9 @@
 	const nobody = "127.0.0.1:1"
 	all[0].UpdateGateways("controller", listOf(append(addresses, nobody)))
 	id := engineOf(all[0], nobody)
-	c.Check(all[0].Ask(context.Background(), large(id), longWait).Granted, qt.IsTrue)
+	c.Check(all[0].Acquire(context.Background(), large(id), longWait).Granted, qt.IsTrue)
 	c.Check(all[0].owner(id), qt.Not(qt.Equals), nobody)
-	c.Check(all[0].Ask(context.Background(), large(id), 0).Granted, qt.IsFalse)
+	c.Check(all[0].Acquire(context.Background(), large(id), 0).Granted, qt.IsFalse)
 }
 
 // With nobody left to ask a gateway paces for itself.
@@ -162,8 +162,8 @@
 	c := qt.New(t)
 	r := newRegulator("self")
 	r.UpdateGateways("controller", listOf([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"}))
-	c.Check(r.Ask(context.Background(), large("engine"), longWait).Granted, qt.IsTrue)
-	c.Check(r.Ask(context.Background(), large("engine"), 0).Granted, qt.IsFalse)
+	c.Check(r.Acquire(context.Background(), large("engine"), longWait).Granted, qt.IsTrue)
+	c.Check(r.Acquire(context.Background(), large("engine"), 0).Granted, qt.IsFalse)
 }
 
 // A call that comes twice, with one key, ends no process and holds up nobody.
@@ -209,18 +209,18 @@
 	c := qt.New(t)
 	all, addresses := gateways(c, 2)
 	id := engineOf(all[0], addresses[1])
-	first := all[0].Ask(context.Background(), large(id), longWait)
+	first := all[0].Acquire(context.Background(), large(id), longWait)
 	c.Assert(first.Granted, qt.IsTrue)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		all[0].Ask(ctx, large(id), longWait)
+		all[0].Acquire(ctx, large(id), longWait)
 		close(ended)
 	}()
 	cancel()
 	<-ended
 	all[0].End(id, first.Key, true)
-	c.Check(all[0].Ask(context.Background(), large(id), longWait).Granted, qt.IsTrue)
+	c.Check(all[0].Acquire(context.Background(), large(id), longWait).Granted, qt.IsTrue)
 }
 
 func TestEnginesThatNobodyAsksForAreForgotten(t *testing.T) {
@@ -228,7 +228,7 @@
 	clock := clockwork.NewFakeClock()
 	r := newRegulator("self")
 	r.Clock = clock
-	answer := r.Ask(context.Background(), large("engine"), longWait)
+	answer := r.Acquire(context.Background(), large("engine"), longWait)
 	r.End("engine", answer.Key, true)
 	r.look()
 	c.Check(r.engines, qt.HasLen, 1)
@@ -253,7 +253,7 @@
 	r.Clock = clock
 	ask := func(urgency uint32) Result {
 		now := clock.Now()
-		return r.Ask(context.Background(), &Prompt{Backend: "b", Slots: 1, Deadline: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
+		return r.Acquire(context.Background(), &Prompt{Backend: "b", Slots: 1, Deadline: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
 			Urgency: urgency, ReceivedAt: now, OnTimeUntil: now.Add(100 * time.Millisecond),
 		}}, time.Hour)
 	}
@@ -273,7 +273,7 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			r.Ask(ctx, &Prompt{Backend: "b", Slots: 1, Deadline: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
+			r.Acquire(ctx, &Prompt{Backend: "b", Slots: 1, Deadline: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
 				ReceivedAt: now, OnTimeUntil: now.Add(100 * time.Millisecond),
 			}}, time.Hour)
 		}()
