--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -122,7 +122,7 @@
 	if j.prompt == nil {
 		return
 	}
-	f.Regulator.End(j.prompt.backend, j.prompt.key, read)
+	f.Regulator.Release(j.prompt.backend, j.prompt.key, read)
 	j.prompt = nil
 }
 
--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -208,9 +208,9 @@
 	return r.wait(ctx, p, wait)
 }
 
-// End notes that an engine has a prompt to read no longer: its first event has come, or it
+// Release notes that an engine has a prompt to read no longer: its first event has come, or it
 // has failed.
-func (r *Regulator) End(backend, key string, read bool) {
+func (r *Regulator) Release(backend, key string, read bool) {
 	address := r.owner(backend)
 	if address == r.Self || address == "" {
 		r.end(backend, key, read)
--- a/gateway/regulator/regulator_test.go
+++ b/gateway/regulator/regulator_test.go
@@ -137,7 +137,7 @@
 				c.Assert(all[1].Acquire(context.Background(), large(id), 0).Granted, qt.IsFalse)
 				granted := make(chan bool)
 				go func() { granted <- all[2].Acquire(context.Background(), large(id), longWait).Granted }()
-				all[0].End(id, first.Key, read)
+				all[0].Release(id, first.Key, read)
 				c.Check(<-granted, qt.IsTrue)
 			}
 		})
@@ -219,7 +219,7 @@
 	}()
 	cancel()
 	<-ended
-	all[0].End(id, first.Key, true)
+	all[0].Release(id, first.Key, true)
 	c.Check(all[0].Acquire(context.Background(), large(id), longWait).Granted, qt.IsTrue)
 }
 
@@ -229,7 +229,7 @@
 	r := newRegulator("self")
 	r.Clock = clock
 	answer := r.Acquire(context.Background(), large("engine"), longWait)
-	r.End("engine", answer.Key, true)
+	r.Release("engine", answer.Key, true)
 	r.look()
 	c.Check(r.engines, qt.HasLen, 1)
 	clock.Advance(keepFor + time.Second)
