--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -110,7 +110,7 @@
 	r.wants = make(chan []*wire.Want, wantRing)
 	r.regulator = &regulator.Regulator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress()}
 	r.regulator.Init()
-	r.granter = &granter.Granter{Clock: r.Clock, Log: r.Log, Meter: r.meter, Self: s.meshAddress(), Ranked: r.regulator.Ranked}
+	r.granter = &granter.Granter{Clock: r.Clock, Log: r.Log, Meter: r.meter, Self: s.meshAddress(), Ranked: r.regulator.RankedOwners}
 	r.granter.Init()
 	r.isolator = &isolator.Isolator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress(), WordAge: r.wordAge}
 	r.borrower = &borrower.Borrower{
--- a/gateway/regulator/peer.go
+++ b/gateway/regulator/peer.go
@@ -51,9 +51,9 @@
 	return best
 }
 
-// Ranked returns the first two gateways in the order of owner, whether they answer or not;
+// RankedOwners returns the first two gateways in the order of owner, whether they answer or not;
 // "" where there is none.
-func (r *Regulator) Ranked(backend string) (first, second string) {
+func (r *Regulator) RankedOwners(backend string) (first, second string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	highest, next := uint64(0), uint64(0)
