--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -123,7 +123,7 @@
 			PrefixWeight: s.Policy.PrefixWeight, ZoneWeight: s.Policy.ZoneWeight,
 			SuspectFor: s.Policy.SuspectFor, IdleLease: s.Policy.IdleLease,
 		}},
-		Wake: func() { a.renewer.Wake() },
+		RequestRenewal: func() { a.renewer.Wake() },
 	}
 	a.scheduler.Init()
 	address := s.Instance.Address
--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -29,7 +29,7 @@
 		s.admit(now, j)
 	default:
 		s.jobs[j.id] = j
-		s.Wake()
+		s.RequestRenewal()
 	}
 }
 
@@ -63,7 +63,7 @@
 	if j.Want.Adapter != "" {
 		s.Router.Wait(j.Want.Adapter, j.BaseModel)
 	}
-	s.Wake()
+	s.RequestRenewal()
 }
 
 // stillAllowed looks at the contract once more: it may have changed while the job
@@ -208,7 +208,7 @@
 	s.advance(now)
 	s.Router.GiveBackIdle(now)
 	if s.admitter.Unmet() || s.Router.Unmet() {
-		s.Wake()
+		s.RequestRenewal()
 	}
 }
 
--- a/gateway/scheduler/scheduler.go
+++ b/gateway/scheduler/scheduler.go
@@ -94,8 +94,8 @@
 	Log       *slog.Logger
 	Registrar *registrar.Registrar
 	Router    *router.Router
-	// Wake asks for a renewal soon; it must not block.
-	Wake func()
+	// RequestRenewal asks for a renewal soon; it must not block.
+	RequestRenewal func()
 
 	calls     chan func(now time.Time)
 	admitter  *admitter.Admitter
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -103,7 +103,7 @@
 	s.call(func(time.Time) {
 		s.announced[b.GetName()] = b
 		if b.GetLeaving() {
-			s.Wake()
+			s.RequestRenewal()
 		}
 	})
 }
