--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -187,7 +187,7 @@
 	case <-a.stopping:
 		return false
 	default:
-		return a.scheduler.Live()
+		return a.scheduler.HasLiveSession()
 	}
 }
 
--- a/gateway/receiver/receiver.go
+++ b/gateway/receiver/receiver.go
@@ -115,7 +115,7 @@
 		writeText(w, http.StatusBadRequest, err.Error())
 		return
 	}
-	if !r.Scheduler.Live() {
+	if !r.Scheduler.HasLiveSession() {
 		// The server shall tell another instance, which can pass it on.
 		writeText(w, http.StatusServiceUnavailable, "no live session")
 		return
@@ -173,7 +173,7 @@
 
 // identify finds out who calls.
 func (r *Receiver) identify(req *http.Request) (*registrar.Terms, *Problem) {
-	if !r.Scheduler.Live() {
+	if !r.Scheduler.HasLiveSession() {
 		// Without a live session the contracts here may be out of date.
 		return nil, refused(&scheduler.Refusal{Reason: scheduler.NoQuorum, RetryAfter: 2 * time.Second})
 	}
--- a/gateway/scheduler/scheduler.go
+++ b/gateway/scheduler/scheduler.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// Live reports whether the gateway's session lets it send work. It may be called
+// HasLiveSession reports whether the gateway's session lets it send work. It may be called
 // from any goroutine, directly before bytes are written.
-func (s *Scheduler) Live() bool { return s.liveAt(s.Clock.Now()) }
+func (s *Scheduler) HasLiveSession() bool { return s.liveAt(s.Clock.Now()) }
 
 func (s *Scheduler) liveAt(now time.Time) bool {
 	return int64(now.Sub(s.origin)) < s.until.Load()
@@ -148,7 +148,7 @@
 
 // Guard returns an error unless the session is live.
 func (s *Scheduler) Guard() error {
-	if !s.Live() {
+	if !s.HasLiveSession() {
 		return ErrNoSession
 	}
 	return nil
