--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -173,10 +173,10 @@
 func (a *App) dispatcher() *dispatcher.Dispatcher {
 	fresh := connector.NewTransport(nil)
 	fresh.DisableKeepAlives = true
-	freshWork := connector.NewTransport(a.scheduler.Guard)
+	freshWork := connector.NewTransport(a.scheduler.CheckSession)
 	freshWork.DisableKeepAlives = true
 	return &dispatcher.Dispatcher{
-		Clock: a.Clock, Work: connector.NewTransport(a.scheduler.Guard), Fresh: fresh, FreshWork: freshWork,
+		Clock: a.Clock, Work: connector.NewTransport(a.scheduler.CheckSession), Fresh: fresh, FreshWork: freshWork,
 		SilenceAfter: a.Settings.Requests.SilenceAfter,
 	}
 }
--- a/gateway/scheduler/scheduler.go
+++ b/gateway/scheduler/scheduler.go
@@ -146,8 +146,8 @@
 // ErrNoSession is what Guard returns without a live session.
 var ErrNoSession = errors.New("scheduler: no live session; nothing was sent")
 
-// Guard returns an error unless the session is live.
-func (s *Scheduler) Guard() error {
+// CheckSession returns an error unless the session is live.
+func (s *Scheduler) CheckSession() error {
 	if !s.HasLiveSession() {
 		return ErrNoSession
 	}
