--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -36,7 +36,7 @@
 	defer r.endTrial(e)
 	r.Retries.Earn()
 	unsure := false
-	candidate, refusal := r.Scheduler.Enter(ctx, e.job)
+	candidate, refusal := r.Scheduler.Acquire(ctx, e.job)
 	for n := 0; refusal == nil; n++ {
 		r.noteAssigned(e, candidate)
 		if p := r.heldBack(e); p != nil {
--- a/gateway/scheduler/scheduler.go
+++ b/gateway/scheduler/scheduler.go
@@ -154,9 +154,9 @@
 	return nil
 }
 
-// Enter waits until a job may go to a backend server. Exactly one of the results is
+// Acquire waits until a job may go to a backend server. Exactly one of the results is
 // set. After a candidate was returned, Leave must be called.
-func (s *Scheduler) Enter(ctx context.Context, j *Job) (*router.Candidate, *Refusal) {
+func (s *Scheduler) Acquire(ctx context.Context, j *Job) (*router.Candidate, *Refusal) {
 	j.answer = make(chan verdict, 1)
 	if !s.try(func(now time.Time) { s.arrive(now, j) }) {
 		return nil, &Refusal{Reason: Overloaded, RetryAfter: time.Second}
