--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -55,7 +55,7 @@
 			r.Scheduler.Leave(e.job, s.failed)
 			return unlessRun(ctx, unsure, refused(&scheduler.Refusal{Reason: scheduler.NoBackend, RetryAfter: retryAfterFault}))
 		}
-		candidate, refusal = r.Scheduler.Again(ctx, e.job, s.failed, s.missing)
+		candidate, refusal = r.Scheduler.Reassign(ctx, e.job, s.failed, s.missing)
 	}
 	return unlessRun(ctx, unsure, refused(refusal))
 }
--- a/gateway/scheduler/scheduler.go
+++ b/gateway/scheduler/scheduler.go
@@ -164,9 +164,9 @@
 	return s.await(ctx, j)
 }
 
-// Again asks for another backend server for a job whose request did not run at the
+// Reassign asks for another backend server for a job whose request did not run at the
 // last one. The job keeps its place in the customer's limit.
-func (s *Scheduler) Again(ctx context.Context, j *Job, failed, missing bool) (*router.Candidate, *Refusal) {
+func (s *Scheduler) Reassign(ctx context.Context, j *Job, failed, missing bool) (*router.Candidate, *Refusal) {
 	ok := s.try(func(now time.Time) {
 		s.end(now, j, failed, missing)
 		j.Want.Avoid = append(j.Want.Avoid, j.current.Backend.GetName())
