--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -41,18 +41,18 @@
 		r.noteAssigned(e, candidate)
 		if p := r.heldBack(e); p != nil {
 			// What it waited for has shown meanwhile that it ends backend servers.
-			r.Scheduler.Leave(e.job, false)
+			r.Scheduler.Complete(e.job, false)
 			return unlessRun(ctx, unsure, p)
 		}
 		e.sentAt = r.Clock.Now()
 		s := attempt(ctx, candidate, n)
 		unsure = unsure || s.unsure
 		if s.final {
-			r.Scheduler.Leave(e.job, s.failed)
+			r.Scheduler.Complete(e.job, s.failed)
 			return s.problem
 		}
 		if !r.Retries.Spend(ctx, n, e.job.Deadline) {
-			r.Scheduler.Leave(e.job, s.failed)
+			r.Scheduler.Complete(e.job, s.failed)
 			return unlessRun(ctx, unsure, refused(&scheduler.Refusal{Reason: scheduler.NoBackend, RetryAfter: retryAfterFault}))
 		}
 		candidate, refusal = r.Scheduler.Reassign(ctx, e.job, s.failed, s.missing)
--- a/gateway/scheduler/scheduler.go
+++ b/gateway/scheduler/scheduler.go
@@ -190,9 +190,9 @@
 	return nil, &Refusal{Reason: CallerGone}
 }
 
-// Leave ends a job that went to a backend server. Failed marks that server as one
+// Complete ends a job that went to a backend server. Failed marks that server as one
 // to try last.
-func (s *Scheduler) Leave(j *Job, failed bool) {
+func (s *Scheduler) Complete(j *Job, failed bool) {
 	s.call(func(now time.Time) {
 		s.end(now, j, failed, false)
 		s.leave(now, j)
