--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -87,7 +87,7 @@
 		address := r.Controllers.Current()
 		res, err := r.control(address).Open(ctx, req)
 		if err == nil {
-			r.Scheduler.Opened(res.GetSession(), time.Duration(res.GetLeaseNs()))
+			r.Scheduler.BeginSession(res.GetSession(), time.Duration(res.GetLeaseNs()))
 			r.Log.Info("a session is open", "Session", res.GetSession())
 			return res.GetSession(), true
 		}
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -16,9 +16,9 @@
 	lease    time.Duration
 }
 
-// Opened begins a new session: nothing is held under it yet. Requests under an
+// BeginSession begins a new session: nothing is held under it yet. Requests under an
 // earlier one go on until they end.
-func (s *Scheduler) Opened(id uint64, lease time.Duration) {
+func (s *Scheduler) BeginSession(id uint64, lease time.Duration) {
 	s.wait(func(time.Time) {
 		s.session = session{id: id, lease: lease, revision: s.session.revision}
 		s.current.Store(id)
