--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -104,7 +104,7 @@
 	full := true
 	for {
 		sent := r.Clock.Now()
-		req := r.Scheduler.Build(full)
+		req := r.Scheduler.BuildRenewal(full)
 		reported := r.report(req)
 		address := r.Controllers.Current()
 		res, err := r.control(address).Renew(ctx, req)
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// Build makes the next renewal. With full set it lists all that the session holds.
-func (s *Scheduler) Build(full bool) *wire.RenewRequest {
+// BuildRenewal makes the next renewal. With full set it lists all that the session holds.
+func (s *Scheduler) BuildRenewal(full bool) *wire.RenewRequest {
 	req := &wire.RenewRequest{Full: full}
 	s.wait(func(time.Time) {
 		s.session.sequence++
