--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -125,7 +125,7 @@
 			return false
 		}
 		r.noteAnswer(res, reported)
-		r.Scheduler.Absorb(sent, res)
+		r.Scheduler.ApplyRenewal(sent, res)
 		full = res.GetNeedFull()
 		if full {
 			continue
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -56,8 +56,8 @@
 	return req
 }
 
-// Absorb takes in the answer to a renewal that was sent at a time.
-func (s *Scheduler) Absorb(sent time.Time, res *wire.RenewResponse) {
+// ApplyRenewal takes in the answer to a renewal that was sent at a time.
+func (s *Scheduler) ApplyRenewal(sent time.Time, res *wire.RenewResponse) {
 	s.wait(func(now time.Time) {
 		s.session.term = res.GetTerm()
 		if res.GetNeedFull() {
