--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -121,7 +121,7 @@
 			continue
 		case res.GetEnded():
 			r.Log.Warn("the session has ended", "Session", id)
-			r.Scheduler.Ended()
+			r.Scheduler.EndSession()
 			return false
 		}
 		r.noteAnswer(res, reported)
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -90,8 +90,8 @@
 	s.until.Store(max(s.until.Load(), int64(sent.Add(lease).Sub(s.origin))))
 }
 
-// Ended takes note that the leader has ended the session.
-func (s *Scheduler) Ended() {
+// EndSession takes note that the leader has ended the session.
+func (s *Scheduler) EndSession() {
 	s.wait(func(now time.Time) {
 		s.until.Store(0)
 		s.refuseAll(now, &Refusal{Reason: NoQuorum, RetryAfter: noSessionFor})
