--- a/gateway/receiver/receiver.go
+++ b/gateway/receiver/receiver.go
@@ -120,7 +120,7 @@
 		writeText(w, http.StatusServiceUnavailable, "no live session")
 		return
 	}
-	r.Scheduler.Announce(backend)
+	r.Scheduler.AddAnnouncement(backend)
 	writeText(w, http.StatusOK, "ok")
 }
 
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -98,8 +98,8 @@
 	})
 }
 
-// Announce takes in what a backend server tells of itself, for the next renewal.
-func (s *Scheduler) Announce(b *wire.Backend) {
+// AddAnnouncement takes in what a backend server tells of itself, for the next renewal.
+func (s *Scheduler) AddAnnouncement(b *wire.Backend) {
 	s.call(func(time.Time) {
 		s.announced[b.GetName()] = b
 		if b.GetLeaving() {
