--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -164,7 +164,7 @@
 		Dispatcher: a.dispatcher(), Explainer: &explainer.Explainer{Clock: a.Clock},
 		Meter:   meter.New("gateway", s.Instance.Name, s.Instance.Zone),
 		Retries: &receiver.RetryBudget{Clock: a.Clock, Share: s.Requests.RetryShare, Burst: s.Requests.RetryBurst},
-		Session: a.scheduler.Session, BackendKeys: a.keys.backends, OperatorKeys: a.keys.operators,
+		Session: a.scheduler.SessionID, BackendKeys: a.keys.backends, OperatorKeys: a.keys.operators,
 		Ready: a.ready, MaxBody: s.Requests.MaxBody, KeepAnswer: s.Requests.KeepAnswer,
 	}
 	return r.Handler()
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -108,8 +108,8 @@
 	})
 }
 
-// Session returns the id of the present session.
-func (s *Scheduler) Session() uint64 { return s.current.Load() }
+// SessionID returns the id of the present session.
+func (s *Scheduler) SessionID() uint64 { return s.current.Load() }
 
 // Stop refuses new requests from here on; those that were taken in are finished.
 func (s *Scheduler) Stop() {
