--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -16,8 +16,8 @@
 	"github.com/jonboulle/clockwork"
 
 	"bronzelead.example/pkg/connector"
-	"bronzelead.example/pkg/dispenser"
 	"bronzelead.example/pkg/pacer"
+	"bronzelead.example/pkg/slotgranter"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -68,7 +68,7 @@
 	grantLater func(at time.Time)
 	pacer      pacer.Pacer
 	// dispenser gives out the slots of a plain service's backend server.
-	dispenser dispenser.Dispenser
+	dispenser slotgranter.Dispenser
 	// waiting are the channels on which the asks that wait hear whether they are granted.
 	waiting map[string]chan bool
 	askedAt time.Time
@@ -94,8 +94,8 @@
 }
 
 // slot returns what the dispenser is asked for a request of a plain service.
-func (p *Prompt) slot() dispenser.Ask {
-	return dispenser.Ask{Key: p.Key, Urgency: p.Urgency, InTimeUntil: p.OnTimeUntil, GiveUp: p.Deadline, Slots: p.Slots, Elsewhere: p.HasAlternative}
+func (p *Prompt) slot() slotgranter.Ask {
+	return slotgranter.Ask{Key: p.Key, Urgency: p.Urgency, InTimeUntil: p.OnTimeUntil, GiveUp: p.Deadline, Slots: p.Slots, Elsewhere: p.HasAlternative}
 }
 
 // Result is what became of an ask.
--- a/pkg/dispenser/dispenser.go
+++ b/pkg/slotgranter/dispenser.go
@@ -6,7 +6,7 @@
 // stays full, and nearly every request is late though nearly all are served. Here as many
 // are under way as there are slots, the others wait in the order in which they can be in
 // time, and what can't be is refused at once.
-package dispenser
+package slotgranter
 
 import (
 	"cmp"
--- a/pkg/dispenser/dispenser_test.go
+++ b/pkg/slotgranter/dispenser_test.go
@@ -1,4 +1,4 @@
-package dispenser
+package slotgranter
 
 import (
 	"fmt"
--- a/pkg/dispenser/fleet_test.go
+++ b/pkg/slotgranter/fleet_test.go
@@ -1,4 +1,4 @@
-package dispenser_test
+package slotgranter_test
 
 import (
 	"container/heap"
@@ -9,7 +9,7 @@
 
 	"bronzelead.example/pkg/backdater"
 	"bronzelead.example/pkg/balancer"
-	"bronzelead.example/pkg/dispenser"
+	"bronzelead.example/pkg/slotgranter"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -60,7 +60,7 @@
 
 type server struct {
 	id        string
-	dispenser dispenser.Dispenser
+	dispenser slotgranter.Dispenser
 	running   int
 	queued    []func()
 	slowness  float64
@@ -265,7 +265,7 @@
 // ask asks the owner of a backend server for a slot.
 func (f *fleet) ask(t *try, s *server) {
 	key := fmt.Sprint(t.key, "/", len(t.avoid), "/", t.runs)
-	ask := dispenser.Ask{Key: key, InTimeUntil: t.asked.Add(objective), GiveUp: t.received.Add(timeout), Slots: slots}
+	ask := slotgranter.Ask{Key: key, InTimeUntil: t.asked.Add(objective), GiveUp: t.received.Add(timeout), Slots: slots}
 	ask.Elsewhere = t.slow < maxSlow && f.now.Before(t.asked.Add(objective)) &&
 		t.gateway.balancer.HasAlternative(f.now, &balancer.Waiter{Service: "s", Avoid: t.avoid, UsesSlotGrants: true}, s.id)
 	if !s.dispenser.Add(f.now, ask) {
@@ -293,7 +293,7 @@
 }
 
 func (f *fleet) grant(s *server) {
-	tell := func(asks []dispenser.Ask, granted bool) {
+	tell := func(asks []slotgranter.Ask, granted bool) {
 		for _, a := range asks {
 			told := s.grant[a.Key]
 			delete(s.grant, a.Key)
--- a/pkg/dispenser/goodput_test.go
+++ b/pkg/slotgranter/goodput_test.go
@@ -1,4 +1,4 @@
-package dispenser_test
+package slotgranter_test
 
 import (
 	"testing"
