--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -21,10 +21,10 @@
 	"bronzelead.example/pkg/ablator"
 	"bronzelead.example/pkg/backdater"
 	"bronzelead.example/pkg/balancer"
-	"bronzelead.example/pkg/budgeter"
 	"bronzelead.example/pkg/matcher"
 	"bronzelead.example/pkg/meter"
 	"bronzelead.example/pkg/pacer"
+	"bronzelead.example/pkg/retrylimiter"
 	"bronzelead.example/pkg/throttler"
 	"bronzelead.example/pkg/wire"
 )
@@ -90,7 +90,7 @@
 	mu       sync.Mutex
 	balancer *balancer.Balancer
 	table    *matcher.Matcher
-	budgets  map[string]*budgeter.Limiter
+	budgets  map[string]*retrylimiter.Limiter
 	waiting  map[*balancer.Waiter]chan balancer.Decision
 	demand   map[string]uint32
 	gateways uint32
@@ -112,7 +112,7 @@
 	f.startedAt = f.Clock.Now()
 	f.tableKnown = make(chan struct{})
 	f.balancer = &balancer.Balancer{Zone: f.Zone, Off: f.Off}
-	f.budgets = map[string]*budgeter.Limiter{}
+	f.budgets = map[string]*retrylimiter.Limiter{}
 	f.waiting = map[*balancer.Waiter]chan balancer.Decision{}
 	f.demand = map[string]uint32{}
 	f.verdicts = map[verdict]int{}
--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -8,8 +8,8 @@
 	"bronzelead.example/gateway/doorkeeper"
 	"bronzelead.example/pkg/ablator"
 	"bronzelead.example/pkg/balancer"
-	"bronzelead.example/pkg/budgeter"
 	"bronzelead.example/pkg/matcher"
+	"bronzelead.example/pkg/retrylimiter"
 	"bronzelead.example/pkg/wire"
 	"bronzelead.example/platform"
 )
@@ -152,10 +152,10 @@
 }
 
 // budget returns the budget of a service. The caller holds the lock.
-func (f *Forwarder) budget(service string) *budgeter.Limiter {
+func (f *Forwarder) budget(service string) *retrylimiter.Limiter {
 	b := f.budgets[service]
 	if b == nil {
-		b = &budgeter.Limiter{Window: f.Budget.Window, Ratio: f.budgetMargin() * f.Budget.Ratio}
+		b = &retrylimiter.Limiter{Window: f.Budget.Window, Ratio: f.budgetMargin() * f.Budget.Ratio}
 		f.budgets[service] = b
 	}
 	return b
--- a/pkg/budgeter/budgeter.go
+++ b/pkg/retrylimiter/budgeter.go
@@ -1,7 +1,7 @@
 // Package budgeter bounds how many requests are sent a second time. A failure that
 // many requests meet at once must not multiply the load on the backend servers that
 // still work. It is pure.
-package budgeter
+package retrylimiter
 
 import "time"
 
--- a/pkg/budgeter/budgeter_test.go
+++ b/pkg/retrylimiter/budgeter_test.go
@@ -1,4 +1,4 @@
-package budgeter
+package retrylimiter
 
 import (
 	"math/rand/v2"
