--- a/gateway/forwarder/age.go
+++ b/gateway/forwarder/age.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bronzelead.example/pkg/backdater"
+	"bronzelead.example/pkg/ageestimator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -18,7 +18,7 @@
 	defer f.mu.Unlock()
 	b := f.backdaters[j.route.GetName()]
 	if b == nil {
-		b = &backdater.Estimator{}
+		b = &ageestimator.Estimator{}
 		f.backdaters[j.route.GetName()] = b
 	}
 	if j.req.Reused {
@@ -36,7 +36,7 @@
 // forgetRoutes drops what is known of routes that a new table does not have. The caller holds
 // the lock.
 func (f *Forwarder) forgetRoutes(t *wire.RoutingTable) {
-	kept := map[string]*backdater.Estimator{}
+	kept := map[string]*ageestimator.Estimator{}
 	for _, r := range t.GetRoutes() {
 		if b := f.backdaters[r.GetName()]; b != nil {
 			kept[r.GetName()] = b
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -19,7 +19,7 @@
 	"bronzelead.example/gateway/regulator"
 	"bronzelead.example/gateway/sender"
 	"bronzelead.example/pkg/ablator"
-	"bronzelead.example/pkg/backdater"
+	"bronzelead.example/pkg/ageestimator"
 	"bronzelead.example/pkg/balancer"
 	"bronzelead.example/pkg/matcher"
 	"bronzelead.example/pkg/meter"
@@ -97,7 +97,7 @@
 	// needs tells for each service whether its prompts are paced.
 	needs map[string]*pacer.Activation
 	// backdaters estimate the age of retries, by route.
-	backdaters map[string]*backdater.Estimator
+	backdaters map[string]*ageestimator.Estimator
 	// verdicts counts how the streams went that have ended since they were logged last.
 	verdicts map[verdict]int
 	// endings counts, by route, how other requests ended since they were logged last.
@@ -117,7 +117,7 @@
 	f.demand = map[string]uint32{}
 	f.verdicts = map[verdict]int{}
 	f.endings = map[string]map[ending]int{}
-	f.backdaters = map[string]*backdater.Estimator{}
+	f.backdaters = map[string]*ageestimator.Estimator{}
 	f.needs = map[string]*pacer.Activation{}
 	f.initIsolator()
 	f.initGranter()
--- a/pkg/backdater/backdater.go
+++ b/pkg/ageestimator/backdater.go
@@ -2,7 +2,7 @@
 // retried. A retry does not say that it is one, but it has less time left than first tries
 // have. The forwarder observes first tries by route, and asks for the age of other requests.
 // It is pure.
-package backdater
+package ageestimator
 
 import (
 	"slices"
--- a/pkg/backdater/backdater_test.go
+++ b/pkg/ageestimator/backdater_test.go
@@ -1,4 +1,4 @@
-package backdater
+package ageestimator
 
 import (
 	"testing"
--- a/pkg/slotgranter/fleet_test.go
+++ b/pkg/slotgranter/fleet_test.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"time"
 
-	"bronzelead.example/pkg/backdater"
+	"bronzelead.example/pkg/ageestimator"
 	"bronzelead.example/pkg/balancer"
 	"bronzelead.example/pkg/slotgranter"
 	"bronzelead.example/pkg/wire"
@@ -55,7 +55,7 @@
 
 type gateway struct {
 	balancer  *balancer.Balancer
-	backdater backdater.Estimator
+	backdater ageestimator.Estimator
 }
 
 type server struct {
