--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -123,7 +123,7 @@
 			PrefixWeight: s.Policy.PrefixWeight, ZoneWeight: s.Policy.ZoneWeight,
 			SuspectFor: s.Policy.SuspectFor, IdleLease: s.Policy.IdleLease,
 		}},
-		Wake: func() { a.renewer.Wake() },
+		RequestRenewal: func() { a.renewer.Wake() },
 	}
 	a.scheduler.Init()
 	address := s.Instance.Address
@@ -164,7 +164,7 @@
 		Dispatcher: a.dispatcher(), Explainer: &explainer.Explainer{Clock: a.Clock},
 		Meter:   meter.New("gateway", s.Instance.Name, s.Instance.Zone),
 		Retries: &receiver.RetryBudget{Clock: a.Clock, Share: s.Requests.RetryShare, Burst: s.Requests.RetryBurst},
-		Session: a.scheduler.Session, BackendKeys: a.keys.backends, OperatorKeys: a.keys.operators,
+		Session: a.scheduler.SessionID, BackendKeys: a.keys.backends, OperatorKeys: a.keys.operators,
 		Ready: a.ready, MaxBody: s.Requests.MaxBody, KeepAnswer: s.Requests.KeepAnswer,
 	}
 	return r.Handler()
@@ -173,10 +173,10 @@
 func (a *App) dispatcher() *dispatcher.Dispatcher {
 	fresh := connector.NewTransport(nil)
 	fresh.DisableKeepAlives = true
-	freshWork := connector.NewTransport(a.scheduler.Guard)
+	freshWork := connector.NewTransport(a.scheduler.CheckSession)
 	freshWork.DisableKeepAlives = true
 	return &dispatcher.Dispatcher{
-		Clock: a.Clock, Work: connector.NewTransport(a.scheduler.Guard), Fresh: fresh, FreshWork: freshWork,
+		Clock: a.Clock, Work: connector.NewTransport(a.scheduler.CheckSession), Fresh: fresh, FreshWork: freshWork,
 		SilenceAfter: a.Settings.Requests.SilenceAfter,
 	}
 }
@@ -187,7 +187,7 @@
 	case <-a.stopping:
 		return false
 	default:
-		return a.scheduler.Live()
+		return a.scheduler.HasLiveSession()
 	}
 }
 
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -19,12 +19,12 @@
 	"bronzelead.example/gateway/regulator"
 	"bronzelead.example/gateway/sender"
 	"bronzelead.example/pkg/ablator"
-	"bronzelead.example/pkg/backdater"
+	"bronzelead.example/pkg/ageestimator"
 	"bronzelead.example/pkg/balancer"
-	"bronzelead.example/pkg/budgeter"
 	"bronzelead.example/pkg/matcher"
 	"bronzelead.example/pkg/meter"
 	"bronzelead.example/pkg/pacer"
+	"bronzelead.example/pkg/retrylimiter"
 	"bronzelead.example/pkg/throttler"
 	"bronzelead.example/pkg/wire"
 )
@@ -90,14 +90,14 @@
 	mu       sync.Mutex
 	balancer *balancer.Balancer
 	table    *matcher.Matcher
-	budgets  map[string]*budgeter.Budgeter
+	budgets  map[string]*retrylimiter.Limiter
 	waiting  map[*balancer.Waiter]chan balancer.Decision
 	demand   map[string]uint32
 	gateways uint32
 	// needs tells for each service whether its prompts are paced.
-	needs map[string]*pacer.Need
+	needs map[string]*pacer.Activation
 	// backdaters estimate the age of retries, by route.
-	backdaters map[string]*backdater.Backdater
+	backdaters map[string]*ageestimator.Estimator
 	// verdicts counts how the streams went that have ended since they were logged last.
 	verdicts map[verdict]int
 	// endings counts, by route, how other requests ended since they were logged last.
@@ -112,13 +112,13 @@
 	f.startedAt = f.Clock.Now()
 	f.tableKnown = make(chan struct{})
 	f.balancer = &balancer.Balancer{Zone: f.Zone, Off: f.Off}
-	f.budgets = map[string]*budgeter.Budgeter{}
+	f.budgets = map[string]*retrylimiter.Limiter{}
 	f.waiting = map[*balancer.Waiter]chan balancer.Decision{}
 	f.demand = map[string]uint32{}
 	f.verdicts = map[verdict]int{}
 	f.endings = map[string]map[ending]int{}
-	f.backdaters = map[string]*backdater.Backdater{}
-	f.needs = map[string]*pacer.Need{}
+	f.backdaters = map[string]*ageestimator.Estimator{}
+	f.needs = map[string]*pacer.Activation{}
 	f.initIsolator()
 	f.initGranter()
 }
@@ -170,7 +170,7 @@
 		f.balancer.SetVersion(v)
 	}
 	for _, h := range res.GetHoldings() {
-		f.balancer.SetHolding(res.GetTerm(), h)
+		f.balancer.SetLoadedAdapters(res.GetTerm(), h)
 	}
 	for _, adapter := range res.GetDeclined() {
 		f.balancer.Decline(adapter)
@@ -186,7 +186,7 @@
 		f.Isolator.SetSuspects(res.GetSuspectsRevision(), res.GetSuspects())
 	}
 	if f.Regulator != nil {
-		f.Regulator.Hear(controller, res)
+		f.Regulator.UpdateGateways(controller, res)
 	}
 	f.mu.Unlock()
 	f.Granter.ReceiveLimits(res.GetRequestLimits(), throttler.News)
@@ -196,7 +196,7 @@
 // announced takes what is new of backend servers. The caller holds the lock.
 func (f *Forwarder) announced(now time.Time, list []*wire.Announcement) {
 	for _, a := range list {
-		f.balancer.Announce(now, a)
+		f.balancer.UpdateBackend(now, a)
 		f.Isolator.Announced(a)
 		switch {
 		case a.GetReplaced():
--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -8,8 +8,8 @@
 	"bronzelead.example/gateway/doorkeeper"
 	"bronzelead.example/pkg/ablator"
 	"bronzelead.example/pkg/balancer"
-	"bronzelead.example/pkg/budgeter"
 	"bronzelead.example/pkg/matcher"
+	"bronzelead.example/pkg/retrylimiter"
 	"bronzelead.example/pkg/wire"
 	"bronzelead.example/platform"
 )
@@ -140,7 +140,7 @@
 func (f *Forwarder) count(j *job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.budget(j.service).Request(f.Clock.Now())
+	f.budget(j.service).RecordRequest(f.Clock.Now())
 	if j.adapter != "" {
 		f.demand[j.adapter]++
 	}
@@ -152,10 +152,10 @@
 }
 
 // budget returns the budget of a service. The caller holds the lock.
-func (f *Forwarder) budget(service string) *budgeter.Budgeter {
+func (f *Forwarder) budget(service string) *retrylimiter.Limiter {
 	b := f.budgets[service]
 	if b == nil {
-		b = &budgeter.Budgeter{Window: f.Budget.Window, Ratio: f.budgetMargin() * f.Budget.Ratio}
+		b = &retrylimiter.Limiter{Window: f.Budget.Window, Ratio: f.budgetMargin() * f.Budget.Ratio}
 		f.budgets[service] = b
 	}
 	return b
@@ -170,7 +170,7 @@
 		gateways = assumedGateways
 	}
 	slack := f.budgetMargin() * f.Budget.Slack / float64(gateways)
-	return f.budget(service).Allow(f.Clock.Now(), slack)
+	return f.budget(service).AllowRetry(f.Clock.Now(), slack)
 }
 
 // repeats reports whether a request may be sent again by the budget, and counts it if not.
@@ -228,8 +228,8 @@
 	}
 	w := &balancer.Waiter{
 		ID: j.about.ID, Service: j.service, Adapter: j.adapter, Urgency: j.urgency(),
-		Tokens: j.about.PromptTokens, GiveUp: until.Add(-reserve(j, until)), Avoid: j.avoid,
-		Dispensed: j.dispensed,
+		Tokens: j.about.PromptTokens, Deadline: until.Add(-reserve(j, until)), Avoid: j.avoid,
+		UsesSlotGrants: j.dispensed,
 	}
 	decided := make(chan balancer.Decision, 1)
 	began := f.Clock.Now()
@@ -241,7 +241,7 @@
 	select {
 	case d := <-decided:
 		j.waited += f.Clock.Since(began)
-		j.course.lacked = j.course.lacked || w.Lacked()
+		j.course.lacked = j.course.lacked || w.WaitedForAdapter()
 		return d, true
 	case <-ctx.Done():
 	}
--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -38,16 +38,16 @@
 	began := f.Clock.Now()
 	f.mu.Lock()
 	need := f.need(j.service)
-	paced, seen := need.Paces(began), need.Seen(began)
-	eventTime := f.balancer.EventTime(backend.GetId())
+	paced, seen := need.Active(began), need.PausesObserved(began)
+	eventTime := f.balancer.EventInterval(backend.GetId())
 	f.mu.Unlock()
 	if !paced {
 		return true
 	}
-	answer := f.Regulator.Ask(ctx, &regulator.Prompt{Backend: backend.GetId(), Seen: seen, Ask: pacer.Ask{
+	answer := f.Regulator.Acquire(ctx, &regulator.Prompt{Backend: backend.GetId(), PausesObserved: seen, GrantRequest: pacer.GrantRequest{
 		Tokens: j.about.PromptTokens, Urgency: j.route.GetPriority(), ReceivedAt: j.req.ReceivedAt,
-		InTimeUntil: j.inTimeUntil(),
-		Pause:       milliseconds(j.route.GetPauseObjectiveMs()), EventTime: eventTime,
+		OnTimeUntil: j.inTimeUntil(),
+		MaxPause:    milliseconds(j.route.GetPauseObjectiveMs()), EventInterval: eventTime,
 	}}, min(askFor, max(0, j.sendBy.Sub(began))))
 	now := f.Clock.Now()
 	j.waited += now.Sub(began)
@@ -62,10 +62,10 @@
 }
 
 // need tells whether prompts for a service are paced. The caller holds the lock.
-func (f *Forwarder) need(service string) *pacer.Need {
+func (f *Forwarder) need(service string) *pacer.Activation {
 	n := f.needs[service]
 	if n == nil {
-		n = &pacer.Need{}
+		n = &pacer.Activation{}
 		f.needs[service] = n
 	}
 	return n
@@ -78,7 +78,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if service := f.balancer.ServiceOf(backend); service != "" {
-		f.need(service).Hear(now, gateway)
+		f.need(service).ObservePeer(now, gateway)
 	}
 }
 
@@ -93,9 +93,9 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	need := f.need(j.service)
-	before := need.Seen(now)
-	need.Note(now, paused)
-	if !before && need.Seen(now) {
+	before := need.PausesObserved(now)
+	need.ObserveStream(now, paused)
+	if !before && need.PausesObserved(now) {
 		f.Log.Info("prompts are paced, since streams pause for too long", "Service", j.service)
 	}
 }
@@ -110,7 +110,7 @@
 	}
 	if gap > 0 && !first && j.mayBePaced() {
 		f.mu.Lock()
-		f.balancer.NoteGap(j.last.GetId(), gap)
+		f.balancer.ObserveEventGap(j.last.GetId(), gap)
 		f.mu.Unlock()
 	}
 }
@@ -122,7 +122,7 @@
 	if j.prompt == nil {
 		return
 	}
-	f.Regulator.End(j.prompt.backend, j.prompt.key, read)
+	f.Regulator.Release(j.prompt.backend, j.prompt.key, read)
 	j.prompt = nil
 }
 
--- a/gateway/forwarder/slot.go
+++ b/gateway/forwarder/slot.go
@@ -43,10 +43,10 @@
 	if slots == 0 {
 		slots = assumedSlots
 	}
-	answer := f.Regulator.Ask(ctx, &regulator.Prompt{
-		Backend: backend.GetId(), Slots: slots, GiveUp: j.sendBy, Elsewhere: f.maySlotElsewhere(j, backend.GetId(), began), Ask: pacer.Ask{
+	answer := f.Regulator.Acquire(ctx, &regulator.Prompt{
+		Backend: backend.GetId(), Slots: slots, Deadline: j.sendBy, HasAlternative: f.maySlotElsewhere(j, backend.GetId(), began), GrantRequest: pacer.GrantRequest{
 			Urgency: j.urgency(), ReceivedAt: j.req.ReceivedAt,
-			InTimeUntil: j.inTimeUntil(),
+			OnTimeUntil: j.inTimeUntil(),
 		},
 	}, j.slotWait(began))
 	j.waited += f.Clock.Since(began)
@@ -81,8 +81,8 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	w := &balancer.Waiter{Service: j.service, Adapter: j.adapter, Avoid: j.avoid, Dispensed: true}
-	return f.balancer.HasOther(now, w, backend)
+	w := &balancer.Waiter{Service: j.service, Adapter: j.adapter, Avoid: j.avoid, UsesSlotGrants: true}
+	return f.balancer.HasAlternative(now, w, backend)
 }
 
 // refuseSlot gives up a choice whose backend server had no slot, and reports whether another
--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -36,26 +36,26 @@
 	defer r.endTrial(e)
 	r.Retries.Earn()
 	unsure := false
-	candidate, refusal := r.Scheduler.Enter(ctx, e.job)
+	candidate, refusal := r.Scheduler.Acquire(ctx, e.job)
 	for n := 0; refusal == nil; n++ {
 		r.noteAssigned(e, candidate)
 		if p := r.heldBack(e); p != nil {
 			// What it waited for has shown meanwhile that it ends backend servers.
-			r.Scheduler.Leave(e.job, false)
+			r.Scheduler.Complete(e.job, false)
 			return unlessRun(ctx, unsure, p)
 		}
 		e.sentAt = r.Clock.Now()
 		s := attempt(ctx, candidate, n)
 		unsure = unsure || s.unsure
 		if s.final {
-			r.Scheduler.Leave(e.job, s.failed)
+			r.Scheduler.Complete(e.job, s.failed)
 			return s.problem
 		}
 		if !r.Retries.Spend(ctx, n, e.job.Deadline) {
-			r.Scheduler.Leave(e.job, s.failed)
+			r.Scheduler.Complete(e.job, s.failed)
 			return unlessRun(ctx, unsure, refused(&scheduler.Refusal{Reason: scheduler.NoBackend, RetryAfter: retryAfterFault}))
 		}
-		candidate, refusal = r.Scheduler.Again(ctx, e.job, s.failed, s.missing)
+		candidate, refusal = r.Scheduler.Reassign(ctx, e.job, s.failed, s.missing)
 	}
 	return unlessRun(ctx, unsure, refused(refusal))
 }
--- a/gateway/regulator/peer.go
+++ b/gateway/regulator/peer.go
@@ -51,9 +51,9 @@
 	return best
 }
 
-// Ranked returns the first two gateways in the order of owner, whether they answer or not;
+// RankedOwners returns the first two gateways in the order of owner, whether they answer or not;
 // "" where there is none.
-func (r *Regulator) Ranked(backend string) (first, second string) {
+func (r *Regulator) RankedOwners(backend string) (first, second string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	highest, next := uint64(0), uint64(0)
@@ -108,7 +108,7 @@
 		return
 	}
 	p.failures++
-	p.aloneUntil = now.Add(retrier.Backoff{First: firstAlone, Most: longestAlone}.Wait(p.failures, 0))
+	p.aloneUntil = now.Add(retrier.Backoff{Initial: firstAlone, Max: longestAlone}.Delay(p.failures, 0))
 	r.Log.Info("owner of engines does not answer", "Gateway", address, "Error", err.Error())
 }
 
--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -16,8 +16,8 @@
 	"github.com/jonboulle/clockwork"
 
 	"bronzelead.example/pkg/connector"
-	"bronzelead.example/pkg/dispenser"
 	"bronzelead.example/pkg/pacer"
+	"bronzelead.example/pkg/slotgranter"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -47,9 +47,9 @@
 	Log   *slog.Logger
 	// Self is where the other gateways reach this one.
 	Self string
-	// Heard notes that another gateway paces prompts for an engine for long pauses that it has
+	// OnPeerPauses notes that another gateway paces prompts for an engine for long pauses that it has
 	// seen itself.
-	Heard func(backend, gateway string)
+	OnPeerPauses func(backend, gateway string)
 
 	asks  atomic.Uint64
 	mu    sync.Mutex
@@ -68,7 +68,7 @@
 	grantLater func(at time.Time)
 	pacer      pacer.Pacer
 	// dispenser gives out the slots of a plain service's backend server.
-	dispenser dispenser.Dispenser
+	dispenser slotgranter.Dispenser
 	// waiting are the channels on which the asks that wait hear whether they are granted.
 	waiting map[string]chan bool
 	askedAt time.Time
@@ -81,25 +81,25 @@
 // Prompt is what is to be sent to an engine.
 type Prompt struct {
 	Backend string
-	// Seen is set if this gateway has seen long pauses itself.
-	Seen bool
+	// PausesObserved is set if this gateway has seen long pauses itself.
+	PausesObserved bool
 	// Ask is what its engine's pacer is asked; its key is set by Ask.
-	pacer.Ask
+	pacer.GrantRequest
 	// Slots is set for a request of a plain service: the number that its backend server runs
 	// at once. GiveUp is when it is no use to wait longer.
-	Slots  int
-	GiveUp time.Time
-	// Elsewhere is set if another backend server can be asked next.
-	Elsewhere bool
+	Slots    int
+	Deadline time.Time
+	// HasAlternative is set if another backend server can be asked next.
+	HasAlternative bool
 }
 
 // slot returns what the dispenser is asked for a request of a plain service.
-func (p *Prompt) slot() dispenser.Ask {
-	return dispenser.Ask{Key: p.Key, Urgency: p.Urgency, InTimeUntil: p.InTimeUntil, GiveUp: p.GiveUp, Slots: p.Slots, Elsewhere: p.Elsewhere}
+func (p *Prompt) slot() slotgranter.Ask {
+	return slotgranter.Ask{Key: p.Key, Urgency: p.Urgency, InTimeUntil: p.OnTimeUntil, GiveUp: p.Deadline, Slots: p.Slots, Elsewhere: p.HasAlternative}
 }
 
-// Answer is what became of an ask.
-type Answer struct {
+// Result is what became of an ask.
+type Result struct {
 	// Granted means that the prompt may be sent.
 	Granted bool
 	// Key names the prompt for End.
@@ -118,10 +118,10 @@
 	r.lists = map[string][]string{}
 }
 
-// Hear takes a controller's list of gateways. The leader's counts. Before a leader is known
+// UpdateGateways takes a controller's list of gateways. The leader's counts. Before a leader is known
 // the longest does: after the loss of everything many requests come at once, and gateways
 // that did not know each other then would each send theirs.
-func (r *Regulator) Hear(controller string, res *wire.SyncResponse) {
+func (r *Regulator) UpdateGateways(controller string, res *wire.SyncResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if list := res.GetGatewayList(); len(list) > 0 {
@@ -192,8 +192,8 @@
 		"ServiceUs", s.Service.Microseconds())
 }
 
-// Ask waits until the prompt may be sent, or for a time at most.
-func (r *Regulator) Ask(ctx context.Context, p *Prompt, wait time.Duration) Answer {
+// Acquire waits until the prompt may be sent, or for a time at most.
+func (r *Regulator) Acquire(ctx context.Context, p *Prompt, wait time.Duration) Result {
 	// Ids of requests are the callers' to choose, and would not tell two of them apart.
 	p.Key = r.Self + "/" + strconv.FormatUint(r.asks.Add(1), 10)
 	for range maxAsked {
@@ -208,9 +208,9 @@
 	return r.wait(ctx, p, wait)
 }
 
-// End notes that an engine has a prompt to read no longer: its first event has come, or it
+// Release notes that an engine has a prompt to read no longer: its first event has come, or it
 // has failed.
-func (r *Regulator) End(backend, key string, read bool) {
+func (r *Regulator) Release(backend, key string, read bool) {
 	address := r.owner(backend)
 	if address == r.Self || address == "" {
 		r.end(backend, key, read)
@@ -232,14 +232,14 @@
 }
 
 // wait is Ask at the owner.
-func (r *Regulator) wait(ctx context.Context, p *Prompt, wait time.Duration) Answer {
+func (r *Regulator) wait(ctx context.Context, p *Prompt, wait time.Duration) Result {
 	decided := make(chan bool, 1)
 	r.mu.Lock()
 	e := r.engine(p.Backend)
 	e.askedAt = r.Clock.Now()
 	if !e.add(e.askedAt, p) {
 		defer r.mu.Unlock()
-		return Answer{Backlog: e.backlog(p), Slow: p.Elsewhere && e.dispenser.TooSlow(e.askedAt, p.slot())}
+		return Result{Backlog: e.backlog(p), Slow: p.HasAlternative && e.dispenser.TooSlow(e.askedAt, p.slot())}
 	}
 	e.waiting[p.Key] = decided
 	e.grant(e.askedAt)
@@ -247,14 +247,14 @@
 	r.mu.Unlock()
 	select {
 	case granted := <-decided:
-		return Answer{Granted: granted, Key: p.Key, Backlog: backlog}
+		return Result{Granted: granted, Key: p.Key, Backlog: backlog}
 	default:
 	}
 	timer := r.Clock.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case granted := <-decided:
-		return Answer{Granted: granted, Key: p.Key, Backlog: backlog}
+		return Result{Granted: granted, Key: p.Key, Backlog: backlog}
 	case <-ctx.Done():
 	case <-timer.Chan():
 	}
@@ -264,13 +264,13 @@
 		// It was decided meanwhile, or a call that came twice has taken its place.
 		select {
 		case granted := <-decided:
-			return Answer{Granted: granted, Key: p.Key, Backlog: backlog}
+			return Result{Granted: granted, Key: p.Key, Backlog: backlog}
 		default:
-			return Answer{Granted: true, Key: p.Key, Backlog: backlog}
+			return Result{Granted: true, Key: p.Key, Backlog: backlog}
 		}
 	}
 	delete(e.waiting, p.Key)
-	return Answer{Backlog: e.backlog(p)}
+	return Result{Backlog: e.backlog(p)}
 }
 
 // add lets a request wait, and reports whether it does.
@@ -278,7 +278,7 @@
 	if p.Slots > 0 {
 		return e.dispenser.Add(now, p.slot())
 	}
-	e.pacer.Add(p.Ask)
+	e.pacer.Add(p.GrantRequest)
 	return true
 }
 
@@ -365,13 +365,13 @@
 func (s *Server) Admit(ctx context.Context, req *wire.AdmitRequest) (*wire.AdmitResponse, error) {
 	r := s.Regulator
 	now := r.Clock.Now()
-	if req.GetSeen() && r.Heard != nil {
-		r.Heard(req.GetBackend(), req.GetGateway())
+	if req.GetSeen() && r.OnPeerPauses != nil {
+		r.OnPeerPauses(req.GetBackend(), req.GetGateway())
 	}
-	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), GiveUp: now.Add(milliseconds(req.GetGiveUpMs())), Elsewhere: req.GetElsewhere(), Ask: pacer.Ask{
+	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), Deadline: now.Add(milliseconds(req.GetGiveUpMs())), HasAlternative: req.GetElsewhere(), GrantRequest: pacer.GrantRequest{
 		Key: req.GetKey(), Tokens: int(req.GetTokens()), Urgency: req.GetUrgency(),
-		ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())), InTimeUntil: now.Add(milliseconds(req.GetInTimeForMs())),
-		Pause: milliseconds(req.GetPauseMs()), EventTime: time.Duration(req.GetEventUs()) * time.Microsecond,
+		ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())), OnTimeUntil: now.Add(milliseconds(req.GetInTimeForMs())),
+		MaxPause: milliseconds(req.GetPauseMs()), EventInterval: time.Duration(req.GetEventUs()) * time.Microsecond,
 	}}, milliseconds(req.GetWaitMs()))
 	return &wire.AdmitResponse{Granted: answer.Granted, BacklogMs: uint32(answer.Backlog.Milliseconds()), Slow: answer.Slow}, nil
 }
@@ -387,20 +387,20 @@
 func milliseconds[T uint32 | int32](n T) time.Duration { return time.Duration(n) * time.Millisecond }
 
 // askPeer asks another gateway. It reports false if that one does not answer.
-func (r *Regulator) askPeer(ctx context.Context, address string, p *Prompt, wait time.Duration) (Answer, bool) {
+func (r *Regulator) askPeer(ctx context.Context, address string, p *Prompt, wait time.Duration) (Result, bool) {
 	now := r.Clock.Now()
 	client := &connector.Client{Timeout: wait + answerMargin, Transport: r.peer(address).transport}
 	res, err := wire.NewPacingProtobufClient("http://"+address, client).Admit(ctx, &wire.AdmitRequest{
 		Backend: p.Backend, Key: p.Key, Tokens: uint32(p.Tokens), Urgency: p.Urgency,
-		AgeMs: uint32(now.Sub(p.ReceivedAt).Milliseconds()), InTimeForMs: int32(p.InTimeUntil.Sub(now).Milliseconds()),
-		PauseMs: uint32(p.Pause.Milliseconds()), WaitMs: uint32(wait.Milliseconds()),
-		EventUs: uint32(p.EventTime.Microseconds()), Gateway: r.Self, Seen: p.Seen,
-		Slots: uint32(p.Slots), GiveUpMs: uint32(max(0, p.GiveUp.Sub(now).Milliseconds())), Elsewhere: p.Elsewhere,
+		AgeMs: uint32(now.Sub(p.ReceivedAt).Milliseconds()), InTimeForMs: int32(p.OnTimeUntil.Sub(now).Milliseconds()),
+		PauseMs: uint32(p.MaxPause.Milliseconds()), WaitMs: uint32(wait.Milliseconds()),
+		EventUs: uint32(p.EventInterval.Microseconds()), Gateway: r.Self, Seen: p.PausesObserved,
+		Slots: uint32(p.Slots), GiveUpMs: uint32(max(0, p.Deadline.Sub(now).Milliseconds())), Elsewhere: p.HasAlternative,
 	})
 	if err != nil {
 		r.unanswered(ctx, address, err)
-		return Answer{}, false
+		return Result{}, false
 	}
 	r.answered(address)
-	return Answer{Granted: res.GetGranted(), Key: p.Key, Backlog: milliseconds(res.GetBacklogMs()), Slow: res.GetSlow()}, true
+	return Result{Granted: res.GetGranted(), Key: p.Key, Backlog: milliseconds(res.GetBacklogMs()), Slow: res.GetSlow()}, true
 }
--- a/gateway/regulator/regulator_test.go
+++ b/gateway/regulator/regulator_test.go
@@ -41,7 +41,7 @@
 		all, addresses = append(all, r), append(addresses, r.Self)
 	}
 	for _, r := range all {
-		r.Hear("controller", listOf(addresses))
+		r.UpdateGateways("controller", listOf(addresses))
 	}
 	return all, addresses
 }
@@ -63,8 +63,8 @@
 // large is a prompt beside which no other fits.
 func large(backend string) *Prompt {
 	now := time.Now()
-	return &Prompt{Backend: backend, Ask: pacer.Ask{
-		Tokens: 1 << 20, ReceivedAt: now, InTimeUntil: now.Add(time.Minute), Pause: 300 * time.Millisecond,
+	return &Prompt{Backend: backend, GrantRequest: pacer.GrantRequest{
+		Tokens: 1 << 20, ReceivedAt: now, OnTimeUntil: now.Add(time.Minute), MaxPause: 300 * time.Millisecond,
 	}}
 }
 
@@ -75,10 +75,10 @@
 		addresses = append(addresses, fmt.Sprintf("10.0.%d.1:80", i))
 	}
 	a, b := newRegulator(addresses[0]), newRegulator(addresses[1])
-	a.Hear("controller", listOf(addresses))
-	b.Hear("controller", listOf(addresses))
+	a.UpdateGateways("controller", listOf(addresses))
+	b.UpdateGateways("controller", listOf(addresses))
 	lost := newRegulator(addresses[0])
-	lost.Hear("controller", listOf(addresses[:6]))
+	lost.UpdateGateways("controller", listOf(addresses[:6]))
 	engines := map[string]int{}
 	for i := range 700 {
 		id := fmt.Sprint("engine-", i)
@@ -99,7 +99,7 @@
 func TestWhoseListCounts(t *testing.T) {
 	hear := func(controller string, leads bool, addresses ...string) func(*Regulator) {
 		return func(r *Regulator) {
-			r.Hear(controller, &wire.SyncResponse{Leads: leads, GatewayList: entries(addresses)})
+			r.UpdateGateways(controller, &wire.SyncResponse{Leads: leads, GatewayList: entries(addresses)})
 		}
 	}
 	for name, test := range map[string]struct {
@@ -132,12 +132,12 @@
 			all, addresses := gateways(c, 3)
 			for _, address := range addresses {
 				id := engineOf(all[0], address)
-				first := all[0].Ask(context.Background(), large(id), longWait)
+				first := all[0].Acquire(context.Background(), large(id), longWait)
 				c.Assert(first.Granted, qt.IsTrue)
-				c.Assert(all[1].Ask(context.Background(), large(id), 0).Granted, qt.IsFalse)
+				c.Assert(all[1].Acquire(context.Background(), large(id), 0).Granted, qt.IsFalse)
 				granted := make(chan bool)
-				go func() { granted <- all[2].Ask(context.Background(), large(id), longWait).Granted }()
-				all[0].End(id, first.Key, read)
+				go func() { granted <- all[2].Acquire(context.Background(), large(id), longWait).Granted }()
+				all[0].Release(id, first.Key, read)
 				c.Check(<-granted, qt.IsTrue)
 			}
 		})
@@ -150,20 +150,20 @@
 	c := qt.New(t)
 	all, addresses := gateways(c, 2)
 	const nobody = "127.0.0.1:1"
-	all[0].Hear("controller", listOf(append(addresses, nobody)))
+	all[0].UpdateGateways("controller", listOf(append(addresses, nobody)))
 	id := engineOf(all[0], nobody)
-	c.Check(all[0].Ask(context.Background(), large(id), longWait).Granted, qt.IsTrue)
+	c.Check(all[0].Acquire(context.Background(), large(id), longWait).Granted, qt.IsTrue)
 	c.Check(all[0].owner(id), qt.Not(qt.Equals), nobody)
-	c.Check(all[0].Ask(context.Background(), large(id), 0).Granted, qt.IsFalse)
+	c.Check(all[0].Acquire(context.Background(), large(id), 0).Granted, qt.IsFalse)
 }
 
 // With nobody left to ask a gateway paces for itself.
 func TestAGatewayAloneStillPaces(t *testing.T) {
 	c := qt.New(t)
 	r := newRegulator("self")
-	r.Hear("controller", listOf([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"}))
-	c.Check(r.Ask(context.Background(), large("engine"), longWait).Granted, qt.IsTrue)
-	c.Check(r.Ask(context.Background(), large("engine"), 0).Granted, qt.IsFalse)
+	r.UpdateGateways("controller", listOf([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"}))
+	c.Check(r.Acquire(context.Background(), large("engine"), longWait).Granted, qt.IsTrue)
+	c.Check(r.Acquire(context.Background(), large("engine"), 0).Granted, qt.IsFalse)
 }
 
 // A call that comes twice, with one key, ends no process and holds up nobody.
@@ -209,18 +209,18 @@
 	c := qt.New(t)
 	all, addresses := gateways(c, 2)
 	id := engineOf(all[0], addresses[1])
-	first := all[0].Ask(context.Background(), large(id), longWait)
+	first := all[0].Acquire(context.Background(), large(id), longWait)
 	c.Assert(first.Granted, qt.IsTrue)
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
-		all[0].Ask(ctx, large(id), longWait)
+		all[0].Acquire(ctx, large(id), longWait)
 		close(ended)
 	}()
 	cancel()
 	<-ended
-	all[0].End(id, first.Key, true)
-	c.Check(all[0].Ask(context.Background(), large(id), longWait).Granted, qt.IsTrue)
+	all[0].Release(id, first.Key, true)
+	c.Check(all[0].Acquire(context.Background(), large(id), longWait).Granted, qt.IsTrue)
 }
 
 func TestEnginesThatNobodyAsksForAreForgotten(t *testing.T) {
@@ -228,8 +228,8 @@
 	clock := clockwork.NewFakeClock()
 	r := newRegulator("self")
 	r.Clock = clock
-	answer := r.Ask(context.Background(), large("engine"), longWait)
-	r.End("engine", answer.Key, true)
+	answer := r.Acquire(context.Background(), large("engine"), longWait)
+	r.Release("engine", answer.Key, true)
 	r.look()
 	c.Check(r.engines, qt.HasLen, 1)
 	clock.Advance(keepFor + time.Second)
@@ -251,15 +251,15 @@
 	clock := clockwork.NewFakeClock()
 	r := newRegulator("self")
 	r.Clock = clock
-	ask := func(urgency uint32) Answer {
+	ask := func(urgency uint32) Result {
 		now := clock.Now()
-		return r.Ask(context.Background(), &Prompt{Backend: "b", Slots: 1, GiveUp: now.Add(time.Hour), Ask: pacer.Ask{
-			Urgency: urgency, ReceivedAt: now, InTimeUntil: now.Add(100 * time.Millisecond),
+		return r.Acquire(context.Background(), &Prompt{Backend: "b", Slots: 1, Deadline: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
+			Urgency: urgency, ReceivedAt: now, OnTimeUntil: now.Add(100 * time.Millisecond),
 		}}, time.Hour)
 	}
 	c.Assert(ask(0).Granted, qt.IsTrue)
 	c.Assert(ask(0).Granted, qt.IsTrue)
-	answers := make(chan Answer)
+	answers := make(chan Result)
 	go func() { answers <- ask(1) }()
 	for r.Waiting() == 0 {
 		runtime.Gosched()
@@ -273,8 +273,8 @@
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			r.Ask(ctx, &Prompt{Backend: "b", Slots: 1, GiveUp: now.Add(time.Hour), Ask: pacer.Ask{
-				ReceivedAt: now, InTimeUntil: now.Add(100 * time.Millisecond),
+			r.Acquire(ctx, &Prompt{Backend: "b", Slots: 1, Deadline: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
+				ReceivedAt: now, OnTimeUntil: now.Add(100 * time.Millisecond),
 			}}, time.Hour)
 		}()
 		for r.Waiting() == waiting && !refused {
--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -87,7 +87,7 @@
 		address := r.Controllers.Current()
 		res, err := r.control(address).Open(ctx, req)
 		if err == nil {
-			r.Scheduler.Opened(res.GetSession(), time.Duration(res.GetLeaseNs()))
+			r.Scheduler.BeginSession(res.GetSession(), time.Duration(res.GetLeaseNs()))
 			r.Log.Info("a session is open", "Session", res.GetSession())
 			return res.GetSession(), true
 		}
@@ -104,7 +104,7 @@
 	full := true
 	for {
 		sent := r.Clock.Now()
-		req := r.Scheduler.Build(full)
+		req := r.Scheduler.BuildRenewal(full)
 		reported := r.report(req)
 		address := r.Controllers.Current()
 		res, err := r.control(address).Renew(ctx, req)
@@ -121,11 +121,11 @@
 			continue
 		case res.GetEnded():
 			r.Log.Warn("the session has ended", "Session", id)
-			r.Scheduler.Ended()
+			r.Scheduler.EndSession()
 			return false
 		}
 		r.noteAnswer(res, reported)
-		r.Scheduler.Absorb(sent, res)
+		r.Scheduler.ApplyRenewal(sent, res)
 		full = res.GetNeedFull()
 		if full {
 			continue
--- a/gateway/scheduler/scheduler.go
+++ b/gateway/scheduler/scheduler.go
@@ -94,8 +94,8 @@
 	Log       *slog.Logger
 	Registrar *registrar.Registrar
 	Router    *router.Router
-	// Wake asks for a renewal soon; it must not block.
-	Wake func()
+	// RequestRenewal asks for a renewal soon; it must not block.
+	RequestRenewal func()
 
 	calls     chan func(now time.Time)
 	admitter  *admitter.Admitter
@@ -135,9 +135,9 @@
 	}
 }
 
-// Live reports whether the gateway's session lets it send work. It may be called
+// HasLiveSession reports whether the gateway's session lets it send work. It may be called
 // from any goroutine, directly before bytes are written.
-func (s *Scheduler) Live() bool { return s.liveAt(s.Clock.Now()) }
+func (s *Scheduler) HasLiveSession() bool { return s.liveAt(s.Clock.Now()) }
 
 func (s *Scheduler) liveAt(now time.Time) bool {
 	return int64(now.Sub(s.origin)) < s.until.Load()
@@ -146,17 +146,17 @@
 // ErrNoSession is what Guard returns without a live session.
 var ErrNoSession = errors.New("scheduler: no live session; nothing was sent")
 
-// Guard returns an error unless the session is live.
-func (s *Scheduler) Guard() error {
-	if !s.Live() {
+// CheckSession returns an error unless the session is live.
+func (s *Scheduler) CheckSession() error {
+	if !s.HasLiveSession() {
 		return ErrNoSession
 	}
 	return nil
 }
 
-// Enter waits until a job may go to a backend server. Exactly one of the results is
+// Acquire waits until a job may go to a backend server. Exactly one of the results is
 // set. After a candidate was returned, Leave must be called.
-func (s *Scheduler) Enter(ctx context.Context, j *Job) (*router.Candidate, *Refusal) {
+func (s *Scheduler) Acquire(ctx context.Context, j *Job) (*router.Candidate, *Refusal) {
 	j.answer = make(chan verdict, 1)
 	if !s.try(func(now time.Time) { s.arrive(now, j) }) {
 		return nil, &Refusal{Reason: Overloaded, RetryAfter: time.Second}
@@ -164,9 +164,9 @@
 	return s.await(ctx, j)
 }
 
-// Again asks for another backend server for a job whose request did not run at the
+// Reassign asks for another backend server for a job whose request did not run at the
 // last one. The job keeps its place in the customer's limit.
-func (s *Scheduler) Again(ctx context.Context, j *Job, failed, missing bool) (*router.Candidate, *Refusal) {
+func (s *Scheduler) Reassign(ctx context.Context, j *Job, failed, missing bool) (*router.Candidate, *Refusal) {
 	ok := s.try(func(now time.Time) {
 		s.end(now, j, failed, missing)
 		j.Want.Avoid = append(j.Want.Avoid, j.current.Backend.GetName())
@@ -190,9 +190,9 @@
 	return nil, &Refusal{Reason: CallerGone}
 }
 
-// Leave ends a job that went to a backend server. Failed marks that server as one
+// Complete ends a job that went to a backend server. Failed marks that server as one
 // to try last.
-func (s *Scheduler) Leave(j *Job, failed bool) {
+func (s *Scheduler) Complete(j *Job, failed bool) {
 	s.call(func(now time.Time) {
 		s.end(now, j, failed, false)
 		s.leave(now, j)
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -16,9 +16,9 @@
 	lease    time.Duration
 }
 
-// Opened begins a new session: nothing is held under it yet. Requests under an
+// BeginSession begins a new session: nothing is held under it yet. Requests under an
 // earlier one go on until they end.
-func (s *Scheduler) Opened(id uint64, lease time.Duration) {
+func (s *Scheduler) BeginSession(id uint64, lease time.Duration) {
 	s.wait(func(time.Time) {
 		s.session = session{id: id, lease: lease, revision: s.session.revision}
 		s.current.Store(id)
@@ -29,8 +29,8 @@
 	})
 }
 
-// Build makes the next renewal. With full set it lists all that the session holds.
-func (s *Scheduler) Build(full bool) *wire.RenewRequest {
+// BuildRenewal makes the next renewal. With full set it lists all that the session holds.
+func (s *Scheduler) BuildRenewal(full bool) *wire.RenewRequest {
 	req := &wire.RenewRequest{Full: full}
 	s.wait(func(time.Time) {
 		s.session.sequence++
@@ -56,8 +56,8 @@
 	return req
 }
 
-// Absorb takes in the answer to a renewal that was sent at a time.
-func (s *Scheduler) Absorb(sent time.Time, res *wire.RenewResponse) {
+// ApplyRenewal takes in the answer to a renewal that was sent at a time.
+func (s *Scheduler) ApplyRenewal(sent time.Time, res *wire.RenewResponse) {
 	s.wait(func(now time.Time) {
 		s.session.term = res.GetTerm()
 		if res.GetNeedFull() {
@@ -90,26 +90,26 @@
 	s.until.Store(max(s.until.Load(), int64(sent.Add(lease).Sub(s.origin))))
 }
 
-// Ended takes note that the leader has ended the session.
-func (s *Scheduler) Ended() {
+// EndSession takes note that the leader has ended the session.
+func (s *Scheduler) EndSession() {
 	s.wait(func(now time.Time) {
 		s.until.Store(0)
 		s.refuseAll(now, &Refusal{Reason: NoQuorum, RetryAfter: noSessionFor})
 	})
 }
 
-// Announce takes in what a backend server tells of itself, for the next renewal.
-func (s *Scheduler) Announce(b *wire.Backend) {
+// AddAnnouncement takes in what a backend server tells of itself, for the next renewal.
+func (s *Scheduler) AddAnnouncement(b *wire.Backend) {
 	s.call(func(time.Time) {
 		s.announced[b.GetName()] = b
 		if b.GetLeaving() {
-			s.Wake()
+			s.RequestRenewal()
 		}
 	})
 }
 
-// Session returns the id of the present session.
-func (s *Scheduler) Session() uint64 { return s.current.Load() }
+// SessionID returns the id of the present session.
+func (s *Scheduler) SessionID() uint64 { return s.current.Load() }
 
 // Stop refuses new requests from here on; those that were taken in are finished.
 func (s *Scheduler) Stop() {
--- a/pkg/balancer/ablation_test.go
+++ b/pkg/balancer/ablation_test.go
@@ -43,7 +43,7 @@
 				test.prepare(b)
 				waiters := make([]*Waiter, 0, len(test.waiters))
 				for _, w := range test.waiters {
-					waiters = append(waiters, &Waiter{ID: w.ID, Service: w.Service, Adapter: w.Adapter, Urgency: w.Urgency, GiveUp: w.GiveUp, Avoid: w.Avoid})
+					waiters = append(waiters, &Waiter{ID: w.ID, Service: w.Service, Adapter: w.Adapter, Urgency: w.Urgency, Deadline: w.Deadline, Avoid: w.Avoid})
 				}
 				c.Check(decide(b, begin(), waiters...)["w"], qt.Equals, want, qt.Commentf("off: %v", isOff))
 			}
@@ -67,7 +67,7 @@
 			got := map[string]bool{}
 			for i := range 100 {
 				b := newBalancer("a", "b", "d")
-				b.Announce(begin(), &wire.Announcement{Id: "c", Service: "s", Address: "c", Zone: "elsewhere", Slots: 4, Sequence: 1})
+				b.UpdateBackend(begin(), &wire.Announcement{Id: "c", Service: "s", Address: "c", Zone: "elsewhere", Slots: 4, Sequence: 1})
 				b.Off = ablator.Without(test.off...)
 				b.SetLoads([]*wire.Load{{Backend: "b", Requests: 1}, {Backend: "d", Requests: 3}})
 				got[decide(b, begin().Add(time.Duration(i)), waiter("w"))["w"]] = true
--- a/pkg/balancer/backend.go
+++ b/pkg/balancer/backend.go
@@ -114,8 +114,8 @@
 	leastGap = 2 * time.Millisecond
 )
 
-// NoteGap takes the time between two events of a stream.
-func (b *Balancer) NoteGap(id string, gap time.Duration) {
+// ObserveEventGap takes the time between two events of a stream.
+func (b *Balancer) ObserveEventGap(id string, gap time.Duration) {
 	k := b.backends[id]
 	switch {
 	case k == nil || gap < leastGap:
@@ -128,9 +128,9 @@
 	}
 }
 
-// EventTime returns about the time between two events of a stream at a backend server while
+// EventInterval returns about the time between two events of a stream at a backend server while
 // it reads no prompt; 0 if it is not known.
-func (b *Balancer) EventTime(id string) time.Duration {
+func (b *Balancer) EventInterval(id string) time.Duration {
 	if k := b.backends[id]; k != nil {
 		return k.eventTime
 	}
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -83,13 +83,13 @@
 	Urgency uint32
 	// Tokens is the size of the prompt.
 	Tokens int
-	// GiveUp is when it is no use to wait longer.
-	GiveUp time.Time
+	// Deadline is when it is no use to wait longer.
+	Deadline time.Time
 	// Avoid are backend servers that have failed this request.
 	Avoid []string
-	// Dispensed is set if the backend server's slots are given out elsewhere, so that what is
+	// UsesSlotGrants is set if the backend server's slots are given out elsewhere, so that what is
 	// known here of its room does not count.
-	Dispensed bool
+	UsesSlotGrants bool
 
 	order uint64
 	// declined is set once the leader has said that the adapter does not come in time.
@@ -98,8 +98,8 @@
 	lacked bool
 }
 
-// Lacked reports whether the request has waited for its adapter, and not only for a place.
-func (w *Waiter) Lacked() bool { return w.lacked }
+// WaitedForAdapter reports whether the request has waited for its adapter, and not only for a place.
+func (w *Waiter) WaitedForAdapter() bool { return w.lacked }
 
 // Weight returns how much load a request adds to a backend server.
 func Weight(tokens int) float64 { return 1 + float64(tokens)/tokensPerUnit }
@@ -125,9 +125,9 @@
 	ReasonLimited   = "the backend servers' request limits have no room in time"
 )
 
-// Announce takes what is known of a backend server. Silent counts only from a
+// UpdateBackend takes what is known of a backend server. Silent counts only from a
 // controller that hears the others, which is for the caller to check.
-func (b *Balancer) Announce(now time.Time, a *wire.Announcement) {
+func (b *Balancer) UpdateBackend(now time.Time, a *wire.Announcement) {
 	if b.backends == nil {
 		b.backends, b.byService = map[string]*backend{}, map[string][]*backend{}
 	}
@@ -148,8 +148,8 @@
 	}
 }
 
-// Left takes out a backend server that turned out to be no more.
-func (b *Balancer) Left(id string) {
+// RemoveBackend takes out a backend server that turned out to be no more.
+func (b *Balancer) RemoveBackend(id string) {
 	if known := b.backends[id]; known != nil {
 		b.drop(known)
 	}
@@ -161,8 +161,8 @@
 	b.byService[service] = slices.DeleteFunc(b.byService[service], func(o *backend) bool { return o == gone })
 }
 
-// SetHolding takes what the leader of a term says that an engine holds.
-func (b *Balancer) SetHolding(term uint64, h *wire.Holding) {
+// SetLoadedAdapters takes what the leader of a term says that an engine holds.
+func (b *Balancer) SetLoadedAdapters(term uint64, h *wire.Holding) {
 	known := b.backends[h.GetBackend()]
 	if known == nil || term < b.term {
 		return
@@ -328,11 +328,11 @@
 	if w.declined && len(holders) == 0 {
 		return &Decision{Waiter: w, Reason: ReasonDeclined, RetryAfter: b.spread(retryWhenDeclined)}
 	}
-	over := !now.Before(w.GiveUp)
+	over := !now.Before(w.Deadline)
 	at, limited := roomAgain(now, holders)
 	elsewhere := w.Adapter != "" && len(others) > 0
 	switch {
-	case limited && (over || !elsewhere && !at.Before(w.GiveUp)):
+	case limited && (over || !elsewhere && !at.Before(w.Deadline)):
 		return &Decision{Waiter: w, Reason: ReasonLimited, RetryAfter: at.Sub(now)}
 	case over && len(holders) == 0 && w.Adapter != "":
 		return &Decision{Waiter: w, Reason: ReasonNoAdapter, RetryAfter: retryForAdapter}
@@ -348,7 +348,7 @@
 func (b *Balancer) Decline(adapter string) {
 	last := b.wanted[adapter]
 	for _, w := range b.queue {
-		if w.Adapter == adapter && !w.GiveUp.After(last.until) {
+		if w.Adapter == adapter && !w.Deadline.After(last.until) {
 			w.declined = true
 		}
 	}
@@ -396,8 +396,8 @@
 	if b.wanted == nil {
 		b.wanted = map[string]asked{}
 	}
-	b.wanted[w.Adapter] = asked{at: now, until: w.GiveUp}
-	want := &wire.Want{Adapter: w.Adapter, LeftMs: uint32(max(1, w.GiveUp.Sub(now).Milliseconds()))}
+	b.wanted[w.Adapter] = asked{at: now, until: w.Deadline}
+	want := &wire.Want{Adapter: w.Adapter, LeftMs: uint32(max(1, w.Deadline.Sub(now).Milliseconds()))}
 	for _, k := range b.byService[w.Service] {
 		if !slices.Contains(candidates, k) {
 			want.Avoid = append(want.Avoid, k.info.GetId())
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -16,7 +16,7 @@
 func newBalancer(ids ...string) *Balancer {
 	b := &Balancer{Zone: "z"}
 	for _, id := range ids {
-		b.Announce(begin(), announcement(id))
+		b.UpdateBackend(begin(), announcement(id))
 	}
 	return b
 }
@@ -26,7 +26,7 @@
 }
 
 func waiter(id string, change ...func(*Waiter)) *Waiter {
-	w := &Waiter{ID: id, Service: "s", GiveUp: begin().Add(time.Second)}
+	w := &Waiter{ID: id, Service: "s", Deadline: begin().Add(time.Second)}
 	for _, c := range change {
 		c(w)
 	}
@@ -101,7 +101,7 @@
 	for _, id := range ids {
 		a := announcement(id)
 		a.Sequence, a.Draining = 2, true
-		b.Announce(begin(), a)
+		b.UpdateBackend(begin(), a)
 	}
 }
 
@@ -132,7 +132,7 @@
 			for _, id := range ids {
 				a := announcement(id)
 				a.Slots = 64
-				b.Announce(begin(), a)
+				b.UpdateBackend(begin(), a)
 			}
 			all = append(all, b)
 		}
@@ -153,7 +153,7 @@
 				tellLoads(all)
 			}
 			by := n * 7 % gateways
-			id := decide(all[by], now, waiter("w", func(w *Waiter) { w.GiveUp = now.Add(time.Second) }))["w"]
+			id := decide(all[by], now, waiter("w", func(w *Waiter) { w.Deadline = now.Add(time.Second) }))["w"]
 			running = append(running, run{by, id, now})
 			there := 0
 			for _, r := range running {
@@ -177,7 +177,7 @@
 	b.SetLoads([]*wire.Load{{Backend: "a", Requests: 4}, {Backend: "b", Requests: 4}})
 	chosen := map[string]int{}
 	for range 400 {
-		id := decide(b, begin(), waiter("w", func(w *Waiter) { w.Dispensed = true }))["w"]
+		id := decide(b, begin(), waiter("w", func(w *Waiter) { w.UsesSlotGrants = true }))["w"]
 		b.Done(begin(), id, "", 0, Abandoned)
 		chosen[id]++
 	}
@@ -212,11 +212,11 @@
 		"a version": func(b *Balancer) {
 			b.SetVersion(&wire.AdapterVersion{Model: "m", Adapter: "a", Version: 2})
 		},
-		"a holding": func(b *Balancer) { b.SetHolding(1, &wire.Holding{Backend: "b"}) },
+		"a holding": func(b *Balancer) { b.SetLoadedAdapters(1, &wire.Holding{Backend: "b"}) },
 		"loads":     func(b *Balancer) { b.SetLoads([]*wire.Load{{Backend: "b", Requests: 1}}) },
 		"a backlog": func(b *Balancer) { b.SetBacklog(time.Unix(1000, 0), "b", time.Second) },
 		"a departure": func(b *Balancer) {
-			b.Announce(time.Unix(1000, 0), &wire.Announcement{Id: "b", Gone: true})
+			b.UpdateBackend(time.Unix(1000, 0), &wire.Announcement{Id: "b", Gone: true})
 		},
 		"a request": func(b *Balancer) {
 			b.Enqueue(&Waiter{Service: "s", Adapter: "m/a"})
@@ -247,17 +247,17 @@
 		"the pause is over":      {map[string]time.Duration{"a": late, "b": soon}, waiter("w"), soon, "b", true},
 		"all for too long":       {map[string]time.Duration{"a": late, "b": late}, waiter("w"), 0, "refused", false},
 		"the holder, not others": {map[string]time.Duration{"a": late}, waiter("w", adapter("m/x")), 0, "waits", false},
-		"an idle slot is given":  {map[string]time.Duration{"a": late}, waiter("w", func(w *Waiter) { w.Dispensed = true }), 0, "b", true},
+		"an idle slot is given":  {map[string]time.Duration{"a": late}, waiter("w", func(w *Waiter) { w.UsesSlotGrants = true }), 0, "b", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			b := newBalancer("a", "b")
-			b.SetHolding(1, &wire.Holding{Backend: "a", Adapters: []string{"m/x@1"}})
+			b.SetLoadedAdapters(1, &wire.Holding{Backend: "a", Adapters: []string{"m/x@1"}})
 			for id, pause := range test.paused {
 				b.Pause(id, begin().Add(pause))
 			}
 			now := begin().Add(test.at)
-			c.Check(b.HasOther(now, test.w, "a"), qt.Equals, test.other)
+			c.Check(b.HasAlternative(now, test.w, "a"), qt.Equals, test.other)
 			c.Check(decide(b, now, test.w)["w"], qt.Equals, test.want)
 		})
 	}
@@ -267,7 +267,7 @@
 func TestCopiesAreWantedWhereThereIsRoom(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b", "d")
-	b.SetHolding(1, &wire.Holding{Backend: "a", Adapters: []string{"m/x@1"}})
+	b.SetLoadedAdapters(1, &wire.Holding{Backend: "a", Adapters: []string{"m/x@1"}})
 	b.Pause("a", begin().Add(time.Second))
 	b.Pause("b", begin().Add(time.Second))
 	b.Enqueue(waiter("w", adapter("m/x")))
--- a/pkg/pacer/need.go
+++ b/pkg/pacer/need.go
@@ -25,8 +25,8 @@
 	heardFor     = 3 * time.Second
 )
 
-// Need tells whether prompts for a service have to be paced. The zero value is ready for use.
-type Need struct {
+// Activation tells whether prompts for a service have to be paced. The zero value is ready for use.
+type Activation struct {
 	share float64
 	hold  time.Duration
 	until time.Time
@@ -34,8 +34,8 @@
 	others map[string]time.Time
 }
 
-// Note takes a stream that has paused for too long, or that has ended without.
-func (n *Need) Note(now time.Time, paused bool) {
+// ObserveStream takes a stream that has paused for too long, or that has ended without.
+func (n *Activation) ObserveStream(now time.Time, paused bool) {
 	outcome := 0.0
 	if paused {
 		outcome = 1
@@ -54,21 +54,21 @@
 	n.until = now.Add(n.hold)
 }
 
-// Hear notes that another gateway paces prompts for what it has seen itself.
-func (n *Need) Hear(now time.Time, gateway string) {
+// ObservePeer notes that another gateway paces prompts for what it has seen itself.
+func (n *Activation) ObservePeer(now time.Time, gateway string) {
 	if n.others == nil {
 		n.others = map[string]time.Time{}
 	}
 	n.others[gateway] = now
 }
 
-// Seen reports whether prompts have to be paced for what was seen here. Only this is told to
+// PausesObserved reports whether prompts have to be paced for what was seen here. Only this is told to
 // others, or gateways would keep each other at it for ever.
-func (n *Need) Seen(now time.Time) bool { return now.Before(n.until) }
+func (n *Activation) PausesObserved(now time.Time) bool { return now.Before(n.until) }
 
-// Paces reports whether prompts have to be paced now.
-func (n *Need) Paces(now time.Time) bool {
-	if n.Seen(now) {
+// Active reports whether prompts have to be paced now.
+func (n *Activation) Active(now time.Time) bool {
+	if n.PausesObserved(now) {
 		return true
 	}
 	for gateway, at := range n.others {
--- a/pkg/pacer/need_test.go
+++ b/pkg/pacer/need_test.go
@@ -9,9 +9,9 @@
 
 // streams lets a hundred streams end in a second, one of several of them with a long pause;
 // none if one of 0.
-func streams(n *Need, now time.Time, oneOf int) time.Time {
+func streams(n *Activation, now time.Time, oneOf int) time.Time {
 	for i := range 100 {
-		n.Note(now.Add(time.Duration(i)*10*time.Millisecond), oneOf > 0 && i%oneOf == 0)
+		n.ObserveStream(now.Add(time.Duration(i)*10*time.Millisecond), oneOf > 0 && i%oneOf == 0)
 	}
 	return now.Add(time.Second)
 }
@@ -28,12 +28,12 @@
 		"one of twenty-five": {25, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var n Need
+			var n Activation
 			now := begin()
 			for range 5 {
 				now = streams(&n, now, test.oneOf)
 			}
-			qt.New(t).Check(n.Paces(now), qt.Equals, test.want)
+			qt.New(t).Check(n.Active(now), qt.Equals, test.want)
 		})
 	}
 }
@@ -42,21 +42,21 @@
 // ends after a while, longer each time that the pauses come back at once.
 func TestPacingEndsAndComesBack(t *testing.T) {
 	c := qt.New(t)
-	var n Need
+	var n Activation
 	now := begin()
 	for _, hold := range []time.Duration{firstHold, 2 * firstHold, 4 * firstHold} {
-		for !n.Paces(now) {
+		for !n.Active(now) {
 			now = streams(&n, now, 3)
 		}
 		ends := 0 * time.Second
-		for n.Paces(now) {
+		for n.Active(now) {
 			now = streams(&n, now, 0)
 			ends += time.Second
 		}
 		c.Check(ends <= hold+time.Second && ends >= hold-2*time.Second, qt.IsTrue, qt.Commentf("%v", ends))
 	}
 	now = now.Add(time.Hour)
-	for !n.Paces(now) {
+	for !n.Active(now) {
 		now = streams(&n, now, 3)
 	}
 	c.Check(n.hold <= longestHold, qt.IsTrue)
@@ -77,12 +77,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			var n Need
+			var n Activation
 			for _, gateway := range test.gateways {
-				n.Hear(begin(), gateway)
+				n.ObservePeer(begin(), gateway)
 			}
-			c.Check(n.Paces(begin().Add(test.after)), qt.Equals, test.want)
-			c.Check(n.Seen(begin().Add(test.after)), qt.IsFalse)
+			c.Check(n.Active(begin().Add(test.after)), qt.Equals, test.want)
+			c.Check(n.PausesObserved(begin().Add(test.after)), qt.IsFalse)
 		})
 	}
 }
--- a/pkg/pacer/pacer.go
+++ b/pkg/pacer/pacer.go
@@ -32,8 +32,8 @@
 	forgetAfter  = 500 * time.Millisecond
 )
 
-// Ask is a prompt that is to be sent to the engine.
-type Ask struct {
+// GrantRequest is a prompt that is to be sent to the engine.
+type GrantRequest struct {
 	// Key tells asks apart.
 	Key string
 	// Tokens is the size of the prompt.
@@ -43,12 +43,12 @@
 	// ReceivedAt is when the request came from its caller, and InTimeUntil until when its
 	// first event would be in time.
 	ReceivedAt  time.Time
-	InTimeUntil time.Time
-	// Pause is the longest pause that streams at the engine may have; 0 if there is none.
-	Pause time.Duration
-	// EventTime is the time between two events of a stream there while nothing is read; 0 if
+	OnTimeUntil time.Time
+	// MaxPause is the longest pause that streams at the engine may have; 0 if there is none.
+	MaxPause time.Duration
+	// EventInterval is the time between two events of a stream there while nothing is read; 0 if
 	// it is not known.
-	EventTime time.Duration
+	EventInterval time.Duration
 }
 
 // sent is a prompt that the engine has not read yet, as far as is known.
@@ -74,7 +74,7 @@
 	pace     pace
 	unread   map[string]sent
 	settling []settling
-	waiting  []Ask
+	waiting  []GrantRequest
 	// tokens are those unread, and settled those of the prompts that settle.
 	tokens    int
 	settled   int
@@ -83,20 +83,20 @@
 }
 
 // Add lets a prompt wait for its grant.
-func (p *Pacer) Add(a Ask) {
+func (p *Pacer) Add(a GrantRequest) {
 	p.waiting = append(p.waiting, a)
-	if a.Pause > 0 {
-		p.pause = a.Pause
+	if a.MaxPause > 0 {
+		p.pause = a.MaxPause
 	}
-	if a.EventTime > 0 {
-		p.eventTime = min(a.EventTime, p.pause/leastEvents)
+	if a.EventInterval > 0 {
+		p.eventTime = min(a.EventInterval, p.pause/leastEvents)
 	}
 }
 
 // Withdraw takes back an ask that waits, and reports whether it did.
 func (p *Pacer) Withdraw(key string) bool {
 	before := len(p.waiting)
-	p.waiting = slices.DeleteFunc(p.waiting, func(a Ask) bool { return a.Key == key })
+	p.waiting = slices.DeleteFunc(p.waiting, func(a GrantRequest) bool { return a.Key == key })
 	return len(p.waiting) < before
 }
 
@@ -151,12 +151,12 @@
 }
 
 // Next returns the asks that are granted now.
-func (p *Pacer) Next(now time.Time) []Ask {
+func (p *Pacer) Next(now time.Time) []GrantRequest {
 	p.forget(now)
 	if len(p.waiting) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(p.waiting, func(a, b Ask) int { return compare(now, a, b) })
+	slices.SortStableFunc(p.waiting, func(a, b GrantRequest) int { return compare(now, a, b) })
 	granted := 0
 	for granted < len(p.waiting) && p.fits(p.waiting[granted]) {
 		p.send(now, p.waiting[granted])
@@ -169,8 +169,8 @@
 
 // compare puts those first that can still be in time, among them the urgent, and among
 // equals the one that came first.
-func compare(now time.Time, a, b Ask) int {
-	lateA, lateB := now.After(a.InTimeUntil), now.After(b.InTimeUntil)
+func compare(now time.Time, a, b GrantRequest) int {
+	lateA, lateB := now.After(a.OnTimeUntil), now.After(b.OnTimeUntil)
 	if lateA != lateB {
 		if lateA {
 			return 1
@@ -182,7 +182,7 @@
 
 // fits reports whether the engine can read a prompt now without too long a pause. One that
 // is larger than that is read alone.
-func (p *Pacer) fits(a Ask) bool {
+func (p *Pacer) fits(a GrantRequest) bool {
 	none := len(p.unread) == 0 && len(p.settling) == 0
 	return none || p.tokens+p.settled+a.Tokens <= p.limit()
 }
@@ -192,7 +192,7 @@
 	return int(p.pace.perSecond() * p.pause.Seconds() * pauseShare)
 }
 
-func (p *Pacer) send(now time.Time, a Ask) {
+func (p *Pacer) send(now time.Time, a GrantRequest) {
 	if p.unread == nil {
 		p.unread = map[string]sent{}
 	}
--- a/pkg/budgeter/budgeter_test.go
+++ b/pkg/retrylimiter/budgeter_test.go
@@ -1,4 +1,4 @@
-package budgeter
+package retrylimiter
 
 import (
 	"math/rand/v2"
@@ -12,13 +12,13 @@
 
 func TestRepeatsAreAPartOfTheRequests(t *testing.T) {
 	c := qt.New(t)
-	b := &Budgeter{Window: 10 * time.Second, Ratio: 0.2}
+	b := &Limiter{Window: 10 * time.Second, Ratio: 0.2}
 	for range 100 {
-		b.Request(begin())
+		b.RecordRequest(begin())
 	}
 	allowed := 0
 	for range 100 {
-		if b.Allow(begin(), 5) {
+		if b.AllowRetry(begin(), 5) {
 			allowed++
 		}
 	}
@@ -27,12 +27,12 @@
 
 func TestTheSlackHoldsWithoutRequests(t *testing.T) {
 	c := qt.New(t)
-	b := &Budgeter{Window: 10 * time.Second, Ratio: 0.2}
-	c.Check(b.Allow(begin(), 2), qt.IsTrue)
-	c.Check(b.Allow(begin(), 2), qt.IsTrue)
-	c.Check(b.Allow(begin(), 2), qt.IsFalse)
-	c.Check(b.Allow(begin().Add(5*time.Second), 2), qt.IsFalse)
-	c.Check(b.Allow(begin().Add(12*time.Second), 2), qt.IsTrue)
+	b := &Limiter{Window: 10 * time.Second, Ratio: 0.2}
+	c.Check(b.AllowRetry(begin(), 2), qt.IsTrue)
+	c.Check(b.AllowRetry(begin(), 2), qt.IsTrue)
+	c.Check(b.AllowRetry(begin(), 2), qt.IsFalse)
+	c.Check(b.AllowRetry(begin().Add(5*time.Second), 2), qt.IsFalse)
+	c.Check(b.AllowRetry(begin().Add(12*time.Second), 2), qt.IsTrue)
 }
 
 // In no window, wherever it begins, may there be more repeats than the ratio of the
@@ -43,7 +43,7 @@
 	for seed := range uint64(20) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 1))
-		b := &Budgeter{Window: window, Ratio: ratio}
+		b := &Limiter{Window: window, Ratio: ratio}
 		var requests, repeats []time.Time
 		now := begin()
 		for range 3000 {
@@ -51,10 +51,10 @@
 			if random.IntN(200) == 0 {
 				now = now.Add(time.Duration(random.IntN(8000)) * time.Millisecond)
 			}
-			b.Request(now)
+			b.RecordRequest(now)
 			requests = append(requests, now)
 			for range random.IntN(4) {
-				if b.Allow(now, slack) {
+				if b.AllowRetry(now, slack) {
 					repeats = append(repeats, now)
 				}
 			}
--- a/pkg/dispenser/fleet_test.go
+++ b/pkg/slotgranter/fleet_test.go
@@ -1,4 +1,4 @@
-package dispenser_test
+package slotgranter_test
 
 import (
 	"container/heap"
@@ -7,9 +7,9 @@
 	"math/rand/v2"
 	"time"
 
-	"bronzelead.example/pkg/backdater"
+	"bronzelead.example/pkg/ageestimator"
 	"bronzelead.example/pkg/balancer"
-	"bronzelead.example/pkg/dispenser"
+	"bronzelead.example/pkg/slotgranter"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -55,12 +55,12 @@
 
 type gateway struct {
 	balancer  *balancer.Balancer
-	backdater backdater.Backdater
+	backdater ageestimator.Estimator
 }
 
 type server struct {
 	id        string
-	dispenser dispenser.Dispenser
+	dispenser slotgranter.Dispenser
 	running   int
 	queued    []func()
 	slowness  float64
@@ -121,7 +121,7 @@
 	for range gateways {
 		g := &gateway{balancer: &balancer.Balancer{Zone: "z", Rand: f.random}}
 		for _, s := range f.servers {
-			g.balancer.Announce(begun, &wire.Announcement{Id: s.id, Service: "s", Address: s.id, Zone: "z", Slots: slots, Sequence: 1})
+			g.balancer.UpdateBackend(begun, &wire.Announcement{Id: s.id, Service: "s", Address: s.id, Zone: "z", Slots: slots, Sequence: 1})
 		}
 		f.gateways = append(f.gateways, g)
 	}
@@ -222,7 +222,7 @@
 
 func (f *fleet) choose(t *try) {
 	dispensed := t.gateway.balancer.Contended(f.now, "s")
-	w := &balancer.Waiter{ID: t.key, Service: "s", GiveUp: t.received.Add(timeout), Avoid: t.avoid, Dispensed: dispensed}
+	w := &balancer.Waiter{ID: t.key, Service: "s", Deadline: t.received.Add(timeout), Avoid: t.avoid, UsesSlotGrants: dispensed}
 	t.gateway.balancer.Enqueue(w)
 	f.decide(t, w)
 }
@@ -238,7 +238,7 @@
 			return
 		}
 		s := f.server(d.Backend.GetId())
-		if w.Dispensed {
+		if w.UsesSlotGrants {
 			f.after(hop, func() { f.ask(t, s) })
 			return
 		}
@@ -265,9 +265,9 @@
 // ask asks the owner of a backend server for a slot.
 func (f *fleet) ask(t *try, s *server) {
 	key := fmt.Sprint(t.key, "/", len(t.avoid), "/", t.runs)
-	ask := dispenser.Ask{Key: key, InTimeUntil: t.asked.Add(objective), GiveUp: t.received.Add(timeout), Slots: slots}
+	ask := slotgranter.Ask{Key: key, InTimeUntil: t.asked.Add(objective), GiveUp: t.received.Add(timeout), Slots: slots}
 	ask.Elsewhere = t.slow < maxSlow && f.now.Before(t.asked.Add(objective)) &&
-		t.gateway.balancer.HasOther(f.now, &balancer.Waiter{Service: "s", Avoid: t.avoid, Dispensed: true}, s.id)
+		t.gateway.balancer.HasAlternative(f.now, &balancer.Waiter{Service: "s", Avoid: t.avoid, UsesSlotGrants: true}, s.id)
 	if !s.dispenser.Add(f.now, ask) {
 		slow := ask.Elsewhere && s.dispenser.TooSlow(f.now, ask)
 		f.after(hop, func() { f.noSlot(t, s, slow) })
@@ -293,7 +293,7 @@
 }
 
 func (f *fleet) grant(s *server) {
-	tell := func(asks []dispenser.Ask, granted bool) {
+	tell := func(asks []slotgranter.Ask, granted bool) {
 		for _, a := range asks {
 			told := s.grant[a.Key]
 			delete(s.grant, a.Key)
