--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -19,13 +19,13 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Kind says what an order asks for.
-type Kind int
+// OrderKind says what an order asks for.
+type OrderKind int
 
 // The kinds of orders.
 const (
 	// Report asks an engine for its state.
-	Report Kind = iota
+	Report OrderKind = iota
 	// Load loads an adapter.
 	Load
 	// Confirm is a load sent again, to learn whether the adapter is there.
@@ -37,13 +37,13 @@
 )
 
 // String returns the kind's name.
-func (k Kind) String() string {
+func (k OrderKind) String() string {
 	return [...]string{"Report", "Load", "Confirm", "Unload", "LoadModel"}[k]
 }
 
 // Order is an instruction to one engine.
 type Order struct {
-	Kind Kind
+	Kind OrderKind
 	// Backend is the start that is meant; Address, Name and BornMs are as it announced them.
 	Backend string
 	Address string
--- a/pkg/placer/world_test.go
+++ b/pkg/placer/world_test.go
@@ -124,7 +124,7 @@
 	timeout  time.Duration
 	pending  []pendingOrder
 	timeouts []pendingOrder
-	orders   map[Kind]int
+	orders   map[OrderKind]int
 	// planEvery is the time between two plans; a leader without enough processor time makes
 	// fewer of them.
 	planEvery time.Duration
@@ -141,7 +141,7 @@
 func newWorld(c *qt.C, engines, slots int) *world {
 	w := &world{
 		c: c, p: New(DefaultPolicy()), fakes: map[string]*engineFake{}, now: begin(),
-		random: rand.New(rand.NewPCG(7, 7)), orders: map[Kind]int{}, told: map[string]*wire.Holding{},
+		random: rand.New(rand.NewPCG(7, 7)), orders: map[OrderKind]int{}, told: map[string]*wire.Holding{},
 	}
 	w.p.Begin(1)
 	w.p.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{
