--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -52,7 +52,7 @@
 		c.log.Info("an engine has started again", "Backend", order.Backend, "BornMs", report.BornMs)
 		return placer.Gone, nil
 	}
-	return placer.Holds, &placer.State{
+	return placer.Completed, &placer.State{
 		Accepted: report.Accepted, Models: report.Models, Adapters: report.Adapters, Coming: report.Coming,
 	}
 }
@@ -77,7 +77,7 @@
 	case platform.OrderAccepted:
 		return placer.Accepted
 	case platform.OrderHolds:
-		return placer.Holds
+		return placer.Completed
 	case platform.OrderConflict:
 		return placer.Conflict
 	case platform.OrderFenced, platform.OrderRefused:
--- a/controller/curator/roster_test.go
+++ b/controller/curator/roster_test.go
@@ -112,7 +112,7 @@
 	question.Kind = placer.Confirm
 	cu.placer.Want(now, "m/z", nil, now.Add(time.Second))
 	cu.placer.Done(now, cu.placer.Plan(now)[0], placer.Conflict, nil)
-	cu.placer.Done(now, question, placer.Holds, nil)
+	cu.placer.Done(now, question, placer.Completed, nil)
 	w := &waiter{deadline: now.Add(time.Hour), request: &wire.SyncRequest{
 		Gateway: "a", Epoch: known.GetEpoch(), AnnouncementRevision: known.GetAnnouncementRevision(), HoldingRevision: known.GetHoldingRevision(),
 	}}
--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -93,7 +93,7 @@
 // engine holds or takes what was asked for, the order was accepted once, the first time or now. A
 // conflict tells nothing of it: another order may have been carried out in between.
 func afterRepeat(o Order, outcome Outcome) Outcome {
-	accepted := outcome == Holds || outcome == Accepted
+	accepted := outcome == Completed || outcome == Accepted
 	if accepted && o.Kind != Unload {
 		return Accepted
 	}
@@ -105,7 +105,7 @@
 
 func (p *Placer) doneModel(now time.Time, e *engine, outcome Outcome) {
 	switch outcome {
-	case Holds:
+	case Completed:
 		e.model = true
 		p.touch(e)
 	case Accepted:
@@ -140,7 +140,7 @@
 	if now.Sub(e.askedAt) > lateSight {
 		held.repeated = true
 	}
-	if outcome == Holds {
+	if outcome == Completed {
 		p.loaded(now, e, o.Adapter, held)
 		return
 	}
@@ -176,7 +176,7 @@
 		held.repeated = true
 	}
 	switch outcome {
-	case Holds:
+	case Completed:
 		p.loaded(now, e, o.Adapter, held)
 	case Accepted:
 		held.accepted = true
@@ -196,7 +196,7 @@
 		// It was given again after no answer; the first was accepted and may wait for runs.
 		e.accepted++
 		held.pending, held.at = true, now.Add(p.policy.UnloadAgain)
-	case outcome == Holds:
+	case outcome == Completed:
 		if !held.pending {
 			// One that was accepted before has been counted.
 			e.accepted++
@@ -212,7 +212,7 @@
 }
 
 func (p *Placer) doneReport(now time.Time, e *engine, outcome Outcome, state *State) {
-	if outcome != Holds || state == nil {
+	if outcome != Completed || state == nil {
 		e.waitUntil = now.Add(p.policy.UnknownWait)
 		return
 	}
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -71,8 +71,8 @@
 	Unreachable
 	// Accepted means that the engine carries it out.
 	Accepted
-	// Holds means that what was asked for is the case.
-	Holds
+	// Completed means that what was asked for is the case.
+	Completed
 	// Conflict means that the engine has accepted another number of orders.
 	Conflict
 	// Refused means that the engine does not carry it out.
--- a/pkg/placer/world_test.go
+++ b/pkg/placer/world_test.go
@@ -75,7 +75,7 @@
 			// What is on its way counts for the places, and an engine's report has it.
 			state.Coming = append(state.Coming, adapter+"@0")
 		}
-		return Holds, state
+		return Completed, state
 	}
 	_, coming := e.coming[o.Adapter]
 	_, held := e.held[o.Adapter]
@@ -83,9 +83,9 @@
 	case coming && o.Kind != Unload:
 		return Accepted, nil
 	case held && o.Kind != Unload && e.held[o.Adapter] >= o.Version:
-		return Holds, nil
+		return Completed, nil
 	case o.Kind == Unload && (!held || e.dropping == o.Adapter):
-		return map[bool]Outcome{true: Accepted, false: Holds}[e.dropping == o.Adapter], nil
+		return map[bool]Outcome{true: Accepted, false: Completed}[e.dropping == o.Adapter], nil
 	case o.After != e.accepted || e.dropping != "":
 		return Conflict, nil
 	}
@@ -107,7 +107,7 @@
 		return Accepted, nil
 	}
 	delete(e.held, o.Adapter)
-	return Holds, nil
+	return Completed, nil
 }
 
 // world is a placer with engines, moved on in steps of 10 ms.
