--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -38,7 +38,7 @@
 func (c *orderCarrier) report(order placer.Order) (placer.Outcome, *placer.State) {
 	report, err := c.orders.Report(context.Background(), order.Address, order.Name)
 	if errors.Is(err, platform.ErrElsewhere) {
-		return placer.Gone, nil
+		return placer.WrongIncarnation, nil
 	}
 	if err != nil {
 		c.log.Info("an engine did not report", "Backend", order.Backend, "Error", err.Error())
@@ -50,7 +50,7 @@
 	if report.BornMs > 0 && order.BornMs > 0 && report.BornMs != order.BornMs {
 		// What the new start holds is asked for once it has announced itself.
 		c.log.Info("an engine has started again", "Backend", order.Backend, "BornMs", report.BornMs)
-		return placer.Gone, nil
+		return placer.WrongIncarnation, nil
 	}
 	return placer.Completed, &placer.State{
 		Accepted: report.Accepted, Models: report.Models, Adapters: report.Adapters, Coming: report.Coming,
@@ -85,7 +85,7 @@
 	case platform.OrderUnsent:
 		return placer.Unreachable
 	case platform.OrderElsewhere:
-		return placer.Gone
+		return placer.WrongIncarnation
 	case platform.OrderUnknown:
 	}
 	return placer.Unknown
--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -27,7 +27,7 @@
 		outcome = afterRepeat(o, outcome)
 	}
 	switch {
-	case outcome == Gone:
+	case outcome == WrongIncarnation:
 		delete(p.engines, o.Backend)
 	case o.Kind == Report:
 		p.doneReport(now, e, outcome, state)
@@ -122,7 +122,7 @@
 	e.asking = false
 	held := e.places[o.Adapter]
 	switch outcome {
-	case Gone:
+	case WrongIncarnation:
 		delete(p.engines, o.Backend)
 		return
 	case Unknown, Unreachable:
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -77,8 +77,8 @@
 	Conflict
 	// Refused means that the engine does not carry it out.
 	Refused
-	// Gone means that the engine is another start than the one meant.
-	Gone
+	// WrongIncarnation means that the engine is another start than the one meant.
+	WrongIncarnation
 )
 
 // State is what an engine reported of itself.
