--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -21,7 +21,7 @@
 	orders *platform.Orders
 }
 
-func (c *orderCarrier) carry(order placer.Order, term uint64, done func(placer.Outcome, *placer.State)) {
+func (c *orderCarrier) carry(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState)) {
 	go func() {
 		if !c.leads() {
 			done(placer.Refused, nil)
@@ -35,7 +35,7 @@
 	}()
 }
 
-func (c *orderCarrier) report(order placer.Order) (placer.Outcome, *placer.State) {
+func (c *orderCarrier) report(order placer.Order) (placer.Outcome, *placer.EngineState) {
 	report, err := c.orders.Report(context.Background(), order.Address, order.Name)
 	if errors.Is(err, platform.ErrElsewhere) {
 		return placer.WrongIncarnation, nil
@@ -52,7 +52,7 @@
 		c.log.Info("an engine has started again", "Backend", order.Backend, "BornMs", report.BornMs)
 		return placer.WrongIncarnation, nil
 	}
-	return placer.Completed, &placer.State{
+	return placer.Completed, &placer.EngineState{
 		Accepted: report.Accepted, Models: report.Models, Adapters: report.Adapters, Coming: report.Coming,
 	}
 }
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -67,7 +67,7 @@
 	// In brings committed entries.
 	In <-chan keeper.Item
 	// Carry takes orders to engines and reports each one's end. It must not block.
-	Carry func(order placer.Order, term uint64, done func(placer.Outcome, *placer.State))
+	Carry func(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState))
 	// Relay passes announcements on to the other controllers. It must not block.
 	Relay func(announcements []*wire.Announcement)
 	// Controllers returns the addresses of all controllers.
@@ -373,7 +373,7 @@
 
 func (c *Curator) carry(order placer.Order) {
 	term := c.term
-	c.Carry(order, term, func(outcome placer.Outcome, state *placer.State) {
+	c.Carry(order, term, func(outcome placer.Outcome, state *placer.EngineState) {
 		c.calls.Post(func(now time.Time) {
 			if c.term == term && c.placer != nil {
 				c.placer.Done(now, order, outcome, state)
--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -63,7 +63,7 @@
 	k := &keeperFake{in: make(chan keeper.Item, 16)}
 	c := &Curator{
 		Clock: clockwork.NewFakeClock(), Log: slog.New(slog.DiscardHandler), Keeper: k, In: k.in,
-		Carry: func(placer.Order, uint64, func(placer.Outcome, *placer.State)) {}, Relay: func([]*wire.Announcement) {},
+		Carry: func(placer.Order, uint64, func(placer.Outcome, *placer.EngineState)) {}, Relay: func([]*wire.Announcement) {},
 		Controllers: func() []string { return nil }, Policy: placer.DefaultPolicy(), SilentAfter: 4 * time.Second,
 		SnapshotEvery: 1000, SnapshotBytes: 1 << 20,
 	}
@@ -133,7 +133,7 @@
 	cu.placer.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{Name: "s", Engine: &wire.EngineLimits{AdapterSlots: 4, Models: []string{"m"}}}}})
 	cu.placer.SetEngine(&wire.Announcement{Id: "e", Service: "s", Slots: 4})
 	report := cu.placer.Plan(now)[0]
-	cu.placer.Done(now, report, placer.Completed, &placer.State{Models: []string{"m"}})
+	cu.placer.Done(now, report, placer.Completed, &placer.EngineState{Models: []string{"m"}})
 	cu.placer.Want(now, "m/x", nil, time.Time{})
 	cu.placer.Done(now, cu.placer.Plan(now)[0], placer.Completed, nil)
 	cu.wake(now)
--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -8,7 +8,7 @@
 )
 
 // Done takes the end of an order. State is set for reports that were answered.
-func (p *Placer) Done(now time.Time, o Order, outcome Outcome, state *State) {
+func (p *Placer) Done(now time.Time, o Order, outcome Outcome, state *EngineState) {
 	e := p.engines[o.Backend]
 	if e == nil {
 		return
@@ -211,7 +211,7 @@
 	}
 }
 
-func (p *Placer) doneReport(now time.Time, e *engine, outcome Outcome, state *State) {
+func (p *Placer) doneReport(now time.Time, e *engine, outcome Outcome, state *EngineState) {
 	if outcome != Completed || state == nil {
 		e.waitUntil = now.Add(p.policy.UnknownWait)
 		return
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -81,8 +81,8 @@
 	WrongIncarnation
 )
 
-// State is what an engine reported of itself.
-type State struct {
+// EngineState is what an engine reported of itself.
+type EngineState struct {
 	Accepted uint64
 	// Models are the base models there.
 	Models   []string
--- a/pkg/placer/placer_test.go
+++ b/pkg/placer/placer_test.go
@@ -147,7 +147,7 @@
 		for _, o := range p.Plan(now) {
 			switch o.Kind {
 			case Report:
-				p.Done(now, o, Completed, &State{})
+				p.Done(now, o, Completed, &EngineState{})
 			case LoadModel:
 				if !slices.Contains(loads, now.Sub(begin())) && p.engines[o.Backend].modelAt.IsZero() {
 					loads = append(loads, now.Sub(begin()))
--- a/pkg/placer/world_test.go
+++ b/pkg/placer/world_test.go
@@ -64,10 +64,10 @@
 	}
 }
 
-func (e *engineFake) carryOut(now time.Time, o Order) (Outcome, *State) {
+func (e *engineFake) carryOut(now time.Time, o Order) (Outcome, *EngineState) {
 	e.pass(now)
 	if o.Kind == Report {
-		state := &State{Accepted: e.accepted, Models: []string{"m"}}
+		state := &EngineState{Accepted: e.accepted, Models: []string{"m"}}
 		for adapter, version := range e.held {
 			state.Adapters = append(state.Adapters, adapter+"@"+strconv.FormatUint(version, 10))
 		}
