--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -232,7 +232,7 @@
 			p.demand[adapter] = &demand{rate: assumedRate, last: now.Add(-p.policy.IdleFor)}
 		}
 	}
-	for _, qualified := range state.Coming {
+	for _, qualified := range state.Loading {
 		adapter, version := splitVersion(qualified)
 		places[adapter] = &place{state: loading, version: version, at: now, begun: now, depth: -1, accepted: true}
 	}
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -87,7 +87,7 @@
 	// Models are the base models there.
 	Models   []string
 	Adapters []string
-	Coming   []string
+	Loading  []string
 }
 
 // Placer holds what the leader knows. Make one with New.
--- a/pkg/placer/world_test.go
+++ b/pkg/placer/world_test.go
@@ -73,7 +73,7 @@
 		}
 		for adapter := range e.coming {
 			// What is on its way counts for the places, and an engine's report has it.
-			state.Coming = append(state.Coming, adapter+"@0")
+			state.Loading = append(state.Loading, adapter+"@0")
 		}
 		return Completed, state
 	}
