--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -406,10 +406,10 @@
 }
 
 // uses returns what the gateways have at each backend server.
-func (c *Curator) uses() map[string]*placer.Use {
-	total := map[string]*placer.Use{}
+func (c *Curator) uses() map[string]*placer.Usage {
+	total := map[string]*placer.Usage{}
 	c.loads.Each(func(backend string, requests uint32, adapters map[string]int) {
-		use := &placer.Use{Requests: float64(requests), Adapters: make(map[string]bool, len(adapters))}
+		use := &placer.Usage{Requests: float64(requests), Adapters: make(map[string]bool, len(adapters))}
 		for adapter := range adapters {
 			use.Adapters[adapter] = true
 		}
--- a/pkg/placer/engine.go
+++ b/pkg/placer/engine.go
@@ -81,7 +81,7 @@
 	queue []queued
 	// rooms are what places cost there, the cheapest first, as of the last plan.
 	rooms []float64
-	use   Use
+	use   Usage
 }
 
 func newEngine(m *memory) *engine { return &engine{memory: m, places: map[string]*place{}} }
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -188,17 +188,17 @@
 	p.versions[adapter] = max(p.versions[adapter], v.GetVersion())
 }
 
-// Use is what all gateways have at one engine.
-type Use struct {
+// Usage is what all gateways have at one engine.
+type Usage struct {
 	Requests float64
 	// Adapters are those that the requests use.
 	Adapters map[string]bool
 }
 
 // SetUse takes what all gateways have at each engine.
-func (p *Placer) SetUse(uses map[string]*Use) {
+func (p *Placer) SetUse(uses map[string]*Usage) {
 	for id, e := range p.engines {
-		e.use = Use{}
+		e.use = Usage{}
 		if use := uses[id]; use != nil {
 			e.use = *use
 		}
