--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -275,7 +275,7 @@
 	c.takeChanges()
 	c.follow(now)
 	if c.placer != nil {
-		c.placer.SetUse(c.uses())
+		c.placer.SetUsage(c.uses())
 		c.plan(now)
 	}
 	if c.lender != nil {
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -195,8 +195,8 @@
 	Adapters map[string]bool
 }
 
-// SetUse takes what all gateways have at each engine.
-func (p *Placer) SetUse(uses map[string]*Usage) {
+// SetUsage takes what all gateways have at each engine.
+func (p *Placer) SetUsage(uses map[string]*Usage) {
 	for id, e := range p.engines {
 		e.use = Usage{}
 		if use := uses[id]; use != nil {
--- a/pkg/placer/placer_test.go
+++ b/pkg/placer/placer_test.go
@@ -83,7 +83,7 @@
 	w.pass(400 * time.Millisecond)
 	c.Assert(w.usable(name(0)), qt.Equals, 1)
 	w.fakes["e0"].running[name(0)] = true
-	w.p.SetUse(map[string]*Usage{"e0": {Requests: 1, Adapters: map[string]bool{name(0): true}}})
+	w.p.SetUsage(map[string]*Usage{"e0": {Requests: 1, Adapters: map[string]bool{name(0): true}}})
 	for i := 1; i < 30; i++ {
 		w.p.Want(w.now, name(i), nil, time.Time{})
 		w.pass(200 * time.Millisecond)
