--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -134,7 +134,7 @@
 	cu.placer.SetEngine(&wire.Announcement{Id: "e", Service: "s", Slots: 4})
 	report := cu.placer.Plan(now)[0]
 	cu.placer.Done(now, report, placer.Completed, &placer.EngineState{Models: []string{"m"}})
-	cu.placer.Want(now, "m/x", nil, time.Time{})
+	cu.placer.RequestLoad(now, "m/x", nil, time.Time{})
 	cu.placer.Done(now, cu.placer.Plan(now)[0], placer.Completed, nil)
 	cu.wake(now)
 	c.Check(cu.isDue(now, waiters["B"]), qt.IsTrue)
--- a/controller/curator/roster_test.go
+++ b/controller/curator/roster_test.go
@@ -105,12 +105,12 @@
 	now := cu.Clock.Now()
 	withEngine(cu, "m/x@0")
 	known := cu.news(now, &wire.SyncRequest{Gateway: "a"})
-	cu.placer.Want(now, "m/y", nil, now.Add(time.Second))
+	cu.placer.RequestLoad(now, "m/y", nil, now.Add(time.Second))
 	load := cu.placer.Plan(now)[0]
 	cu.placer.Done(now, load, placer.Accepted, nil)
 	question := load
 	question.Kind = placer.Confirm
-	cu.placer.Want(now, "m/z", nil, now.Add(time.Second))
+	cu.placer.RequestLoad(now, "m/z", nil, now.Add(time.Second))
 	cu.placer.Done(now, cu.placer.Plan(now)[0], placer.Conflict, nil)
 	cu.placer.Done(now, question, placer.Completed, nil)
 	w := &waiter{deadline: now.Add(time.Hour), request: &wire.SyncRequest{
@@ -176,7 +176,7 @@
 		waiters[name] = &waiter{request: req, deadline: now.Add(time.Hour)}
 	}
 	cu.gateways["a"].wants["m/x"] = now
-	cu.placer.Want(now, "m/x", nil, now.Add(time.Millisecond))
+	cu.placer.RequestLoad(now, "m/x", nil, now.Add(time.Millisecond))
 	cu.placer.Plan(now.Add(2 * time.Millisecond))
 	cu.wake(now)
 	c.Check(cu.isDue(now, waiters["a"]), qt.IsTrue)
--- a/controller/curator/sync.go
+++ b/controller/curator/sync.go
@@ -92,7 +92,7 @@
 		}
 		g := c.gateways[req.GetGateway()]
 		for _, w := range req.GetWants() {
-			c.placer.Want(now, w.GetAdapter(), w.GetAvoid(), waitsUntil(now, w))
+			c.placer.RequestLoad(now, w.GetAdapter(), w.GetAvoid(), waitsUntil(now, w))
 			if g != nil {
 				g.wants[w.GetAdapter()] = now
 				g.urgent = g.urgent || c.placer.Ready(w.GetAdapter())
--- a/pkg/placer/assigner_test.go
+++ b/pkg/placer/assigner_test.go
@@ -46,7 +46,7 @@
 			p.engines["a"].remember("m/x")
 			p.engines["a"].places["m/x"] = &place{state: dropping}
 			test.change(p)
-			p.Want(begin(), "m/x", test.avoid, begin().Add(time.Second))
+			p.RequestLoad(begin(), "m/x", test.avoid, begin().Add(time.Second))
 			plan(p)
 			c.Check(len(queues(p, "m/x")) == 0, qt.Equals, test.waits)
 			delete(p.engines["a"].places, "m/x")
@@ -123,9 +123,9 @@
 				}
 			}
 			p.engines["b"].queue = p.engines["b"].queue[1:]
-			p.Want(begin(), "m/rare", []string{"a"}, begin().Add(time.Second))
-			p.Want(begin(), "m/hot", []string{"a"}, begin().Add(time.Second))
-			p.Want(begin(), "m/hot", []string{"a"}, begin().Add(time.Second))
+			p.RequestLoad(begin(), "m/rare", []string{"a"}, begin().Add(time.Second))
+			p.RequestLoad(begin(), "m/hot", []string{"a"}, begin().Add(time.Second))
+			p.RequestLoad(begin(), "m/hot", []string{"a"}, begin().Add(time.Second))
 			plan(p)
 			c.Check(queues(p, test.first), qt.DeepEquals, []string{"b"})
 		})
--- a/pkg/placer/learner_test.go
+++ b/pkg/placer/learner_test.go
@@ -30,7 +30,7 @@
 			for step := range 300 {
 				for range 1 + test.engines/8 {
 					w.p.Demand(w.now, name2(next), 1)
-					w.p.Want(w.now, name2(next), nil, w.now.Add(time.Second))
+					w.p.RequestLoad(w.now, name2(next), nil, w.now.Add(time.Second))
 					next++
 				}
 				w.pass(10 * time.Millisecond)
@@ -79,7 +79,7 @@
 			for range 40 {
 				adapter := name(w.random.IntN(1500))
 				w.p.Demand(w.now, adapter, 1)
-				w.p.Want(w.now, adapter, nil, w.now.Add(time.Second))
+				w.p.RequestLoad(w.now, adapter, nil, w.now.Add(time.Second))
 			}
 			w.pass(100 * time.Millisecond)
 		}
--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -68,7 +68,7 @@
 		if q.until.IsZero() {
 			continue
 		}
-		p.Want(now, q.adapter, []string{e.info.GetId()}, q.until)
+		p.RequestLoad(now, q.adapter, []string{e.info.GetId()}, q.until)
 	}
 	e.queue = nil
 }
--- a/pkg/placer/overload_test.go
+++ b/pkg/placer/overload_test.go
@@ -16,7 +16,7 @@
 		adapter := name(i)
 		gaveUp[adapter] = w.now.Add(patience)
 		w.p.Demand(w.now, adapter, 1)
-		w.p.Want(w.now, adapter, nil, gaveUp[adapter])
+		w.p.RequestLoad(w.now, adapter, nil, gaveUp[adapter])
 		w.pass(10 * time.Millisecond)
 		for _, f := range w.fakes {
 			for held := range f.held {
@@ -91,7 +91,7 @@
 		adapter := name(i)
 		begun[adapter] = w.now
 		w.p.Demand(w.now, adapter, 1)
-		w.p.Want(w.now, adapter, nil, w.now.Add(patience))
+		w.p.RequestLoad(w.now, adapter, nil, w.now.Add(patience))
 		w.pass(10 * time.Millisecond)
 		for _, adapter := range w.p.TakeDeclined() {
 			declined++
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -205,9 +205,9 @@
 	}
 }
 
-// Want notes that requests wait, until then, for an adapter that they can't use anywhere.
+// RequestLoad notes that requests wait, until then, for an adapter that they can't use anywhere.
 // A zero until stands for the policy's time.
-func (p *Placer) Want(now time.Time, adapter string, avoid []string, until time.Time) {
+func (p *Placer) RequestLoad(now time.Time, adapter string, avoid []string, until time.Time) {
 	if until.IsZero() {
 		until = now.Add(p.policy.WantFor)
 	}
--- a/pkg/placer/placer_test.go
+++ b/pkg/placer/placer_test.go
@@ -20,7 +20,7 @@
 	c := qt.New(t)
 	w := newWorld(c, 3, 8)
 	w.pass(100 * time.Millisecond)
-	w.p.Want(w.now, name(1), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(1), nil, time.Time{})
 	w.pass(coldLoad + 60*time.Millisecond)
 	c.Assert(w.usable(name(1)), qt.Equals, 1)
 }
@@ -36,7 +36,7 @@
 		for i := range 60 {
 			if !seen[name(i)] {
 				w.p.Demand(w.now, name(i), 1)
-				w.p.Want(w.now, name(i), nil, time.Time{})
+				w.p.RequestLoad(w.now, name(i), nil, time.Time{})
 			}
 		}
 		w.pass(100 * time.Millisecond)
@@ -64,8 +64,8 @@
 	c := qt.New(t)
 	w := newWorld(c, 6, 8)
 	w.pass(100 * time.Millisecond)
-	w.p.Want(w.now, name(1), nil, time.Time{})
-	w.p.Want(w.now, name(2), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(1), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(2), nil, time.Time{})
 	for range 50 {
 		w.p.Demand(w.now, name(1), 6)
 		w.pass(100 * time.Millisecond)
@@ -79,13 +79,13 @@
 	c := qt.New(t)
 	w := newWorld(c, 1, 4)
 	w.pass(100 * time.Millisecond)
-	w.p.Want(w.now, name(0), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
 	w.pass(400 * time.Millisecond)
 	c.Assert(w.usable(name(0)), qt.Equals, 1)
 	w.fakes["e0"].running[name(0)] = true
 	w.p.SetUsage(map[string]*Usage{"e0": {Requests: 1, Adapters: map[string]bool{name(0): true}}})
 	for i := 1; i < 30; i++ {
-		w.p.Want(w.now, name(i), nil, time.Time{})
+		w.p.RequestLoad(w.now, name(i), nil, time.Time{})
 		w.pass(200 * time.Millisecond)
 		c.Assert(w.usable(name(0)), qt.Equals, 1)
 	}
@@ -103,7 +103,7 @@
 			came := 0
 			for i := range 120 {
 				w.p.Demand(w.now, name(i%40), 1)
-				w.p.Want(w.now, name(i%40), nil, time.Time{})
+				w.p.RequestLoad(w.now, name(i%40), nil, time.Time{})
 				w.pass(150 * time.Millisecond)
 				if w.usable(name(i%40)) > 0 {
 					came++
@@ -122,7 +122,7 @@
 	c := qt.New(t)
 	w := newWorld(c, 2, 4)
 	w.pass(100 * time.Millisecond)
-	w.p.Want(w.now, name(1), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(1), nil, time.Time{})
 	w.pass(400 * time.Millisecond)
 	c.Assert(w.usable(name(1)), qt.Equals, 1)
 	w.p.SetVersion(&wire.AdapterVersion{Model: "m", Adapter: "a1", Version: 5})
@@ -143,7 +143,7 @@
 	}
 	loads := []time.Duration{}
 	for now := begin(); now.Before(begin().Add(3 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		p.Want(now, "m/a1", nil, time.Time{})
+		p.RequestLoad(now, "m/a1", nil, time.Time{})
 		for _, o := range p.Plan(now) {
 			switch o.Kind {
 			case Report:
@@ -175,7 +175,7 @@
 	w.pass(100 * time.Millisecond)
 	for i := range 4 {
 		w.p.Demand(w.now, name(100+i), 1)
-		w.p.Want(w.now, name(100+i), nil, time.Time{})
+		w.p.RequestLoad(w.now, name(100+i), nil, time.Time{})
 		w.pass(900 * time.Millisecond)
 	}
 	kept := 0
@@ -196,7 +196,7 @@
 	for range 40 {
 		for range 30 {
 			w.p.Demand(w.now, name(next), 1)
-			w.p.Want(w.now, name(next), nil, time.Time{})
+			w.p.RequestLoad(w.now, name(next), nil, time.Time{})
 			next++
 		}
 		w.pass(100 * time.Millisecond)
@@ -210,7 +210,7 @@
 	c := qt.New(t)
 	w := newWorld(c, 12, 8)
 	w.pass(200 * time.Millisecond)
-	w.p.Want(w.now, name(0), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
 	for range 10 {
 		w.p.Demand(w.now, name(0), 10)
 		w.pass(100 * time.Millisecond)
@@ -223,7 +223,7 @@
 	c := qt.New(t)
 	w := newWorld(c, 12, 8)
 	w.pass(200 * time.Millisecond)
-	w.p.Want(w.now, name(0), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
 	for range 10 {
 		w.p.Demand(w.now, name(0), 4)
 		w.pass(time.Second)
@@ -250,7 +250,7 @@
 			w.p.SetLimit("e1", test.limit)
 			for i := range 6 {
 				w.p.Demand(w.now, name(i), 1)
-				w.p.Want(w.now, name(i), nil, time.Time{})
+				w.p.RequestLoad(w.now, name(i), nil, time.Time{})
 			}
 			w.pass(time.Second)
 			c.Check(len(w.fakes["e1"].held) > 0, qt.Equals, test.held)
@@ -274,7 +274,7 @@
 	w.pass(100 * time.Millisecond)
 	w.unanswered, w.late = 1, 1
 	w.p.Demand(w.now, name(100), 1)
-	w.p.Want(w.now, name(100), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(100), nil, time.Time{})
 	for w.orders[Load] == 0 {
 		w.pass(10 * time.Millisecond)
 	}
@@ -285,7 +285,7 @@
 	for range 8 {
 		// Gateways ask again while requests wait.
 		w.p.Demand(w.now, name(100), 1)
-		w.p.Want(w.now, name(100), nil, time.Time{})
+		w.p.RequestLoad(w.now, name(100), nil, time.Time{})
 		w.pass(400 * time.Millisecond)
 		came = came || w.usable(name(100)) > 0
 	}
--- a/pkg/placer/plan_bench_test.go
+++ b/pkg/placer/plan_bench_test.go
@@ -36,7 +36,7 @@
 				}
 			}
 			for i := range size.wants {
-				p.Want(begin(), fmt.Sprint("m/w", i), nil, begin().Add(time.Hour))
+				p.RequestLoad(begin(), fmt.Sprint("m/w", i), nil, begin().Add(time.Hour))
 			}
 			b.ReportAllocs()
 			for b.Loop() {
