--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -366,7 +366,7 @@
 	if !c.leads(now) || now.Before(c.ordersAfter) {
 		return
 	}
-	for _, order := range c.placer.Next(now, backend) {
+	for _, order := range c.placer.NextOrders(now, backend) {
 		c.carry(order)
 	}
 }
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -248,8 +248,8 @@
 	return orders
 }
 
-// Next returns the orders to give to one engine now.
-func (p *Placer) Next(now time.Time, id string) []Order {
+// NextOrders returns the orders to give to one engine now.
+func (p *Placer) NextOrders(now time.Time, id string) []Order {
 	p.coldKnown = false
 	return p.next(now, id)
 }
