--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -376,7 +376,7 @@
 	c.Carry(order, term, func(outcome placer.Outcome, state *placer.EngineState) {
 		c.calls.Post(func(now time.Time) {
 			if c.term == term && c.placer != nil {
-				c.placer.Done(now, order, outcome, state)
+				c.placer.RecordOutcome(now, order, outcome, state)
 				c.giveNext(now, order.Backend)
 			}
 		})
--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -133,9 +133,9 @@
 	cu.placer.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{Name: "s", Engine: &wire.EngineLimits{AdapterSlots: 4, Models: []string{"m"}}}}})
 	cu.placer.SetEngine(&wire.Announcement{Id: "e", Service: "s", Slots: 4})
 	report := cu.placer.Plan(now)[0]
-	cu.placer.Done(now, report, placer.Completed, &placer.EngineState{Models: []string{"m"}})
+	cu.placer.RecordOutcome(now, report, placer.Completed, &placer.EngineState{Models: []string{"m"}})
 	cu.placer.RequestLoad(now, "m/x", nil, time.Time{})
-	cu.placer.Done(now, cu.placer.Plan(now)[0], placer.Completed, nil)
+	cu.placer.RecordOutcome(now, cu.placer.Plan(now)[0], placer.Completed, nil)
 	cu.wake(now)
 	c.Check(cu.isDue(now, waiters["B"]), qt.IsTrue)
 	c.Check(cu.isDue(now, waiters["A"]), qt.IsFalse)
--- a/controller/curator/learning_test.go
+++ b/controller/curator/learning_test.go
@@ -23,7 +23,7 @@
 	now := cu.Clock.Now()
 	cu.placer.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{Name: "s", Engine: &wire.EngineLimits{AdapterSlots: 4, Models: []string{"m"}}}}})
 	cu.placer.SetEngine(&wire.Announcement{Id: "e", Service: "s", Slots: 4})
-	cu.placer.Done(now, cu.placer.Plan(now)[0], placer.Completed, &placer.EngineState{Models: []string{"m"}, Adapters: adapters})
+	cu.placer.RecordOutcome(now, cu.placer.Plan(now)[0], placer.Completed, &placer.EngineState{Models: []string{"m"}, Adapters: adapters})
 }
 
 // A controller that leads next knows what is asked for, which weights an engine keeps and
--- a/controller/curator/roster_test.go
+++ b/controller/curator/roster_test.go
@@ -107,12 +107,12 @@
 	known := cu.news(now, &wire.SyncRequest{Gateway: "a"})
 	cu.placer.RequestLoad(now, "m/y", nil, now.Add(time.Second))
 	load := cu.placer.Plan(now)[0]
-	cu.placer.Done(now, load, placer.Accepted, nil)
+	cu.placer.RecordOutcome(now, load, placer.Accepted, nil)
 	question := load
 	question.Kind = placer.Confirm
 	cu.placer.RequestLoad(now, "m/z", nil, now.Add(time.Second))
-	cu.placer.Done(now, cu.placer.Plan(now)[0], placer.Conflict, nil)
-	cu.placer.Done(now, question, placer.Completed, nil)
+	cu.placer.RecordOutcome(now, cu.placer.Plan(now)[0], placer.Conflict, nil)
+	cu.placer.RecordOutcome(now, question, placer.Completed, nil)
 	w := &waiter{deadline: now.Add(time.Hour), request: &wire.SyncRequest{
 		Gateway: "a", Epoch: known.GetEpoch(), AnnouncementRevision: known.GetAnnouncementRevision(), HoldingRevision: known.GetHoldingRevision(),
 	}}
--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Done takes the end of an order. State is set for reports that were answered.
-func (p *Placer) Done(now time.Time, o Order, outcome Outcome, state *EngineState) {
+// RecordOutcome takes the end of an order. State is set for reports that were answered.
+func (p *Placer) RecordOutcome(now time.Time, o Order, outcome Outcome, state *EngineState) {
 	e := p.engines[o.Backend]
 	if e == nil {
 		return
--- a/pkg/placer/placer_test.go
+++ b/pkg/placer/placer_test.go
@@ -147,12 +147,12 @@
 		for _, o := range p.Plan(now) {
 			switch o.Kind {
 			case Report:
-				p.Done(now, o, Completed, &EngineState{})
+				p.RecordOutcome(now, o, Completed, &EngineState{})
 			case LoadModel:
 				if !slices.Contains(loads, now.Sub(begin())) && p.engines[o.Backend].modelAt.IsZero() {
 					loads = append(loads, now.Sub(begin()))
 				}
-				p.Done(now, o, Accepted, nil)
+				p.RecordOutcome(now, o, Accepted, nil)
 			default:
 				c.Fatalf("order %v to an engine without its model", o)
 			}
--- a/pkg/placer/world_test.go
+++ b/pkg/placer/world_test.go
@@ -168,7 +168,7 @@
 			if w.now.Before(lost.at) {
 				return false
 			}
-			w.p.Done(w.now, lost.order, Unknown, nil)
+			w.p.RecordOutcome(w.now, lost.order, Unknown, nil)
 			return true
 		})
 		for _, f := range w.fakes {
@@ -190,7 +190,7 @@
 				continue
 			}
 			outcome, state := w.fakes[o.Backend].carryOut(w.now, o)
-			w.p.Done(w.now, o, outcome, state)
+			w.p.RecordOutcome(w.now, o, outcome, state)
 		}
 	}
 }
