--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -115,7 +115,7 @@
 	// requestLimits are those that backend servers have named to any gateway.
 	requestLimits throttler.Book
 	// knowledge is what the leader has learnt, this one or another, whose holdings are heard.
-	knowledge *placer.Knowledge
+	knowledge *placer.LearnedState
 	heard     *spreader.Holdings
 	forgotten time.Time
 
--- a/pkg/placer/knowledge.go
+++ b/pkg/placer/knowledge.go
@@ -7,11 +7,11 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Knowledge is what a leader has learnt and the next one goes on from: without it a new
+// LearnedState is what a leader has learnt and the next one goes on from: without it a new
 // leader takes hot adapters for rare ones, and loads from the weight store what an engine
 // keeps in its own memory. Each controller keeps it, from what gateways and the leader
 // tell. Make one with NewKnowledge.
-type Knowledge struct {
+type LearnedState struct {
 	policy Policy
 	demand map[string]*demand
 	// memories are the weights that each engine seems to keep.
@@ -28,8 +28,8 @@
 }
 
 // NewKnowledge returns knowledge of nothing.
-func NewKnowledge(policy Policy) *Knowledge {
-	return &Knowledge{
+func NewKnowledge(policy Policy) *LearnedState {
+	return &LearnedState{
 		policy: policy, demand: map[string]*demand{}, memories: map[string]*memory{},
 		hostAdapters: firstHostAdapters, coldLoad: policy.ColdLoad, maxComing: firstMaxComing,
 	}
@@ -44,7 +44,7 @@
 }
 
 // Demand counts requests for an adapter.
-func (k *Knowledge) Demand(now time.Time, adapter string, requests int) {
+func (k *LearnedState) Demand(now time.Time, adapter string, requests int) {
 	d := k.demand[adapter]
 	if d == nil {
 		d = &demand{last: now}
@@ -72,7 +72,7 @@
 }
 
 // Forget drops what counts no longer.
-func (k *Knowledge) Forget(now time.Time) {
+func (k *LearnedState) Forget(now time.Time) {
 	for adapter, d := range k.demand {
 		if d.at(now, k.policy.DemandHalfLife) < negligibleRate {
 			delete(k.demand, adapter)
@@ -81,11 +81,11 @@
 }
 
 // ForgetEngine drops what is known of an engine that has left.
-func (k *Knowledge) ForgetEngine(id string) { delete(k.memories, id) }
+func (k *LearnedState) ForgetEngine(id string) { delete(k.memories, id) }
 
 // Saw takes adapters that have come to an engine or gone from it, as another leader tells:
 // the engine keeps their weights for a while.
-func (k *Knowledge) Saw(id string, qualified []string) {
+func (k *LearnedState) Saw(id string, qualified []string) {
 	for _, q := range qualified {
 		adapter, _ := splitVersion(q)
 		k.memory(id).remember(adapter)
@@ -93,7 +93,7 @@
 }
 
 // Learnt returns the numbers that loads have shown, for the other controllers.
-func (k *Knowledge) Learnt() *wire.Learnt {
+func (k *LearnedState) Learnt() *wire.Learnt {
 	return &wire.Learnt{
 		ColdLoadUs: uint64(k.coldLoad.Microseconds()), StoreWidth: k.maxComing, KeptCopies: uint32(k.hostAdapters), Measured: k.learnt,
 	}
@@ -101,7 +101,7 @@
 
 // SetLearnt takes the numbers that another leader has learnt. Those that can't be are left
 // out.
-func (k *Knowledge) SetLearnt(l *wire.Learnt) {
+func (k *LearnedState) SetLearnt(l *wire.Learnt) {
 	if cold := time.Duration(l.GetColdLoadUs()) * time.Microsecond; k.isPossible(cold) {
 		k.coldLoad = cold
 	}
@@ -114,13 +114,13 @@
 }
 
 // Keeps reports whether an engine probably keeps a copy of an adapter's weights.
-func (k *Knowledge) Keeps(id, adapter string) bool {
+func (k *LearnedState) Keeps(id, adapter string) bool {
 	m := k.memories[id]
 	return m != nil && k.isWarm(m.depth(adapter))
 }
 
 // Rate returns the requests a second for an adapter.
-func (k *Knowledge) Rate(now time.Time, adapter string) float64 {
+func (k *LearnedState) Rate(now time.Time, adapter string) float64 {
 	if d := k.demand[adapter]; d != nil {
 		return d.at(now, k.policy.DemandHalfLife)
 	}
@@ -129,18 +129,18 @@
 
 // isWarm reports whether an engine probably keeps the weights of what it held so many
 // adapters ago.
-func (k *Knowledge) isWarm(depth int) bool { return depth >= 0 && depth < k.hostAdapters+hostProbe }
+func (k *LearnedState) isWarm(depth int) bool { return depth >= 0 && depth < k.hostAdapters+hostProbe }
 
 // maxStoreWidth is more loads at once than any weight store carries.
 const maxStoreWidth = 1 << 20
 
 // isPossible reports whether a load from the weight store may take so long, by the policy.
-func (k *Knowledge) isPossible(cold time.Duration) bool {
+func (k *LearnedState) isPossible(cold time.Duration) bool {
 	usual := float64(k.policy.ColdLoad)
 	return float64(cold) >= usual/coldBound && float64(cold) <= usual*coldBound
 }
 
-func (k *Knowledge) memory(id string) *memory {
+func (k *LearnedState) memory(id string) *memory {
 	m := k.memories[id]
 	if m == nil {
 		m = &memory{recent: map[string]int{}}
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -92,7 +92,7 @@
 
 // Placer holds what the leader knows. Make one with New.
 type Placer struct {
-	*Knowledge
+	*LearnedState
 	limits   map[string]*wire.EngineLimits
 	engines  map[string]*engine
 	versions map[string]uint64
@@ -134,9 +134,9 @@
 func New(policy Policy) *Placer { return NewWith(NewKnowledge(policy)) }
 
 // NewWith returns a placer that goes on from what a leader before it has learnt.
-func NewWith(k *Knowledge) *Placer {
+func NewWith(k *LearnedState) *Placer {
 	return &Placer{
-		Knowledge: k, limits: map[string]*wire.EngineLimits{}, engines: map[string]*engine{},
+		LearnedState: k, limits: map[string]*wire.EngineLimits{}, engines: map[string]*engine{},
 		versions: map[string]uint64{}, wants: map[string]*want{}, changed: map[string]bool{},
 	}
 }
