--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -165,7 +165,7 @@
 	c.loads = spreader.NewSum()
 	c.holdings = spreader.NewHoldings()
 	c.initArbiter()
-	c.knowledge = placer.NewKnowledge(c.Policy)
+	c.knowledge = placer.NewLearnedState(c.Policy)
 	c.heard = spreader.NewHoldings()
 }
 
--- a/pkg/placer/knowledge.go
+++ b/pkg/placer/knowledge.go
@@ -27,8 +27,8 @@
 	learnt bool
 }
 
-// NewKnowledge returns knowledge of nothing.
-func NewKnowledge(policy Policy) *LearnedState {
+// NewLearnedState returns knowledge of nothing.
+func NewLearnedState(policy Policy) *LearnedState {
 	return &LearnedState{
 		policy: policy, demand: map[string]*demand{}, memories: map[string]*memory{},
 		hostAdapters: firstHostAdapters, coldLoad: policy.ColdLoad, maxComing: firstMaxComing,
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -131,7 +131,7 @@
 }
 
 // New returns a placer that knows nothing yet.
-func New(policy Policy) *Placer { return NewWith(NewKnowledge(policy)) }
+func New(policy Policy) *Placer { return NewWith(NewLearnedState(policy)) }
 
 // NewWith returns a placer that goes on from what a leader before it has learnt.
 func NewWith(k *LearnedState) *Placer {
