--- a/controller/curator/sync.go
+++ b/controller/curator/sync.go
@@ -67,7 +67,7 @@
 	c.hearLimits(now, req.GetRequestLimits())
 	c.arbiter.Hear(now, req.GetRunReports())
 	for _, d := range req.GetDemand() {
-		c.knowledge.Demand(now, d.GetAdapter(), int(d.GetRequests()))
+		c.knowledge.RecordRequests(now, d.GetAdapter(), int(d.GetRequests()))
 	}
 }
 
--- a/pkg/placer/ablation_test.go
+++ b/pkg/placer/ablation_test.go
@@ -56,7 +56,7 @@
 	c := qt.New(t)
 	on, off := placerWithout(), placerWithout(ablator.RisingCopies)
 	for _, p := range []*Placer{on, off} {
-		p.Demand(begin(), "m/x", 20)
+		p.RecordRequests(begin(), "m/x", 20)
 	}
 	c.Check(on.demand["m/x"].peak(begin(), &on.policy) > 4*off.demand["m/x"].peak(begin(), &off.policy), qt.IsTrue)
 }
--- a/pkg/placer/assigner_test.go
+++ b/pkg/placer/assigner_test.go
@@ -76,7 +76,7 @@
 			p := placerWithout()
 			p.maxComing = 10
 			p.engines["a"].places["m/hot"] = &place{state: ready}
-			p.Demand(begin(), "m/hot", 100)
+			p.RecordRequests(begin(), "m/hot", 100)
 			if test.full {
 				for i := range 9 {
 					p.engines["c"].places[name+string(rune('0'+i))] = &place{state: loading}
--- a/pkg/placer/knowledge.go
+++ b/pkg/placer/knowledge.go
@@ -43,8 +43,8 @@
 	last  time.Time
 }
 
-// Demand counts requests for an adapter.
-func (k *LearnedState) Demand(now time.Time, adapter string, requests int) {
+// RecordRequests counts requests for an adapter.
+func (k *LearnedState) RecordRequests(now time.Time, adapter string, requests int) {
 	d := k.demand[adapter]
 	if d == nil {
 		d = &demand{last: now}
--- a/pkg/placer/learner_test.go
+++ b/pkg/placer/learner_test.go
@@ -29,7 +29,7 @@
 			next, coming := 0, 0
 			for step := range 300 {
 				for range 1 + test.engines/8 {
-					w.p.Demand(w.now, name2(next), 1)
+					w.p.RecordRequests(w.now, name2(next), 1)
 					w.p.RequestLoad(w.now, name2(next), nil, w.now.Add(time.Second))
 					next++
 				}
@@ -78,7 +78,7 @@
 		for end := w.now.Add(d); w.now.Before(end); {
 			for range 40 {
 				adapter := name(w.random.IntN(1500))
-				w.p.Demand(w.now, adapter, 1)
+				w.p.RecordRequests(w.now, adapter, 1)
 				w.p.RequestLoad(w.now, adapter, nil, w.now.Add(time.Second))
 			}
 			w.pass(100 * time.Millisecond)
--- a/pkg/placer/overload_test.go
+++ b/pkg/placer/overload_test.go
@@ -15,7 +15,7 @@
 	for i := range steps {
 		adapter := name(i)
 		gaveUp[adapter] = w.now.Add(patience)
-		w.p.Demand(w.now, adapter, 1)
+		w.p.RecordRequests(w.now, adapter, 1)
 		w.p.RequestLoad(w.now, adapter, nil, gaveUp[adapter])
 		w.pass(10 * time.Millisecond)
 		for _, f := range w.fakes {
@@ -90,7 +90,7 @@
 	for i := range 400 {
 		adapter := name(i)
 		begun[adapter] = w.now
-		w.p.Demand(w.now, adapter, 1)
+		w.p.RecordRequests(w.now, adapter, 1)
 		w.p.RequestLoad(w.now, adapter, nil, w.now.Add(patience))
 		w.pass(10 * time.Millisecond)
 		for _, adapter := range w.p.TakeDeclined() {
--- a/pkg/placer/placer_test.go
+++ b/pkg/placer/placer_test.go
@@ -35,7 +35,7 @@
 	for round := range 60 {
 		for i := range 60 {
 			if !seen[name(i)] {
-				w.p.Demand(w.now, name(i), 1)
+				w.p.RecordRequests(w.now, name(i), 1)
 				w.p.RequestLoad(w.now, name(i), nil, time.Time{})
 			}
 		}
@@ -67,7 +67,7 @@
 	w.p.RequestLoad(w.now, name(1), nil, time.Time{})
 	w.p.RequestLoad(w.now, name(2), nil, time.Time{})
 	for range 50 {
-		w.p.Demand(w.now, name(1), 6)
+		w.p.RecordRequests(w.now, name(1), 6)
 		w.pass(100 * time.Millisecond)
 	}
 	c.Check(w.usable(name(1)) >= 3, qt.IsTrue, qt.Commentf("%d copies", w.usable(name(1))))
@@ -102,7 +102,7 @@
 			w.unanswered, w.late = share, 0.5
 			came := 0
 			for i := range 120 {
-				w.p.Demand(w.now, name(i%40), 1)
+				w.p.RecordRequests(w.now, name(i%40), 1)
 				w.p.RequestLoad(w.now, name(i%40), nil, time.Time{})
 				w.pass(150 * time.Millisecond)
 				if w.usable(name(i%40)) > 0 {
@@ -174,7 +174,7 @@
 	}
 	w.pass(100 * time.Millisecond)
 	for i := range 4 {
-		w.p.Demand(w.now, name(100+i), 1)
+		w.p.RecordRequests(w.now, name(100+i), 1)
 		w.p.RequestLoad(w.now, name(100+i), nil, time.Time{})
 		w.pass(900 * time.Millisecond)
 	}
@@ -195,7 +195,7 @@
 	next := 0
 	for range 40 {
 		for range 30 {
-			w.p.Demand(w.now, name(next), 1)
+			w.p.RecordRequests(w.now, name(next), 1)
 			w.p.RequestLoad(w.now, name(next), nil, time.Time{})
 			next++
 		}
@@ -212,7 +212,7 @@
 	w.pass(200 * time.Millisecond)
 	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
 	for range 10 {
-		w.p.Demand(w.now, name(0), 10)
+		w.p.RecordRequests(w.now, name(0), 10)
 		w.pass(100 * time.Millisecond)
 	}
 	c.Check(w.usable(name(0)) >= 5, qt.IsTrue, qt.Commentf("%d copies", w.usable(name(0))))
@@ -225,7 +225,7 @@
 	w.pass(200 * time.Millisecond)
 	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
 	for range 10 {
-		w.p.Demand(w.now, name(0), 4)
+		w.p.RecordRequests(w.now, name(0), 4)
 		w.pass(time.Second)
 	}
 	c.Check(w.usable(name(0)), qt.Equals, 1)
@@ -249,7 +249,7 @@
 			w.pass(100 * time.Millisecond)
 			w.p.SetLimit("e1", test.limit)
 			for i := range 6 {
-				w.p.Demand(w.now, name(i), 1)
+				w.p.RecordRequests(w.now, name(i), 1)
 				w.p.RequestLoad(w.now, name(i), nil, time.Time{})
 			}
 			w.pass(time.Second)
@@ -273,7 +273,7 @@
 	w.timeout = 60 * time.Millisecond
 	w.pass(100 * time.Millisecond)
 	w.unanswered, w.late = 1, 1
-	w.p.Demand(w.now, name(100), 1)
+	w.p.RecordRequests(w.now, name(100), 1)
 	w.p.RequestLoad(w.now, name(100), nil, time.Time{})
 	for w.orders[Load] == 0 {
 		w.pass(10 * time.Millisecond)
@@ -284,7 +284,7 @@
 	came := false
 	for range 8 {
 		// Gateways ask again while requests wait.
-		w.p.Demand(w.now, name(100), 1)
+		w.p.RecordRequests(w.now, name(100), 1)
 		w.p.RequestLoad(w.now, name(100), nil, time.Time{})
 		w.pass(400 * time.Millisecond)
 		came = came || w.usable(name(100)) > 0
--- a/pkg/placer/plan_bench_test.go
+++ b/pkg/placer/plan_bench_test.go
@@ -29,7 +29,7 @@
 					adapter := fmt.Sprint("m/", i, "-", j)
 					e.places[adapter] = &place{state: ready, since: begin()}
 					e.use.Adapters[adapter] = true
-					p.Demand(begin(), adapter, 3)
+					p.RecordRequests(begin(), adapter, 3)
 				}
 				for len(e.queue) < maxQueue && size.wants > 0 {
 					e.queue = append(e.queue, queued{adapter: fmt.Sprint("q/", i, "-", len(e.queue)), until: begin().Add(time.Hour)})
