--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -290,7 +290,7 @@
 	c.meetGateways(now)
 	if c.placer == nil && now.Sub(c.forgotten) >= forgetEvery {
 		c.forgotten = now
-		c.knowledge.Forget(now)
+		c.knowledge.PruneDemand(now)
 	}
 	c.answerWaiters(now)
 }
--- a/pkg/placer/knowledge.go
+++ b/pkg/placer/knowledge.go
@@ -71,8 +71,8 @@
 	return max(quick, d.at(now, policy.DemandHalfLife))
 }
 
-// Forget drops what counts no longer.
-func (k *LearnedState) Forget(now time.Time) {
+// PruneDemand drops what counts no longer.
+func (k *LearnedState) PruneDemand(now time.Time) {
 	for adapter, d := range k.demand {
 		if d.at(now, k.policy.DemandHalfLife) < negligibleRate {
 			delete(k.demand, adapter)
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -316,7 +316,7 @@
 			p.drop(adapter)
 		}
 	}
-	p.Forget(now)
+	p.PruneDemand(now)
 }
 
 const (
