--- a/controller/curator/sync.go
+++ b/controller/curator/sync.go
@@ -288,7 +288,7 @@
 		if a.GetGone() {
 			c.holdings.Drop(a.GetId())
 			c.heard.Drop(a.GetId())
-			c.knowledge.ForgetEngine(a.GetId())
+			c.knowledge.RemoveEngine(a.GetId())
 		}
 	}
 	c.taken = c.tracker.Revision()
--- a/pkg/placer/knowledge.go
+++ b/pkg/placer/knowledge.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// ForgetEngine drops what is known of an engine that has left.
-func (k *LearnedState) ForgetEngine(id string) { delete(k.memories, id) }
+// RemoveEngine drops what is known of an engine that has left.
+func (k *LearnedState) RemoveEngine(id string) { delete(k.memories, id) }
 
 // Saw takes adapters that have come to an engine or gone from it, as another leader tells:
 // the engine keeps their weights for a while.
