--- a/controller/curator/learning.go
+++ b/controller/curator/learning.go
@@ -32,8 +32,8 @@
 		}
 		if len(changed) > 0 {
 			for _, h := range res.GetHoldings() {
-				c.knowledge.Saw(h.GetBackend(), h.GetGone())
-				c.knowledge.Saw(h.GetBackend(), h.GetAdapters())
+				c.knowledge.RecordAdapters(h.GetBackend(), h.GetGone())
+				c.knowledge.RecordAdapters(h.GetBackend(), h.GetAdapters())
 			}
 		}
 		c.knowledge.SetLearnt(res.GetLearnt())
--- a/pkg/placer/knowledge.go
+++ b/pkg/placer/knowledge.go
@@ -83,9 +83,9 @@
 // RemoveEngine drops what is known of an engine that has left.
 func (k *LearnedState) RemoveEngine(id string) { delete(k.memories, id) }
 
-// Saw takes adapters that have come to an engine or gone from it, as another leader tells:
+// RecordAdapters takes adapters that have come to an engine or gone from it, as another leader tells:
 // the engine keeps their weights for a while.
-func (k *LearnedState) Saw(id string, qualified []string) {
+func (k *LearnedState) RecordAdapters(id string, qualified []string) {
 	for _, q := range qualified {
 		adapter, _ := splitVersion(q)
 		k.memory(id).remember(adapter)
