--- a/controller/curator/learning_test.go
+++ b/controller/curator/learning_test.go
@@ -48,8 +48,8 @@
 		lead(next, nextKeeper)
 	}), qt.IsNil)
 	c.Check(next.knowledge.Learnt().String(), qt.Equals, first.knowledge.Learnt().String())
-	c.Check(next.knowledge.Keeps("e", "m/x"), qt.IsTrue)
-	c.Check(next.knowledge.Keeps("e", "m/y"), qt.IsFalse)
+	c.Check(next.knowledge.HasCachedWeights("e", "m/x"), qt.IsTrue)
+	c.Check(next.knowledge.HasCachedWeights("e", "m/y"), qt.IsFalse)
 	c.Check(next.knowledge.Rate(next.Clock.Now(), "m/x") > 10, qt.IsTrue)
 }
 
@@ -67,7 +67,7 @@
 			run(t, cu)
 			before := cu.knowledge.Learnt().String()
 			c.Assert(cu.Learn(context.Background(), res), qt.IsNil)
-			c.Check(cu.knowledge.Keeps("e", "m/x"), qt.IsFalse)
+			c.Check(cu.knowledge.HasCachedWeights("e", "m/x"), qt.IsFalse)
 			c.Check(cu.knowledge.Learnt().String(), qt.Equals, before)
 		})
 	}
--- a/pkg/placer/knowledge.go
+++ b/pkg/placer/knowledge.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// Keeps reports whether an engine probably keeps a copy of an adapter's weights.
-func (k *LearnedState) Keeps(id, adapter string) bool {
+// HasCachedWeights reports whether an engine probably keeps a copy of an adapter's weights.
+func (k *LearnedState) HasCachedWeights(id, adapter string) bool {
 	m := k.memories[id]
 	return m != nil && k.isWarm(m.depth(adapter))
 }
