--- a/pkg/placer/orders.go
+++ b/pkg/placer/orders.go
@@ -150,7 +150,7 @@
 // makeRoom tells the gateways that the least wanted adapters go, until the queue and
 // the reserve have places.
 func (p *Placer) makeRoom(now time.Time, e *engine) {
-	need := len(e.queue) + p.policy.Reserve
+	need := len(e.queue) + p.policy.ReservedSlots
 	free := p.slots(e) - len(e.places)
 	for _, held := range e.places {
 		if held.state == leaving || held.state == dropping {
