--- a/pkg/placer/orders.go
+++ b/pkg/placer/orders.go
@@ -100,7 +100,7 @@
 // nextLoad loads what is queued, if there is a free place or a newer version takes the
 // place of an older.
 func (p *Placer) nextLoad(now time.Time, e *engine) (Order, bool) {
-	if !e.open() || e.coming() >= p.policy.MaxComing {
+	if !e.open() || e.coming() >= p.policy.MaxLoadsPerEngine {
 		return Order{}, false
 	}
 	p.dropLate(now, e)
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -12,8 +12,8 @@
 	// ReservedSlots is the number of places that are kept free at each engine, so that a load
 	// does not have to wait for an unload.
 	ReservedSlots int
-	// MaxComing bounds the adapters on their way to one engine.
-	MaxComing int
+	// MaxLoadsPerEngine bounds the adapters on their way to one engine.
+	MaxLoadsPerEngine int
 	// ColdLoad and WarmLoad are the expected times of loads from the weight store and
 	// from the engine's own memory.
 	ColdLoad time.Duration
@@ -58,7 +58,7 @@
 // DefaultPolicy returns the limits that were measured; docs/MEASURED.md has the runs.
 func DefaultPolicy() Policy {
 	return Policy{
-		ReservedSlots: 1, MaxComing: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
+		ReservedSlots: 1, MaxLoadsPerEngine: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
 		ConfirmAgain: 30 * time.Millisecond, Notice: 80 * time.Millisecond, UnknownWait: 250 * time.Millisecond,
 		Unanswered:     retrier.Backoff{First: 10 * time.Millisecond, Most: time.Second},
 		DemandHalfLife: 4 * time.Second, QuickHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerCopy: 0.4, RatePerCopy: 16,
