--- a/pkg/placer/orders.go
+++ b/pkg/placer/orders.go
@@ -59,7 +59,7 @@
 			if e.use.Adapters[adapter] {
 				// A gateway has not heard yet, or its request still runs: an unload
 				// would wait for it, and meanwhile the engine takes no other orders.
-				held.at = now.Add(p.policy.ConfirmAgain)
+				held.at = now.Add(p.policy.ConfirmInterval)
 				continue
 			}
 			held.state = dropping
--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -144,7 +144,7 @@
 		p.loaded(now, e, o.Adapter, held)
 		return
 	}
-	held.at = now.Add(p.policy.ConfirmAgain)
+	held.at = now.Add(p.policy.ConfirmInterval)
 	if cold := held.begun.Add(p.expectedCold()); held.warm && outcome == Accepted && held.at.Before(cold) {
 		held.at = cold
 	}
