--- a/pkg/placer/orders.go
+++ b/pkg/placer/orders.go
@@ -163,7 +163,7 @@
 			return
 		}
 		held := e.places[victim]
-		held.state, held.at = leaving, now.Add(p.policy.Notice)
+		held.state, held.at = leaving, now.Add(p.policy.UnloadNotice)
 		p.touch(e)
 		free++
 	}
