--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -85,7 +85,7 @@
 	}
 	if outcome == Unreachable || e.failures >= failuresToAvoid {
 		// One without an answer has taken its timeout already; a refused connection takes no time.
-		e.waitUntil = now.Add(p.policy.Unanswered.Wait(e.failures, rand.Float64()))
+		e.waitUntil = now.Add(p.policy.RetryBackoff.Wait(e.failures, rand.Float64()))
 	}
 }
 
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -23,8 +23,8 @@
 	// UnloadNotice is the time between telling the gateways that an adapter goes and its
 	// unload, so that no request is under way to it.
 	UnloadNotice time.Duration
-	// Unanswered is the wait before the next order to an engine that has not answered.
-	Unanswered retrier.Backoff
+	// RetryBackoff is the wait before the next order to an engine that has not answered.
+	RetryBackoff retrier.Backoff
 	// UnknownWait is how long an engine is left alone after an answer which shows that its
 	// state is not as believed; its reports lag behind.
 	UnknownWait time.Duration
@@ -60,7 +60,7 @@
 	return Policy{
 		ReservedSlots: 1, MaxLoadsPerEngine: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
 		ConfirmInterval: 30 * time.Millisecond, UnloadNotice: 80 * time.Millisecond, UnknownWait: 250 * time.Millisecond,
-		Unanswered:     retrier.Backoff{First: 10 * time.Millisecond, Most: time.Second},
+		RetryBackoff:   retrier.Backoff{First: 10 * time.Millisecond, Most: time.Second},
 		DemandHalfLife: 4 * time.Second, QuickHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerCopy: 0.4, RatePerCopy: 16,
 		WantFor: 700 * time.Millisecond, IdleFor: 600 * time.Millisecond, IdleUnderPressure: 250 * time.Millisecond,
 		UnloadAgain: 60 * time.Millisecond, LostLoad: 3 * time.Second,
