--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -36,7 +36,7 @@
 		// Requests that wait for adapters here are better served elsewhere.
 		e.reported = false
 		p.giveBack(now, e)
-		e.waitUntil = now.Add(p.policy.UnknownWait)
+		e.waitUntil = now.Add(p.policy.ResyncDelay)
 	case o.Kind == LoadModel:
 		p.doneModel(now, e, outcome)
 	case o.Kind == Unload:
@@ -183,7 +183,7 @@
 		held.at = now.Add(p.expected(e, o.Adapter))
 	case Refused:
 		delete(e.places, o.Adapter)
-		e.waitUntil = now.Add(p.policy.UnknownWait)
+		e.waitUntil = now.Add(p.policy.ResyncDelay)
 	}
 }
 
@@ -213,7 +213,7 @@
 
 func (p *Placer) doneReport(now time.Time, e *engine, outcome Outcome, state *EngineState) {
 	if outcome != Completed || state == nil {
-		e.waitUntil = now.Add(p.policy.UnknownWait)
+		e.waitUntil = now.Add(p.policy.ResyncDelay)
 		return
 	}
 	e.reported = true
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -25,9 +25,9 @@
 	UnloadNotice time.Duration
 	// RetryBackoff is the wait before the next order to an engine that has not answered.
 	RetryBackoff retrier.Backoff
-	// UnknownWait is how long an engine is left alone after an answer which shows that its
+	// ResyncDelay is how long an engine is left alone after an answer which shows that its
 	// state is not as believed; its reports lag behind.
-	UnknownWait time.Duration
+	ResyncDelay time.Duration
 	// DemandHalfLife is the time in which popularity is forgotten by half.
 	DemandHalfLife time.Duration
 	// QuickHalfLife is the same for the rate by which copies are added: a few times the
@@ -59,7 +59,7 @@
 func DefaultPolicy() Policy {
 	return Policy{
 		ReservedSlots: 1, MaxLoadsPerEngine: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
-		ConfirmInterval: 30 * time.Millisecond, UnloadNotice: 80 * time.Millisecond, UnknownWait: 250 * time.Millisecond,
+		ConfirmInterval: 30 * time.Millisecond, UnloadNotice: 80 * time.Millisecond, ResyncDelay: 250 * time.Millisecond,
 		RetryBackoff:   retrier.Backoff{First: 10 * time.Millisecond, Most: time.Second},
 		DemandHalfLife: 4 * time.Second, QuickHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerCopy: 0.4, RatePerCopy: 16,
 		WantFor: 700 * time.Millisecond, IdleFor: 600 * time.Millisecond, IdleUnderPressure: 250 * time.Millisecond,
