--- a/pkg/placer/knowledge.go
+++ b/pkg/placer/knowledge.go
@@ -50,8 +50,8 @@
 		d = &demand{last: now}
 		k.demand[adapter] = d
 	}
-	quick := d.quick * halving(float64(now.Sub(d.last))/float64(k.policy.QuickHalfLife))
-	d.quick = quick + float64(requests)*ln2/k.policy.QuickHalfLife.Seconds()
+	quick := d.quick * halving(float64(now.Sub(d.last))/float64(k.policy.BurstHalfLife))
+	d.quick = quick + float64(requests)*ln2/k.policy.BurstHalfLife.Seconds()
 	d.rate = d.at(now, k.policy.DemandHalfLife) + float64(requests)*ln2/k.policy.DemandHalfLife.Seconds()
 	d.last = now
 }
@@ -67,7 +67,7 @@
 	if policy.Off.Has(ablator.RisingCopies) {
 		return d.at(now, policy.DemandHalfLife)
 	}
-	quick := d.quick * halving(float64(now.Sub(d.last))/float64(policy.QuickHalfLife))
+	quick := d.quick * halving(float64(now.Sub(d.last))/float64(policy.BurstHalfLife))
 	return max(quick, d.at(now, policy.DemandHalfLife))
 }
 
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -30,9 +30,9 @@
 	ResyncDelay time.Duration
 	// DemandHalfLife is the time in which popularity is forgotten by half.
 	DemandHalfLife time.Duration
-	// QuickHalfLife is the same for the rate by which copies are added: a few times the
+	// BurstHalfLife is the same for the rate by which copies are added: a few times the
 	// span in which all gateways report, and longer than chance keeps requests together.
-	QuickHalfLife time.Duration
+	BurstHalfLife time.Duration
 	// RunTime is the expected time of a request at an engine.
 	RunTime time.Duration
 	// FillPerCopy is the part of an engine's slots that one adapter's requests may take
@@ -61,7 +61,7 @@
 		ReservedSlots: 1, MaxLoadsPerEngine: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
 		ConfirmInterval: 30 * time.Millisecond, UnloadNotice: 80 * time.Millisecond, ResyncDelay: 250 * time.Millisecond,
 		RetryBackoff:   retrier.Backoff{First: 10 * time.Millisecond, Most: time.Second},
-		DemandHalfLife: 4 * time.Second, QuickHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerCopy: 0.4, RatePerCopy: 16,
+		DemandHalfLife: 4 * time.Second, BurstHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerCopy: 0.4, RatePerCopy: 16,
 		WantFor: 700 * time.Millisecond, IdleFor: 600 * time.Millisecond, IdleUnderPressure: 250 * time.Millisecond,
 		UnloadAgain: 60 * time.Millisecond, LostLoad: 3 * time.Second,
 	}
