--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -212,7 +212,7 @@
 
 func (r *Routed) policy() placer.Policy {
 	policy, s := placer.DefaultPolicy(), r.Settings.Placement
-	policy.ReservedSlots, policy.ColdLoad, policy.WarmLoad, policy.FillPerCopy = s.Reserve, s.ColdLoad, s.WarmLoad, s.FillPerCopy
+	policy.ReservedSlots, policy.ColdLoad, policy.WarmLoad, policy.FillPerReplica = s.Reserve, s.ColdLoad, s.WarmLoad, s.FillPerCopy
 	policy.Off = r.Settings.off()
 	return policy
 }
--- a/controller/app/routed_settings.go
+++ b/controller/app/routed_settings.go
@@ -78,7 +78,7 @@
 			HandOver: 3 * time.Second, OrderTimeout: 60 * time.Millisecond,
 		},
 		Placement: PlacementSettings{
-			Reserve: policy.ReservedSlots, ColdLoad: policy.ColdLoad, WarmLoad: policy.WarmLoad, FillPerCopy: policy.FillPerCopy,
+			Reserve: policy.ReservedSlots, ColdLoad: policy.ColdLoad, WarmLoad: policy.WarmLoad, FillPerCopy: policy.FillPerReplica,
 		},
 		Limits: LimitSettings{Window: 10 * time.Second, Overage: 0.1, Slack: 100},
 		Log:    LogSettings{Level: "Info"},
