--- a/pkg/placer/assigner.go
+++ b/pkg/placer/assigner.go
@@ -140,7 +140,7 @@
 		if have == 0 || slots == 0 {
 			continue
 		}
-		perCopy := min(p.policy.RatePerCopy, float64(slots)*p.policy.FillPerReplica/p.policy.RunTime.Seconds())
+		perCopy := min(p.policy.RatePerReplica, float64(slots)*p.policy.FillPerReplica/p.policy.RunTime.Seconds())
 		if rate <= float64(have)*perCopy {
 			continue
 		}
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -39,7 +39,7 @@
 	// before it gets another copy, and RatePerCopy the requests a second: an engine with
 	// many slots is slowed down by reading prompts long before its slots are taken.
 	FillPerReplica float64
-	RatePerCopy    float64
+	RatePerReplica float64
 	// WantFor is how long a wish is kept that can't be fulfilled.
 	WantFor time.Duration
 	// IdleFor is how long nobody must have asked for an adapter before it is unloaded, and
@@ -61,7 +61,7 @@
 		ReservedSlots: 1, MaxLoadsPerEngine: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
 		ConfirmInterval: 30 * time.Millisecond, UnloadNotice: 80 * time.Millisecond, ResyncDelay: 250 * time.Millisecond,
 		RetryBackoff:   retrier.Backoff{First: 10 * time.Millisecond, Most: time.Second},
-		DemandHalfLife: 4 * time.Second, BurstHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerReplica: 0.4, RatePerCopy: 16,
+		DemandHalfLife: 4 * time.Second, BurstHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerReplica: 0.4, RatePerReplica: 16,
 		WantFor: 700 * time.Millisecond, IdleFor: 600 * time.Millisecond, IdleUnderPressure: 250 * time.Millisecond,
 		UnloadAgain: 60 * time.Millisecond, LostLoad: 3 * time.Second,
 	}
