--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -209,7 +209,7 @@
 // A zero until stands for the policy's time.
 func (p *Placer) RequestLoad(now time.Time, adapter string, avoid []string, until time.Time) {
 	if until.IsZero() {
-		until = now.Add(p.policy.WantFor)
+		until = now.Add(p.policy.PendingLoadTimeout)
 	}
 	w := p.wants[adapter]
 	if w == nil {
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -40,8 +40,8 @@
 	// many slots is slowed down by reading prompts long before its slots are taken.
 	FillPerReplica float64
 	RatePerReplica float64
-	// WantFor is how long a wish is kept that can't be fulfilled.
-	WantFor time.Duration
+	// PendingLoadTimeout is how long a wish is kept that can't be fulfilled.
+	PendingLoadTimeout time.Duration
 	// IdleFor is how long nobody must have asked for an adapter before it is unloaded, and
 	// IdleUnderPressure the same while others wait for its place.
 	IdleFor           time.Duration
@@ -62,7 +62,7 @@
 		ConfirmInterval: 30 * time.Millisecond, UnloadNotice: 80 * time.Millisecond, ResyncDelay: 250 * time.Millisecond,
 		RetryBackoff:   retrier.Backoff{First: 10 * time.Millisecond, Most: time.Second},
 		DemandHalfLife: 4 * time.Second, BurstHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerReplica: 0.4, RatePerReplica: 16,
-		WantFor: 700 * time.Millisecond, IdleFor: 600 * time.Millisecond, IdleUnderPressure: 250 * time.Millisecond,
+		PendingLoadTimeout: 700 * time.Millisecond, IdleFor: 600 * time.Millisecond, IdleUnderPressure: 250 * time.Millisecond,
 		UnloadAgain: 60 * time.Millisecond, LostLoad: 3 * time.Second,
 	}
 }
