--- a/pkg/placer/orders.go
+++ b/pkg/placer/orders.go
@@ -172,7 +172,7 @@
 // victim returns the adapter at an engine for which there is the least demand, of those
 // that no request uses.
 func (p *Placer) victim(now time.Time, e *engine, pressed bool) string {
-	idleFor := p.policy.IdleFor
+	idleFor := p.policy.MinIdle
 	if pressed {
 		idleFor = p.policy.IdleUnderPressure
 	}
--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -229,7 +229,7 @@
 		e.remember(adapter)
 		if p.demand[adapter] == nil {
 			// A leader that has just begun knows of no requests; what is there was wanted.
-			p.demand[adapter] = &demand{rate: assumedRate, last: now.Add(-p.policy.IdleFor)}
+			p.demand[adapter] = &demand{rate: assumedRate, last: now.Add(-p.policy.MinIdle)}
 		}
 	}
 	for _, qualified := range state.Loading {
