--- a/pkg/placer/orders.go
+++ b/pkg/placer/orders.go
@@ -174,7 +174,7 @@
 func (p *Placer) victim(now time.Time, e *engine, pressed bool) string {
 	idleFor := p.policy.MinIdle
 	if pressed {
-		idleFor = p.policy.IdleUnderPressure
+		idleFor = p.policy.MinIdleUnderPressure
 	}
 	victim, least := "", 0.0
 	for adapter, held := range e.places {
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -44,8 +44,8 @@
 	PendingLoadTimeout time.Duration
 	// MinIdle is how long nobody must have asked for an adapter before it is unloaded, and
 	// IdleUnderPressure the same while others wait for its place.
-	MinIdle           time.Duration
-	IdleUnderPressure time.Duration
+	MinIdle              time.Duration
+	MinIdleUnderPressure time.Duration
 	// LostLoad is the time after which a load that has not ended is taken for lost.
 	LostLoad time.Duration
 	// UnloadAgain is the time between two questions whether an unload has ended that
@@ -62,7 +62,7 @@
 		ConfirmInterval: 30 * time.Millisecond, UnloadNotice: 80 * time.Millisecond, ResyncDelay: 250 * time.Millisecond,
 		RetryBackoff:   retrier.Backoff{First: 10 * time.Millisecond, Most: time.Second},
 		DemandHalfLife: 4 * time.Second, BurstHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerReplica: 0.4, RatePerReplica: 16,
-		PendingLoadTimeout: 700 * time.Millisecond, MinIdle: 600 * time.Millisecond, IdleUnderPressure: 250 * time.Millisecond,
+		PendingLoadTimeout: 700 * time.Millisecond, MinIdle: 600 * time.Millisecond, MinIdleUnderPressure: 250 * time.Millisecond,
 		UnloadAgain: 60 * time.Millisecond, LostLoad: 3 * time.Second,
 	}
 }
