--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -148,7 +148,7 @@
 	if cold := held.begun.Add(p.expectedCold()); held.warm && outcome == Accepted && held.at.Before(cold) {
 		held.at = cold
 	}
-	if now.Sub(held.begun) > p.policy.LostLoad {
+	if now.Sub(held.begun) > p.policy.LoadTimeout {
 		// It is not there after all; what the engine holds has to be asked.
 		e.reported = false
 	}
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -46,8 +46,8 @@
 	// IdleUnderPressure the same while others wait for its place.
 	MinIdle              time.Duration
 	MinIdleUnderPressure time.Duration
-	// LostLoad is the time after which a load that has not ended is taken for lost.
-	LostLoad time.Duration
+	// LoadTimeout is the time after which a load that has not ended is taken for lost.
+	LoadTimeout time.Duration
 	// UnloadAgain is the time between two questions whether an unload has ended that
 	// waits for runs.
 	UnloadAgain time.Duration
@@ -63,6 +63,6 @@
 		RetryBackoff:   retrier.Backoff{First: 10 * time.Millisecond, Most: time.Second},
 		DemandHalfLife: 4 * time.Second, BurstHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerReplica: 0.4, RatePerReplica: 16,
 		PendingLoadTimeout: 700 * time.Millisecond, MinIdle: 600 * time.Millisecond, MinIdleUnderPressure: 250 * time.Millisecond,
-		UnloadAgain: 60 * time.Millisecond, LostLoad: 3 * time.Second,
+		UnloadAgain: 60 * time.Millisecond, LoadTimeout: 3 * time.Second,
 	}
 }
