--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -195,7 +195,7 @@
 	case outcome == Conflict:
 		// It was given again after no answer; the first was accepted and may wait for runs.
 		e.accepted++
-		held.pending, held.at = true, now.Add(p.policy.UnloadAgain)
+		held.pending, held.at = true, now.Add(p.policy.UnloadCheckInterval)
 	case outcome == Completed:
 		if !held.pending {
 			// One that was accepted before has been counted.
@@ -207,7 +207,7 @@
 		if !held.pending {
 			e.accepted++
 		}
-		held.pending, held.at = true, now.Add(p.policy.UnloadAgain)
+		held.pending, held.at = true, now.Add(p.policy.UnloadCheckInterval)
 	}
 }
 
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -48,9 +48,9 @@
 	MinIdleUnderPressure time.Duration
 	// LoadTimeout is the time after which a load that has not ended is taken for lost.
 	LoadTimeout time.Duration
-	// UnloadAgain is the time between two questions whether an unload has ended that
+	// UnloadCheckInterval is the time between two questions whether an unload has ended that
 	// waits for runs.
-	UnloadAgain time.Duration
+	UnloadCheckInterval time.Duration
 	// Off are the mechanisms that an experiment does without.
 	Off ablator.Off
 }
@@ -63,6 +63,6 @@
 		RetryBackoff:   retrier.Backoff{First: 10 * time.Millisecond, Most: time.Second},
 		DemandHalfLife: 4 * time.Second, BurstHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerReplica: 0.4, RatePerReplica: 16,
 		PendingLoadTimeout: 700 * time.Millisecond, MinIdle: 600 * time.Millisecond, MinIdleUnderPressure: 250 * time.Millisecond,
-		UnloadAgain: 60 * time.Millisecond, LoadTimeout: 3 * time.Second,
+		UnloadCheckInterval: 60 * time.Millisecond, LoadTimeout: 3 * time.Second,
 	}
 }
