--- a/controller/orderer/orderer.go
+++ b/controller/orderer/orderer.go
@@ -45,5 +45,5 @@
 		}
 		return planner.Unanswered
 	}
-	return planner.Carried
+	return planner.Completed
 }
--- a/pkg/planner/plan.go
+++ b/pkg/planner/plan.go
@@ -323,7 +323,7 @@
 	if pl == nil {
 		return
 	}
-	kind, ok := pl.State, outcome == Carried
+	kind, ok := pl.State, outcome == Completed
 	p.closeOrder(pl)
 	e := p.engines[pl.Backend]
 	p.noteAnswer(now, e, outcome)
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -40,8 +40,8 @@
 
 // The outcomes of orders.
 const (
-	// Carried means that the engine has done it.
-	Carried Outcome = iota
+	// Completed means that the engine has done it.
+	Completed Outcome = iota
 	// Refused means that the engine has answered that it does not.
 	Refused
 	// Unanswered means that the engine was not reached, or gave no answer.
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -105,7 +105,7 @@
 
 func ended(ok bool) planner.Outcome {
 	if ok {
-		return planner.Carried
+		return planner.Completed
 	}
 	return planner.Refused
 }
@@ -220,7 +220,7 @@
 			} else {
 				b.loaded[o.Backend][o.Adapter] = true
 			}
-			b.planner.Done(b.now, o.ID, planner.Carried)
+			b.planner.Done(b.now, o.ID, planner.Completed)
 		}
 		b.handBack(1)
 	}
