--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -168,7 +168,7 @@
 func (a *App) policy() planner.Policy {
 	e := a.Settings.Engines
 	return planner.Policy{
-		LoadsPerSecond: e.LoadsPerSecond, LoadsAtOnce: e.LoadsAtOnce, StallWeight: e.StallWeight,
+		LoadsPerSecond: e.LoadsPerSecond, MaxConcurrentLoads: e.LoadsAtOnce, StallWeight: e.StallWeight,
 		BatchWeight: e.BatchWeight, StarveAfter: e.StarveAfter, MinResidence: e.MinResidence,
 		BackendLease: e.BackendLease, LongestOrder: e.LongestOrder, AfterFailure: retrier.Backoff{First: e.BackOff, Most: e.MaxBackOff},
 	}
--- a/pkg/planner/plan.go
+++ b/pkg/planner/plan.go
@@ -28,7 +28,7 @@
 	p.forgetIdle(now)
 	orders := p.unloads(now)
 	clearing := p.clearingSoon()
-	recalls := p.Policy.LoadsAtOnce
+	recalls := p.Policy.MaxConcurrentLoads
 	for _, a := range p.wanting(now) {
 		e := p.roomFor(now, a)
 		switch {
@@ -38,7 +38,7 @@
 		case e == nil && recalls > 0:
 			recalls--
 			p.makeRoom(now, a)
-		case e != nil && p.loading < p.Policy.LoadsAtOnce && p.tokens >= 1:
+		case e != nil && p.loading < p.Policy.MaxConcurrentLoads && p.tokens >= 1:
 			orders = append(orders, p.load(now, e, a))
 		}
 	}
@@ -47,7 +47,7 @@
 
 func (p *Planner) refill(now time.Time) {
 	p.tokens += now.Sub(p.filledAt).Seconds() * p.Policy.LoadsPerSecond
-	p.tokens = min(p.tokens, max(1, float64(p.Policy.LoadsAtOnce)))
+	p.tokens = min(p.tokens, max(1, float64(p.Policy.MaxConcurrentLoads)))
 	p.filledAt = now
 }
 
@@ -107,7 +107,7 @@
 	slices.SortFunc(all, func(a, b *adapter) int {
 		return cmp.Or(cmp.Compare(p.urgency(now, b), p.urgency(now, a)), cmp.Compare(a.name, b.name))
 	})
-	return all[:min(len(all), roundsAhead*p.Policy.LoadsAtOnce)]
+	return all[:min(len(all), roundsAhead*p.Policy.MaxConcurrentLoads)]
 }
 
 // urgency weighs how long requests have waited against how many would share the
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -79,8 +79,8 @@
 // Policy holds the settings of a deployment's placement.
 type Policy struct {
 	// LoadsPerSecond and LoadsAtOnce are what the weight store allows.
-	LoadsPerSecond float64
-	LoadsAtOnce    int
+	LoadsPerSecond     float64
+	MaxConcurrentLoads int
 	// StallWeight counts the time that requests wait for a load, BatchWeight the
 	// number of requests that a load lets run together.
 	StallWeight float64
