--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -126,7 +126,7 @@
 		command: c, random: random, now: time.Unix(1_000_000, 0), waiting: map[string][]time.Time{},
 		planner: &planner.Planner{Policy: planner.Policy{
 			LoadsPerSecond: c.Loads, MaxConcurrentLoads: 3, StallWeight: 1, BatchWeight: 0.1, StarveAfter: time.Second,
-			MinResidence: 2 * time.Second, BackendLease: 3 * time.Second, LongestOrder: 10 * time.Second,
+			MinResidence: 2 * time.Second, BackendLease: 3 * time.Second, OrderTimeout: 10 * time.Second,
 			AfterFailure: retrier.Backoff{First: time.Second, Most: time.Minute}, Evict: v.evict,
 		}},
 		router: &router.Router{Zone: "here", Policy: router.Policy{
--- a/pkg/planner/plan.go
+++ b/pkg/planner/plan.go
@@ -205,7 +205,7 @@
 	if now.Before(e.notBefore) {
 		return false
 	}
-	return e.info.GetChecksFencing() || now.Sub(p.started) > p.Policy.LongestOrder
+	return e.info.GetChecksFencing() || now.Sub(p.started) > p.Policy.OrderTimeout
 }
 
 // burden is an engine's work: what it reported, and what the adapters on it have
@@ -307,7 +307,7 @@
 func (p *Planner) order(now time.Time, kind OrderKind, e *engine, pl *Placement) Order {
 	if !e.reachable() {
 		// One order at a time shows whether it answers again.
-		e.notBefore = now.Add(p.Policy.LongestOrder)
+		e.notBefore = now.Add(p.Policy.OrderTimeout)
 	}
 	pl.order = OrderID(p.next())
 	p.orders[pl.order] = pl
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -91,8 +91,8 @@
 	MinResidence time.Duration
 	// BackendLease is how long an engine is known after its last announcement.
 	BackendLease time.Duration
-	// LongestOrder is how long an order can be under way.
-	LongestOrder time.Duration
+	// OrderTimeout is how long an order can be under way.
+	OrderTimeout time.Duration
 	// AfterFailure is the wait after failed loads of an adapter, and before the next order
 	// to an engine that has not answered. Without it a plan repeats an order each time that
 	// the one before has failed: thousands a minute to an engine behind a cut link.
