--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -127,7 +127,7 @@
 		planner: &planner.Planner{Policy: planner.Policy{
 			LoadsPerSecond: c.Loads, MaxConcurrentLoads: 3, StallWeight: 1, BatchWeight: 0.1, StarveAfter: time.Second,
 			MinResidence: 2 * time.Second, BackendLease: 3 * time.Second, OrderTimeout: 10 * time.Second,
-			AfterFailure: retrier.Backoff{First: time.Second, Most: time.Minute}, Evict: v.evict,
+			FailureBackoff: retrier.Backoff{First: time.Second, Most: time.Minute}, Evict: v.evict,
 		}},
 		router: &router.Router{Zone: "here", Policy: router.Policy{
 			BatchWeight: 1, StallWeight: 1, IdleLease: 10 * time.Second, SuspectFor: time.Second,
--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -170,7 +170,7 @@
 	return planner.Policy{
 		LoadsPerSecond: e.LoadsPerSecond, MaxConcurrentLoads: e.LoadsAtOnce, StallWeight: e.StallWeight,
 		BatchWeight: e.BatchWeight, StarveAfter: e.StarveAfter, MinResidence: e.MinResidence,
-		BackendLease: e.BackendLease, OrderTimeout: e.LongestOrder, AfterFailure: retrier.Backoff{First: e.BackOff, Most: e.MaxBackOff},
+		BackendLease: e.BackendLease, OrderTimeout: e.LongestOrder, FailureBackoff: retrier.Backoff{First: e.BackOff, Most: e.MaxBackOff},
 	}
 }
 
--- a/pkg/planner/plan.go
+++ b/pkg/planner/plan.go
@@ -350,7 +350,7 @@
 		return
 	}
 	e.unanswered++
-	e.notBefore = now.Add(p.Policy.AfterFailure.Wait(e.unanswered, rand.Float64()))
+	e.notBefore = now.Add(p.Policy.FailureBackoff.Wait(e.unanswered, rand.Float64()))
 }
 
 func (p *Planner) closeOrder(pl *Placement) {
@@ -375,7 +375,7 @@
 		return
 	}
 	a.failures++
-	wait := p.Policy.AfterFailure.Wait(a.failures, 0)
+	wait := p.Policy.FailureBackoff.Wait(a.failures, 0)
 	a.notBefore = now.Add(wait)
 	a.avoid[pl.Backend] = now.Add(2 * wait)
 }
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -93,10 +93,10 @@
 	BackendLease time.Duration
 	// OrderTimeout is how long an order can be under way.
 	OrderTimeout time.Duration
-	// AfterFailure is the wait after failed loads of an adapter, and before the next order
+	// FailureBackoff is the wait after failed loads of an adapter, and before the next order
 	// to an engine that has not answered. Without it a plan repeats an order each time that
 	// the one before has failed: thousands a minute to an engine behind a cut link.
-	AfterFailure retrier.Backoff
+	FailureBackoff retrier.Backoff
 	// Evict picks the adapter to give up. Nil takes the least popular one.
 	Evict func(candidates []*Placement) *Placement
 }
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -17,7 +17,7 @@
 	return planner.Policy{
 		LoadsPerSecond: 10, MaxConcurrentLoads: 3, StallWeight: 1, BatchWeight: 0.1,
 		StarveAfter: 500 * time.Millisecond, MinResidence: time.Second, BackendLease: 3 * time.Second,
-		OrderTimeout: 5 * time.Second, AfterFailure: retrier.Backoff{First: 500 * time.Millisecond, Most: 10 * time.Second},
+		OrderTimeout: 5 * time.Second, FailureBackoff: retrier.Backoff{First: 500 * time.Millisecond, Most: 10 * time.Second},
 	}
 }
 
