--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -144,7 +144,7 @@
 		m.engines = append(m.engines, &marketEngine{name: fmt.Sprintf("engine-%02d", i), loaded: map[string]bool{}})
 	}
 	m.planner.Start(m.now, 1)
-	m.planner.SetSettled(true)
+	m.planner.SetSynced(true)
 	return m
 }
 
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -225,9 +225,9 @@
 	p.settled = false
 }
 
-// SetSettled tells whether all that sessions hold is known. Nothing is recalled or
+// SetSynced tells whether all that sessions hold is known. Nothing is recalled or
 // unloaded before.
-func (p *Planner) SetSettled(settled bool) { p.settled = settled }
+func (p *Planner) SetSynced(settled bool) { p.settled = settled }
 
 // Placements returns all placements by engine and adapter.
 func (p *Planner) Placements() []*Placement {
--- a/pkg/planner/planner_bench_test.go
+++ b/pkg/planner/planner_bench_test.go
@@ -23,7 +23,7 @@
 			p := &planner.Planner{Policy: policy()}
 			now := time.Unix(1000, 0)
 			p.Start(now, 1)
-			p.SetSettled(true)
+			p.SetSynced(true)
 			for e := range size.engines {
 				info := &wire.Backend{
 					Name: fmt.Sprintf("engine-%d", e), Incarnation: "1", BaseModel: "base", Slots: 8, Batch: 16, ChecksFencing: true,
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -41,7 +41,7 @@
 		slots: slots, fencing: true, restarts: map[string]int{},
 	}
 	b.planner.Start(b.now, 1)
-	b.planner.SetSettled(true)
+	b.planner.SetSynced(true)
 	for i := range engines {
 		b.loaded[fmt.Sprintf("engine-%d", i)] = map[string]bool{}
 	}
@@ -262,7 +262,7 @@
 			b.fencing = tc.fencing
 			b.loaded["engine-0"]["old"] = true
 			b.planner.Start(b.now, 2)
-			b.planner.SetSettled(tc.settled)
+			b.planner.SetSynced(tc.settled)
 			b.announce()
 			b.now = b.now.Add(tc.after)
 			b.announce()
