--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -219,7 +219,7 @@
 		m.planner.Release(gatewayID, planner.LeaseID(lease))
 	}
 	for _, d := range m.router.Demands(false) {
-		m.planner.Demand(m.now, gatewayID, d)
+		m.planner.RecordDemand(m.now, gatewayID, d)
 		if d.GetWaiting() > 0 || d.GetRunning() > 0 {
 			m.router.Grant(m.now, m.planner.Grant(m.now, gatewayID, d.GetAdapter()))
 		}
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -72,7 +72,7 @@
 		c.planner.Release(id, planner.LeaseID(lease))
 	}
 	for _, d := range req.GetDemands() {
-		c.planner.Demand(now, id, d)
+		c.planner.RecordDemand(now, id, d)
 		if d.GetWaiting() > 0 || d.GetRunning() > 0 {
 			res.Grants = append(res.Grants, c.planner.Grant(now, id, d.GetAdapter())...)
 		}
--- a/pkg/planner/leases.go
+++ b/pkg/planner/leases.go
@@ -16,8 +16,8 @@
 	popularityIn = 20 * time.Second
 )
 
-// Demand takes a session's report on one adapter.
-func (p *Planner) Demand(now time.Time, id SessionID, d *wire.AdapterDemand) {
+// RecordDemand takes a session's report on one adapter.
+func (p *Planner) RecordDemand(now time.Time, id SessionID, d *wire.AdapterDemand) {
 	a := p.adapters[d.GetAdapter()]
 	if a == nil {
 		a = &adapter{
--- a/pkg/planner/planner_bench_test.go
+++ b/pkg/planner/planner_bench_test.go
@@ -35,7 +35,7 @@
 			}
 			for a := range size.adapters {
 				if a%10 == 0 {
-					p.Demand(now, 1, &wire.AdapterDemand{Adapter: fmt.Sprintf("a%d", a), BaseModel: "base", Running: 3})
+					p.RecordDemand(now, 1, &wire.AdapterDemand{Adapter: fmt.Sprintf("a%d", a), BaseModel: "base", Running: 3})
 				}
 			}
 			for b.Loop() {
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -64,7 +64,7 @@
 
 // want reports demand of a session and takes its leases.
 func (b *bench) want(id planner.SessionID, adapter string, waiting uint32) {
-	b.planner.Demand(b.now, id, &wire.AdapterDemand{Adapter: adapter, BaseModel: "base", Waiting: waiting, Started: waiting})
+	b.planner.RecordDemand(b.now, id, &wire.AdapterDemand{Adapter: adapter, BaseModel: "base", Waiting: waiting, Started: waiting})
 	if b.leases[id] == nil {
 		b.leases[id] = map[uint64]*wire.LeaseGrant{}
 	}
