--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -221,7 +221,7 @@
 	for _, d := range m.router.Demands(false) {
 		m.planner.RecordDemand(m.now, gatewayID, d)
 		if d.GetWaiting() > 0 || d.GetRunning() > 0 {
-			m.router.Grant(m.now, m.planner.Grant(m.now, gatewayID, d.GetAdapter()))
+			m.router.Grant(m.now, m.planner.GrantLeases(m.now, gatewayID, d.GetAdapter()))
 		}
 	}
 	m.router.Recall(m.planner.Recalls(gatewayID))
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -74,7 +74,7 @@
 	for _, d := range req.GetDemands() {
 		c.planner.RecordDemand(now, id, d)
 		if d.GetWaiting() > 0 || d.GetRunning() > 0 {
-			res.Grants = append(res.Grants, c.planner.Grant(now, id, d.GetAdapter())...)
+			res.Grants = append(res.Grants, c.planner.GrantLeases(now, id, d.GetAdapter())...)
 		}
 	}
 	for _, d := range demandsOf(req) {
--- a/pkg/planner/leases.go
+++ b/pkg/planner/leases.go
@@ -59,9 +59,9 @@
 	}
 }
 
-// Grant gives a session leases on all loaded placements of an adapter that it
+// GrantLeases gives a session leases on all loaded placements of an adapter that it
 // does not hold yet.
-func (p *Planner) Grant(now time.Time, id SessionID, name string) []*wire.LeaseGrant {
+func (p *Planner) GrantLeases(now time.Time, id SessionID, name string) []*wire.LeaseGrant {
 	var grants []*wire.LeaseGrant
 	for _, backend := range slices.Sorted(maps.Keys(p.placed[name])) {
 		pl := p.placed[name][backend]
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -68,7 +68,7 @@
 	if b.leases[id] == nil {
 		b.leases[id] = map[uint64]*wire.LeaseGrant{}
 	}
-	for _, g := range b.planner.Grant(b.now, id, adapter) {
+	for _, g := range b.planner.GrantLeases(b.now, id, adapter) {
 		b.leases[id][g.GetId()] = g
 	}
 }
