--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -271,7 +271,7 @@
 	}
 	for _, id := range c.leaser.Freed(now) {
 		c.limiter.Forget(id)
-		c.planner.ForgetSession(id)
+		c.planner.RemoveSession(id)
 	}
 	c.arbiter.Lead(now, c.term)
 	c.observeChanges(now)
--- a/pkg/planner/leases.go
+++ b/pkg/planner/leases.go
@@ -107,9 +107,9 @@
 	return recalls
 }
 
-// ForgetSession drops a session with all that it held and wanted. The caller makes
+// RemoveSession drops a session with all that it held and wanted. The caller makes
 // sure that nothing of it can still run.
-func (p *Planner) ForgetSession(id SessionID) {
+func (p *Planner) RemoveSession(id SessionID) {
 	for lease, pl := range p.held[id] {
 		p.unhold(id, lease, pl)
 	}
--- a/pkg/planner/placements.go
+++ b/pkg/planner/placements.go
@@ -58,7 +58,7 @@
 
 // ResetSession takes a session's full list of leases for all that it holds.
 func (p *Planner) ResetSession(now time.Time, id SessionID, held []*wire.LeaseGrant) {
-	p.ForgetSession(id)
+	p.RemoveSession(id)
 	for _, g := range held {
 		if p.engines[g.GetBackend()] == nil {
 			p.orphans[id] = append(p.orphans[id], g)
