--- a/pkg/planner/leases.go
+++ b/pkg/planner/leases.go
@@ -116,11 +116,11 @@
 	delete(p.held, id)
 	delete(p.recalled, id)
 	delete(p.orphans, id)
-	p.ForgetDemand(id)
+	p.RemoveDemand(id)
 }
 
-// ForgetDemand drops what a session wants, as soon as it has ended.
-func (p *Planner) ForgetDemand(id SessionID) {
+// RemoveDemand drops what a session wants, as soon as it has ended.
+func (p *Planner) RemoveDemand(id SessionID) {
 	for _, a := range p.active {
 		a.waiting.set(id, 0)
 		a.running.set(id, 0)
