--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -209,7 +209,7 @@
 			b.Loaded = append(b.Loaded, name)
 		}
 		all = append(all, b)
-		m.planner.Announce(m.now, b, false)
+		m.planner.UpdateEngine(m.now, b, false)
 	}
 	m.router.Update(all, nil, nil, true)
 }
--- a/controller/coordinator/backends.go
+++ b/controller/coordinator/backends.go
@@ -19,7 +19,7 @@
 	for _, b := range announced {
 		switch b.GetKind() {
 		case wire.BackendKind_BACKEND_KIND_ENGINE:
-			c.planner.Announce(now, b, slices.Contains(drained, b.GetName()))
+			c.planner.UpdateEngine(now, b, slices.Contains(drained, b.GetName()))
 			if c.ObserveBatchFill != nil && b.GetRunning() > 0 {
 				c.ObserveBatchFill(float64(b.GetRunning()) / float64(b.GetBatch()))
 			}
--- a/pkg/planner/placements.go
+++ b/pkg/planner/placements.go
@@ -6,9 +6,9 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Announce takes in what an engine tells of itself. A new incarnation is an empty
+// UpdateEngine takes in what an engine tells of itself. A new incarnation is an empty
 // engine: what was leased on the old one is void.
-func (p *Planner) Announce(now time.Time, b *wire.Backend, drained bool) {
+func (p *Planner) UpdateEngine(now time.Time, b *wire.Backend, drained bool) {
 	e := p.engines[b.GetName()]
 	if e != nil && e.info.GetIncarnation() != b.GetIncarnation() {
 		p.dropEngine(e)
--- a/pkg/planner/planner_bench_test.go
+++ b/pkg/planner/planner_bench_test.go
@@ -31,7 +31,7 @@
 				for s := range 8 {
 					info.Loaded = append(info.Loaded, fmt.Sprintf("a%d", (e*8+s)%size.adapters))
 				}
-				p.Announce(now, info, false)
+				p.UpdateEngine(now, info, false)
 			}
 			for a := range size.adapters {
 				if a%10 == 0 {
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -58,7 +58,7 @@
 		for adapter := range loaded {
 			info.Loaded = append(info.Loaded, adapter)
 		}
-		b.planner.Announce(b.now, info, false)
+		b.planner.UpdateEngine(b.now, info, false)
 	}
 }
 
