--- a/pkg/planner/placements.go
+++ b/pkg/planner/placements.go
@@ -138,8 +138,8 @@
 	delete(p.held[id], lease)
 }
 
-// Expire forgets engines that have not announced themselves for too long.
-func (p *Planner) Expire(now time.Time) {
+// ExpireEngines forgets engines that have not announced themselves for too long.
+func (p *Planner) ExpireEngines(now time.Time) {
 	for _, e := range p.engines {
 		if now.Sub(e.seen) > p.Policy.BackendLease {
 			p.dropEngine(e)
--- a/pkg/planner/plan.go
+++ b/pkg/planner/plan.go
@@ -23,7 +23,7 @@
 
 // Plan returns the orders that are due. Each is under way until Done is called.
 func (p *Planner) Plan(now time.Time) []Order {
-	p.Expire(now)
+	p.ExpireEngines(now)
 	p.refill(now)
 	p.forgetIdle(now)
 	orders := p.unloads(now)
