--- a/controller/coordinator/backends.go
+++ b/controller/coordinator/backends.go
@@ -40,7 +40,7 @@
 			c.backends.remove(name)
 		}
 	}
-	for _, name := range c.planner.Dropped() {
+	for _, name := range c.planner.TakeRemovedEngines() {
 		if c.planner.Backend(name) == nil {
 			c.backends.remove(name)
 		}
--- a/pkg/planner/placements.go
+++ b/pkg/planner/placements.go
@@ -156,8 +156,8 @@
 	p.byBase = nil
 }
 
-// Dropped returns the engines that were forgotten since the last call.
-func (p *Planner) Dropped() []string {
+// TakeRemovedEngines returns the engines that were forgotten since the last call.
+func (p *Planner) TakeRemovedEngines() []string {
 	dropped := p.dropped
 	p.dropped = nil
 	return dropped
