--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -246,7 +246,7 @@
 				e.carry(d.order)
 			}
 		}
-		m.planner.Done(m.now, d.order.ID, planner.Completed)
+		m.planner.RecordOutcome(m.now, d.order.ID, planner.Completed)
 		return true
 	})
 }
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -299,7 +299,7 @@
 	c.Carry(order, func(outcome planner.Outcome) {
 		c.calls.Post(func(now time.Time) {
 			if c.term == term {
-				c.planner.Done(now, order.ID, outcome)
+				c.planner.RecordOutcome(now, order.ID, outcome)
 			}
 		})
 	})
--- a/pkg/planner/plan.go
+++ b/pkg/planner/plan.go
@@ -317,8 +317,8 @@
 	}
 }
 
-// Done takes in how an order ended.
-func (p *Planner) Done(now time.Time, id OrderID, outcome Outcome) {
+// RecordOutcome takes in how an order ended.
+func (p *Planner) RecordOutcome(now time.Time, id OrderID, outcome Outcome) {
 	pl := p.orders[id]
 	if pl == nil {
 		return
--- a/pkg/planner/planner_bench_test.go
+++ b/pkg/planner/planner_bench_test.go
@@ -40,7 +40,7 @@
 			}
 			for b.Loop() {
 				for _, o := range p.Plan(now) {
-					p.Done(now, o.ID, planner.Refused)
+					p.RecordOutcome(now, o.ID, planner.Refused)
 				}
 			}
 		})
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -97,7 +97,7 @@
 		if o.Kind == planner.Load && current && !fail {
 			b.loaded[o.Backend][o.Adapter] = true
 		}
-		b.planner.Done(b.now, o.ID, ended(current && !fail))
+		b.planner.RecordOutcome(b.now, o.ID, ended(current && !fail))
 	}
 	b.orders = b.planner.Plan(b.now)
 	return wrong
@@ -188,7 +188,7 @@
 			if ok {
 				b.loaded[o.Backend][o.Adapter] = true
 			}
-			b.planner.Done(b.now, o.ID, ended(ok))
+			b.planner.RecordOutcome(b.now, o.ID, ended(ok))
 		}
 	}
 	c.Assert(loads["fine"], qt.Equals, 1)
@@ -212,7 +212,7 @@
 		for _, o := range b.planner.Plan(b.now) {
 			if o.Backend == "engine-0" {
 				lost++
-				b.planner.Done(b.now, o.ID, planner.Unanswered)
+				b.planner.RecordOutcome(b.now, o.ID, planner.Unanswered)
 				continue
 			}
 			if o.Kind == planner.Unload {
@@ -220,7 +220,7 @@
 			} else {
 				b.loaded[o.Backend][o.Adapter] = true
 			}
-			b.planner.Done(b.now, o.ID, planner.Completed)
+			b.planner.RecordOutcome(b.now, o.ID, planner.Completed)
 		}
 		b.handBack(1)
 	}
