--- a/gateway/regulator/peer.go
+++ b/gateway/regulator/peer.go
@@ -44,7 +44,7 @@
 		if known := r.peers[address]; known != nil && now.Before(known.aloneUntil) {
 			continue
 		}
-		if n := ranker.Preference(backend, address); best == "" || n > highest {
+		if n := ranker.Score(backend, address); best == "" || n > highest {
 			best, highest = address, n
 		}
 	}
@@ -58,7 +58,7 @@
 	defer r.mu.Unlock()
 	highest, next := uint64(0), uint64(0)
 	for _, address := range r.gateways {
-		n := ranker.Preference(backend, address)
+		n := ranker.Score(backend, address)
 		switch {
 		case first == "" || n > highest:
 			second, next = first, highest
--- a/pkg/ranker/ranker.go
+++ b/pkg/ranker/ranker.go
@@ -9,9 +9,9 @@
 	"slices"
 )
 
-// Preference is how much a party prefers a candidate: a number that is as good as random,
+// Score is how much a party prefers a candidate: a number that is as good as random,
 // and the same everywhere.
-func Preference(party, candidate string) uint64 {
+func Score(party, candidate string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(party + " " + candidate))
 	// FNV mixes the last bytes poorly into the high bits.
@@ -29,7 +29,7 @@
 	}
 	list := make([]ranked, len(candidates))
 	for i, name := range candidates {
-		list[i] = ranked{name, Preference(party, name)}
+		list[i] = ranked{name, Score(party, name)}
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
 		return cmp.Or(cmp.Compare(b.preference, a.preference), cmp.Compare(a.name, b.name))
