--- a/controller/keeper/members.go
+++ b/controller/keeper/members.go
@@ -35,7 +35,7 @@
 		}
 		return
 	}
-	facts := recruiter.Facts{
+	facts := recruiter.ClusterState{
 		Configuration: k.Replicator.Configuration(),
 		Joining:       k.joining(now),
 		Admitted:      admitted,
--- a/pkg/recruiter/recruiter.go
+++ b/pkg/recruiter/recruiter.go
@@ -11,8 +11,8 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Facts is what a leader knows when it looks for a change to make.
-type Facts struct {
+// ClusterState is what a leader knows when it looks for a change to make.
+type ClusterState struct {
 	Configuration *wire.Configuration
 	// Joining are the members that have lately asked to join.
 	Joining []*wire.Member
@@ -33,8 +33,8 @@
 // nothing is to be done. An incarnation that has lost its disk is removed only when
 // its successor has caught up, and before the successor is promoted: two of three
 // voters then decide, never a lost one.
-func Next(f Facts) *wire.Configuration {
-	steps := []func(Facts) *wire.Configuration{
+func Next(f ClusterState) *wire.Configuration {
+	steps := []func(ClusterState) *wire.Configuration{
 		removeUnadmitted, removeReplaced, promote, removeSilent, addLearner, removeLearner,
 	}
 	for _, step := range steps {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func removeUnadmitted(f Facts) *wire.Configuration {
+func removeUnadmitted(f ClusterState) *wire.Configuration {
 	for _, m := range members(f.Configuration) {
 		if !f.Admitted(m.GetName()) && m.GetId() != f.Leader {
 			return without(f.Configuration, m.GetId())
@@ -55,7 +55,7 @@
 }
 
 // removeReplaced takes out a voter whose instance has come back with another disk.
-func removeReplaced(f Facts) *wire.Configuration {
+func removeReplaced(f ClusterState) *wire.Configuration {
 	for _, learner := range f.Configuration.GetLearners() {
 		if !f.CaughtUp(learner.GetId()) || !joining(f, learner.GetId()) {
 			continue
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func promote(f Facts) *wire.Configuration {
+func promote(f ClusterState) *wire.Configuration {
 	if f.MaxVoters > 0 && len(f.Configuration.GetVoters()) >= f.MaxVoters {
 		return nil
 	}
@@ -87,7 +87,7 @@
 
 // removeSilent takes the vote of a member that is silent, if another stands by to get
 // it. Without one, the silent member may still come back.
-func removeSilent(f Facts) *wire.Configuration {
+func removeSilent(f ClusterState) *wire.Configuration {
 	if f.Silent == nil || !standsBy(f) {
 		return nil
 	}
@@ -100,7 +100,7 @@
 }
 
 // standsBy reports whether a learner could be promoted if there were room.
-func standsBy(f Facts) bool {
+func standsBy(f ClusterState) bool {
 	return slices.ContainsFunc(f.Configuration.GetLearners(), func(l *wire.Member) bool {
 		return f.CaughtUp(l.GetId()) && joining(f, l.GetId()) && !f.Silent(l.GetId()) &&
 			!hasName(f.Configuration.GetVoters(), l.GetName())
@@ -108,7 +108,7 @@
 }
 
 // removeLearner takes out a learner that is silent and does not ask to join any more.
-func removeLearner(f Facts) *wire.Configuration {
+func removeLearner(f ClusterState) *wire.Configuration {
 	if f.Silent == nil {
 		return nil
 	}
@@ -120,7 +120,7 @@
 	return nil
 }
 
-func addLearner(f Facts) *wire.Configuration {
+func addLearner(f ClusterState) *wire.Configuration {
 	for _, m := range f.Joining {
 		if !f.Admitted(m.GetName()) || hasID(members(f.Configuration), m.GetId()) {
 			continue
@@ -136,7 +136,7 @@
 	return nil
 }
 
-func joining(f Facts, id string) bool { return hasID(f.Joining, id) }
+func joining(f ClusterState, id string) bool { return hasID(f.Joining, id) }
 
 func members(c *wire.Configuration) []*wire.Member {
 	return slices.Concat(c.GetVoters(), c.GetLearners())
