--- a/controller/keeper/members.go
+++ b/controller/keeper/members.go
@@ -46,7 +46,7 @@
 	if k.SilentAfter > 0 {
 		facts.Silent = func(id string) bool { return now.Sub(k.Replicator.LastHeard(id)) > k.SilentAfter }
 	}
-	next := recruiter.Next(facts)
+	next := recruiter.NextConfiguration(facts)
 	if next == nil {
 		return
 	}
--- a/pkg/recruiter/recruiter.go
+++ b/pkg/recruiter/recruiter.go
@@ -29,11 +29,11 @@
 	Silent func(id string) bool
 }
 
-// Next returns the next configuration, which differs in one member, or nil when
+// NextConfiguration returns the next configuration, which differs in one member, or nil when
 // nothing is to be done. An incarnation that has lost its disk is removed only when
 // its successor has caught up, and before the successor is promoted: two of three
 // voters then decide, never a lost one.
-func Next(f ClusterState) *wire.Configuration {
+func NextConfiguration(f ClusterState) *wire.Configuration {
 	steps := []func(ClusterState) *wire.Configuration{
 		removeUnadmitted, removeReplaced, promote, removeSilent, addLearner, removeLearner,
 	}
--- a/pkg/recruiter/recruiter_test.go
+++ b/pkg/recruiter/recruiter_test.go
@@ -54,7 +54,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			behind, silent := strings.Fields(test.behind), strings.Fields(test.silent)
-			next := Next(ClusterState{
+			next := NextConfiguration(ClusterState{
 				Configuration: &wire.Configuration{Voters: list(test.voters), Learners: list(test.learners)},
 				Joining:       list(test.joining), Leader: "a/1", MaxVoters: 5,
 				Admitted: func(string) bool { return true },
@@ -78,7 +78,7 @@
 	silent := []string{"d/1", "e/1"}
 	joining := list("f/1 g/1")
 	for range 12 {
-		next := Next(ClusterState{
+		next := NextConfiguration(ClusterState{
 			Configuration: config, Joining: joining, Leader: "a/1", MaxVoters: 5,
 			Admitted: func(string) bool { return true }, CaughtUp: func(string) bool { return true },
 			Silent: func(id string) bool { return slices.Contains(silent, id) },
--- a/pkg/replicator/cluster_test.go
+++ b/pkg/replicator/cluster_test.go
@@ -237,7 +237,7 @@
 			joining = append(joining, &wire.Member{Id: other.id, Name: other.name})
 		}
 	}
-	next := recruiter.Next(recruiter.ClusterState{
+	next := recruiter.NextConfiguration(recruiter.ClusterState{
 		Configuration: m.core.Configuration(), Joining: joining, Admitted: m.state.Admitted,
 		CaughtUp: m.core.CaughtUp, Leader: m.id,
 	})
