--- a/pkg/arranger/arranger.go
+++ b/pkg/arranger/arranger.go
@@ -26,8 +26,8 @@
 	leastRelays = 2
 )
 
-// Place is a gateway's place in the tree.
-type Place struct {
+// Assignment is a gateway's place in the tree.
+type Assignment struct {
 	// Direct means that the gateway asks the controllers itself.
 	Direct bool
 	// Relays are the addresses of the gateways that it asks else, in its own order: the
@@ -41,7 +41,7 @@
 const maxElsewhere = 8
 
 // Arrange returns the place of the gateway at an address. The list need not have it yet.
-func Arrange(list []*wire.GatewayEntry, self *wire.GatewayEntry) Place {
+func Arrange(list []*wire.GatewayEntry, self *wire.GatewayEntry) Assignment {
 	mates := []string{self.GetAddress()}
 	var others []string
 	for _, g := range list {
@@ -54,7 +54,7 @@
 		}
 	}
 	relays := relaysOf(self.GetZone(), mates)
-	place := Place{Direct: relays == nil || slices.Contains(relays, self.GetAddress())}
+	place := Assignment{Direct: relays == nil || slices.Contains(relays, self.GetAddress())}
 	// Those of other zones come first: what cuts this gateway off may cut off its zone.
 	ranker.Sort(others, self.GetAddress())
 	ranker.Sort(mates, self.GetAddress())
--- a/pkg/arranger/arranger_test.go
+++ b/pkg/arranger/arranger_test.go
@@ -100,7 +100,7 @@
 	list := gateways(2, 20)
 	place := Arrange(list, &wire.GatewayEntry{Zone: "z1", Address: "10.0.1.99:80"})
 	c.Check(place.Direct || len(place.Relays) == 2, qt.IsTrue)
-	c.Check(Arrange(nil, list[0]), qt.DeepEquals, Place{Direct: true})
+	c.Check(Arrange(nil, list[0]), qt.DeepEquals, Assignment{Direct: true})
 }
 
 // One that reaches no controller asks gateways of other zones first, and never itself.
