--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -150,7 +150,7 @@
 	defer f.mu.Unlock()
 	relays := place.Relays
 	if f.cutOff(now) {
-		relays = append(relays, place.Elsewhere...)
+		relays = append(relays, place.Fallbacks...)
 	}
 	f.setRelays(ctx, relays)
 	f.setDirect(now, place.Direct || now.Sub(f.covered) > uncoveredAfter)
--- a/pkg/arranger/arranger.go
+++ b/pkg/arranger/arranger.go
@@ -33,8 +33,8 @@
 	// Relays are the addresses of the gateways that it asks else, in its own order: the
 	// followers of a zone spread over its relays.
 	Relays []string
-	// Elsewhere are other gateways, to be asked when no controller can be reached.
-	Elsewhere []string
+	// Fallbacks are other gateways, to be asked when no controller can be reached.
+	Fallbacks []string
 }
 
 // maxElsewhere bounds the gateways that are tried where no controller can be reached.
@@ -60,7 +60,7 @@
 	ranker.Sort(mates, self.GetAddress())
 	mates = slices.DeleteFunc(mates, func(address string) bool { return address == self.GetAddress() })
 	elsewhere := slices.Concat(others[:min(len(others), maxElsewhere/2)], mates)
-	place.Elsewhere = elsewhere[:min(len(elsewhere), maxElsewhere)]
+	place.Fallbacks = elsewhere[:min(len(elsewhere), maxElsewhere)]
 	if !place.Direct {
 		ranker.Sort(relays, self.GetAddress())
 		place.Relays = relays
--- a/pkg/arranger/arranger_test.go
+++ b/pkg/arranger/arranger_test.go
@@ -108,12 +108,12 @@
 	c := qt.New(t)
 	list := gateways(3, 5)
 	place := Arrange(list, list[0])
-	c.Assert(place.Elsewhere, qt.HasLen, 8)
+	c.Assert(place.Fallbacks, qt.HasLen, 8)
 	zones := map[string]string{}
 	for _, g := range list {
 		zones[g.GetAddress()] = g.GetZone()
 	}
-	for i, address := range place.Elsewhere {
+	for i, address := range place.Fallbacks {
 		c.Check(address == list[0].GetAddress(), qt.IsFalse)
 		c.Check(zones[address] == "z0", qt.Equals, i >= 4)
 	}
