--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -144,7 +144,7 @@
 
 // arrange decides whether the controllers are asked, and which relays.
 func (f *Follower) arrange(ctx context.Context) {
-	place := arranger.Arrange(f.Relayer.Gateways(), f.Self)
+	place := arranger.Assign(f.Relayer.Gateways(), f.Self)
 	now := f.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/arranger/arranger.go
+++ b/pkg/arranger/arranger.go
@@ -40,8 +40,8 @@
 // maxElsewhere bounds the gateways that are tried where no controller can be reached.
 const maxElsewhere = 8
 
-// Arrange returns the place of the gateway at an address. The list need not have it yet.
-func Arrange(list []*wire.GatewayEntry, self *wire.GatewayEntry) Assignment {
+// Assign returns the place of the gateway at an address. The list need not have it yet.
+func Assign(list []*wire.GatewayEntry, self *wire.GatewayEntry) Assignment {
 	mates := []string{self.GetAddress()}
 	var others []string
 	for _, g := range list {
--- a/pkg/arranger/arranger_test.go
+++ b/pkg/arranger/arranger_test.go
@@ -22,7 +22,7 @@
 func arrangeAll(list []*wire.GatewayEntry) (direct map[string]bool, followers map[string]int) {
 	direct, followers = map[string]bool{}, map[string]int{}
 	for _, self := range list {
-		place := Arrange(list, self)
+		place := Assign(list, self)
 		if place.Direct {
 			direct[self.GetAddress()] = true
 			continue
@@ -86,7 +86,7 @@
 	}
 	c.Check(newRelays, qt.Equals, 1)
 	for _, self := range rest {
-		old, now := Arrange(list, self), Arrange(rest, self)
+		old, now := Assign(list, self), Assign(rest, self)
 		if old.Direct || now.Direct || old.Relays[0] == lost || !before[now.Relays[0]] {
 			continue
 		}
@@ -98,16 +98,16 @@
 func TestWhoIsNotListedYet(t *testing.T) {
 	c := qt.New(t)
 	list := gateways(2, 20)
-	place := Arrange(list, &wire.GatewayEntry{Zone: "z1", Address: "10.0.1.99:80"})
+	place := Assign(list, &wire.GatewayEntry{Zone: "z1", Address: "10.0.1.99:80"})
 	c.Check(place.Direct || len(place.Relays) == 2, qt.IsTrue)
-	c.Check(Arrange(nil, list[0]), qt.DeepEquals, Assignment{Direct: true})
+	c.Check(Assign(nil, list[0]), qt.DeepEquals, Assignment{Direct: true})
 }
 
 // One that reaches no controller asks gateways of other zones first, and never itself.
 func TestElsewhere(t *testing.T) {
 	c := qt.New(t)
 	list := gateways(3, 5)
-	place := Arrange(list, list[0])
+	place := Assign(list, list[0])
 	c.Assert(place.Fallbacks, qt.HasLen, 8)
 	zones := map[string]string{}
 	for _, g := range list {
