--- a/controller/keeper/members.go
+++ b/controller/keeper/members.go
@@ -5,7 +5,7 @@
 	"strings"
 	"time"
 
-	"bronzelead.example/pkg/recruiter"
+	"bronzelead.example/pkg/membershipplanner"
 	"bronzelead.example/pkg/replicator"
 	"bronzelead.example/pkg/wire"
 )
@@ -35,7 +35,7 @@
 		}
 		return
 	}
-	facts := recruiter.ClusterState{
+	facts := membershipplanner.ClusterState{
 		Configuration: k.Replicator.Configuration(),
 		Joining:       k.joining(now),
 		Admitted:      admitted,
@@ -46,7 +46,7 @@
 	if k.SilentAfter > 0 {
 		facts.Silent = func(id string) bool { return now.Sub(k.Replicator.LastHeard(id)) > k.SilentAfter }
 	}
-	next := recruiter.NextConfiguration(facts)
+	next := membershipplanner.NextConfiguration(facts)
 	if next == nil {
 		return
 	}
--- a/pkg/recruiter/recruiter.go
+++ b/pkg/membershipplanner/recruiter.go
@@ -1,7 +1,7 @@
 // Package recruiter decides the next change of a replicated log's members: new
 // incarnations of admitted instances join as learners and get the vote of the one
 // that they replace once they have caught up. It is pure.
-package recruiter
+package membershipplanner
 
 import (
 	"slices"
--- a/pkg/recruiter/recruiter_test.go
+++ b/pkg/membershipplanner/recruiter_test.go
@@ -1,4 +1,4 @@
-package recruiter
+package membershipplanner
 
 import (
 	"slices"
--- a/pkg/replicator/cluster_test.go
+++ b/pkg/replicator/cluster_test.go
@@ -8,8 +8,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"bronzelead.example/pkg/membershipplanner"
 	"bronzelead.example/pkg/recorder"
-	"bronzelead.example/pkg/recruiter"
 	"bronzelead.example/pkg/replicator"
 	"bronzelead.example/pkg/wire"
 )
@@ -237,7 +237,7 @@
 			joining = append(joining, &wire.Member{Id: other.id, Name: other.name})
 		}
 	}
-	next := recruiter.NextConfiguration(recruiter.ClusterState{
+	next := membershipplanner.NextConfiguration(membershipplanner.ClusterState{
 		Configuration: m.core.Configuration(), Joining: joining, Admitted: m.state.Admitted,
 		CaughtUp: m.core.CaughtUp, Leader: m.id,
 	})
