--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -16,8 +16,8 @@
 
 	"bronzelead.example/gateway/granter"
 	"bronzelead.example/gateway/relayer"
-	"bronzelead.example/pkg/arranger"
 	"bronzelead.example/pkg/connector"
+	"bronzelead.example/pkg/relayplanner"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -144,7 +144,7 @@
 
 // arrange decides whether the controllers are asked, and which relays.
 func (f *Follower) arrange(ctx context.Context) {
-	place := arranger.Assign(f.Relayer.Gateways(), f.Self)
+	place := relayplanner.Assign(f.Relayer.Gateways(), f.Self)
 	now := f.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/gateway/follower/tree_test.go
+++ b/gateway/follower/tree_test.go
@@ -13,8 +13,8 @@
 
 	"bronzelead.example/gateway/granter"
 	"bronzelead.example/gateway/relayer"
-	"bronzelead.example/pkg/arranger"
 	"bronzelead.example/pkg/meter"
+	"bronzelead.example/pkg/relayplanner"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -55,12 +55,12 @@
 	byAddress := startGateways(t, list, 10, func(int) string { return "z" })
 	self := &wire.GatewayEntry{}
 	for _, self = range list.GetGatewayList() {
-		if !arranger.Assign(list.GetGatewayList(), self).Direct {
+		if !relayplanner.Assign(list.GetGatewayList(), self).Direct {
 			break
 		}
 	}
 	s := &system{controller: &meshFake{}}
-	for _, relay := range arranger.Assign(list.GetGatewayList(), self).Relays {
+	for _, relay := range relayplanner.Assign(list.GetGatewayList(), self).Relays {
 		s.relays = append(s.relays, byAddress[relay])
 	}
 	s.follow(t, self, list)
--- a/pkg/arranger/arranger.go
+++ b/pkg/relayplanner/arranger.go
@@ -5,7 +5,7 @@
 // It answers the load of a system with many gateways: if all ask the controllers, the
 // leader's bytes and time grow with the gateways times all that is news, and most of the
 // bytes cross zones. In a tree each piece of news enters a zone a few times.
-package arranger
+package relayplanner
 
 import (
 	"slices"
--- a/pkg/arranger/arranger_test.go
+++ b/pkg/relayplanner/arranger_test.go
@@ -1,4 +1,4 @@
-package arranger
+package relayplanner
 
 import (
 	"fmt"
