--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -125,9 +125,9 @@
 	m := &market{
 		command: c, random: random, now: time.Unix(1_000_000, 0), waiting: map[string][]time.Time{},
 		planner: &planner.Planner{Policy: planner.Policy{
-			LoadsPerSecond: c.Loads, LoadsAtOnce: 3, StallWeight: 1, BatchWeight: 0.1, StarveAfter: time.Second,
-			MinResidence: 2 * time.Second, BackendLease: 3 * time.Second, LongestOrder: 10 * time.Second,
-			AfterFailure: retrier.Backoff{Initial: time.Second, Max: time.Minute}, Evict: v.evict,
+			LoadsPerSecond: c.Loads, MaxConcurrentLoads: 3, StallWeight: 1, BatchWeight: 0.1, StarveAfter: time.Second,
+			MinResidence: 2 * time.Second, BackendLease: 3 * time.Second, OrderTimeout: 10 * time.Second,
+			FailureBackoff: retrier.Backoff{Initial: time.Second, Max: time.Minute}, Evict: v.evict,
 		}},
 		router: &router.Router{Zone: "here", Policy: router.Policy{
 			BatchWeight: 1, StallWeight: 1, IdleLease: 10 * time.Second, SuspectFor: time.Second,
@@ -144,7 +144,7 @@
 		m.engines = append(m.engines, &marketEngine{name: fmt.Sprintf("engine-%02d", i), loaded: map[string]bool{}})
 	}
 	m.planner.Start(m.now, 1)
-	m.planner.SetSettled(true)
+	m.planner.SetSynced(true)
 	return m
 }
 
@@ -209,7 +209,7 @@
 			b.Loaded = append(b.Loaded, name)
 		}
 		all = append(all, b)
-		m.planner.Announce(m.now, b, false)
+		m.planner.UpdateEngine(m.now, b, false)
 	}
 	m.router.Update(all, nil, nil, true)
 }
@@ -219,9 +219,9 @@
 		m.planner.Release(gatewayID, planner.LeaseID(lease))
 	}
 	for _, d := range m.router.Demands(false) {
-		m.planner.Demand(m.now, gatewayID, d)
+		m.planner.RecordDemand(m.now, gatewayID, d)
 		if d.GetWaiting() > 0 || d.GetRunning() > 0 {
-			m.router.Grant(m.now, m.planner.Grant(m.now, gatewayID, d.GetAdapter()))
+			m.router.Grant(m.now, m.planner.GrantLeases(m.now, gatewayID, d.GetAdapter()))
 		}
 	}
 	m.router.Recall(m.planner.Recalls(gatewayID))
@@ -246,7 +246,7 @@
 				e.carry(d.order)
 			}
 		}
-		m.planner.Done(m.now, d.order.ID, planner.Carried)
+		m.planner.RecordOutcome(m.now, d.order.ID, planner.Completed)
 		return true
 	})
 }
--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -168,9 +168,9 @@
 func (a *App) policy() planner.Policy {
 	e := a.Settings.Engines
 	return planner.Policy{
-		LoadsPerSecond: e.LoadsPerSecond, LoadsAtOnce: e.LoadsAtOnce, StallWeight: e.StallWeight,
+		LoadsPerSecond: e.LoadsPerSecond, MaxConcurrentLoads: e.LoadsAtOnce, StallWeight: e.StallWeight,
 		BatchWeight: e.BatchWeight, StarveAfter: e.StarveAfter, MinResidence: e.MinResidence,
-		BackendLease: e.BackendLease, LongestOrder: e.LongestOrder, AfterFailure: retrier.Backoff{Initial: e.BackOff, Max: e.MaxBackOff},
+		BackendLease: e.BackendLease, OrderTimeout: e.LongestOrder, FailureBackoff: retrier.Backoff{Initial: e.BackOff, Max: e.MaxBackOff},
 	}
 }
 
--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -21,7 +21,7 @@
 	orders *platform.Orders
 }
 
-func (c *orderCarrier) carry(order placer.Order, term uint64, done func(placer.Outcome, *placer.State)) {
+func (c *orderCarrier) carry(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState)) {
 	go func() {
 		if !c.leads() {
 			done(placer.Refused, nil)
@@ -35,10 +35,10 @@
 	}()
 }
 
-func (c *orderCarrier) report(order placer.Order) (placer.Outcome, *placer.State) {
+func (c *orderCarrier) report(order placer.Order) (placer.Outcome, *placer.EngineState) {
 	report, err := c.orders.Report(context.Background(), order.Address, order.Name)
 	if errors.Is(err, platform.ErrElsewhere) {
-		return placer.Gone, nil
+		return placer.WrongIncarnation, nil
 	}
 	if err != nil {
 		c.log.Info("an engine did not report", "Backend", order.Backend, "Error", err.Error())
@@ -50,10 +50,10 @@
 	if report.BornMs > 0 && order.BornMs > 0 && report.BornMs != order.BornMs {
 		// What the new start holds is asked for once it has announced itself.
 		c.log.Info("an engine has started again", "Backend", order.Backend, "BornMs", report.BornMs)
-		return placer.Gone, nil
+		return placer.WrongIncarnation, nil
 	}
-	return placer.Holds, &placer.State{
-		Accepted: report.Accepted, Models: report.Models, Adapters: report.Adapters, Coming: report.Coming,
+	return placer.Completed, &placer.EngineState{
+		Accepted: report.Accepted, Models: report.Models, Adapters: report.Adapters, Loading: report.Coming,
 	}
 }
 
@@ -77,7 +77,7 @@
 	case platform.OrderAccepted:
 		return placer.Accepted
 	case platform.OrderHolds:
-		return placer.Holds
+		return placer.Completed
 	case platform.OrderConflict:
 		return placer.Conflict
 	case platform.OrderFenced, platform.OrderRefused:
@@ -85,7 +85,7 @@
 	case platform.OrderUnsent:
 		return placer.Unreachable
 	case platform.OrderElsewhere:
-		return placer.Gone
+		return placer.WrongIncarnation
 	case platform.OrderUnknown:
 	}
 	return placer.Unknown
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -241,7 +241,7 @@
 	if closed := result.Closed; closed != nil {
 		id := leaser.SessionID(closed.GetSession())
 		c.leaser.Closed(c.Clock.Now(), id, closed.GetGraceful())
-		c.planner.ForgetDemand(id)
+		c.planner.RemoveDemand(id)
 	}
 	if a := result.Apply; a != nil && a.GetContract() != nil {
 		contract := c.state.Contract(a.GetContract().GetCustomer())
@@ -271,7 +271,7 @@
 	}
 	for _, id := range c.leaser.Freed(now) {
 		c.limiter.Forget(id)
-		c.planner.ForgetSession(id)
+		c.planner.RemoveSession(id)
 	}
 	c.arbiter.Lead(now, c.term)
 	c.observeChanges(now)
@@ -280,7 +280,7 @@
 		// Engines and leases are still being reported.
 		return
 	}
-	c.planner.SetSettled(c.leaser.Settled())
+	c.planner.SetSynced(c.leaser.Settled())
 	for _, order := range c.planner.Plan(now) {
 		c.carry(order)
 	}
@@ -299,7 +299,7 @@
 	c.Carry(order, func(outcome planner.Outcome) {
 		c.calls.Post(func(now time.Time) {
 			if c.term == term {
-				c.planner.Done(now, order.ID, outcome)
+				c.planner.RecordOutcome(now, order.ID, outcome)
 			}
 		})
 	})
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -67,7 +67,7 @@
 	// In brings committed entries.
 	In <-chan keeper.Item
 	// Carry takes orders to engines and reports each one's end. It must not block.
-	Carry func(order placer.Order, term uint64, done func(placer.Outcome, *placer.State))
+	Carry func(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState))
 	// Relay passes announcements on to the other controllers. It must not block.
 	Relay func(announcements []*wire.Announcement)
 	// Controllers returns the addresses of all controllers.
@@ -115,7 +115,7 @@
 	// requestLimits are those that backend servers have named to any gateway.
 	requestLimits throttler.Registry
 	// knowledge is what the leader has learnt, this one or another, whose holdings are heard.
-	knowledge *placer.Knowledge
+	knowledge *placer.LearnedState
 	heard     *spreader.Holdings
 	forgotten time.Time
 
@@ -165,7 +165,7 @@
 	c.loads = spreader.NewSum()
 	c.holdings = spreader.NewHoldings()
 	c.initArbiter()
-	c.knowledge = placer.NewKnowledge(c.Policy)
+	c.knowledge = placer.NewLearnedState(c.Policy)
 	c.heard = spreader.NewHoldings()
 }
 
@@ -275,7 +275,7 @@
 	c.takeChanges()
 	c.follow(now)
 	if c.placer != nil {
-		c.placer.SetUse(c.uses())
+		c.placer.SetUsage(c.uses())
 		c.plan(now)
 	}
 	if c.lender != nil {
@@ -290,7 +290,7 @@
 	c.meetGateways(now)
 	if c.placer == nil && now.Sub(c.forgotten) >= forgetEvery {
 		c.forgotten = now
-		c.knowledge.Forget(now)
+		c.knowledge.PruneDemand(now)
 	}
 	c.answerWaiters(now)
 }
@@ -366,17 +366,17 @@
 	if !c.leads(now) || now.Before(c.ordersAfter) {
 		return
 	}
-	for _, order := range c.placer.Next(now, backend) {
+	for _, order := range c.placer.NextOrders(now, backend) {
 		c.carry(order)
 	}
 }
 
 func (c *Curator) carry(order placer.Order) {
 	term := c.term
-	c.Carry(order, term, func(outcome placer.Outcome, state *placer.State) {
+	c.Carry(order, term, func(outcome placer.Outcome, state *placer.EngineState) {
 		c.calls.Post(func(now time.Time) {
 			if c.term == term && c.placer != nil {
-				c.placer.Done(now, order, outcome, state)
+				c.placer.RecordOutcome(now, order, outcome, state)
 				c.giveNext(now, order.Backend)
 			}
 		})
@@ -406,10 +406,10 @@
 }
 
 // uses returns what the gateways have at each backend server.
-func (c *Curator) uses() map[string]*placer.Use {
-	total := map[string]*placer.Use{}
+func (c *Curator) uses() map[string]*placer.Usage {
+	total := map[string]*placer.Usage{}
 	c.loads.Each(func(backend string, requests uint32, adapters map[string]int) {
-		use := &placer.Use{Requests: float64(requests), Adapters: make(map[string]bool, len(adapters))}
+		use := &placer.Usage{Requests: float64(requests), Adapters: make(map[string]bool, len(adapters))}
 		for adapter := range adapters {
 			use.Adapters[adapter] = true
 		}
--- a/controller/curator/sync.go
+++ b/controller/curator/sync.go
@@ -67,7 +67,7 @@
 	c.hearLimits(now, req.GetRequestLimits())
 	c.arbiter.Hear(now, req.GetRunReports())
 	for _, d := range req.GetDemand() {
-		c.knowledge.Demand(now, d.GetAdapter(), int(d.GetRequests()))
+		c.knowledge.RecordRequests(now, d.GetAdapter(), int(d.GetRequests()))
 	}
 }
 
@@ -92,7 +92,7 @@
 		}
 		g := c.gateways[req.GetGateway()]
 		for _, w := range req.GetWants() {
-			c.placer.Want(now, w.GetAdapter(), w.GetAvoid(), waitsUntil(now, w))
+			c.placer.RequestLoad(now, w.GetAdapter(), w.GetAvoid(), waitsUntil(now, w))
 			if g != nil {
 				g.wants[w.GetAdapter()] = now
 				g.urgent = g.urgent || c.placer.Ready(w.GetAdapter())
@@ -288,7 +288,7 @@
 		if a.GetGone() {
 			c.holdings.Drop(a.GetId())
 			c.heard.Drop(a.GetId())
-			c.knowledge.ForgetEngine(a.GetId())
+			c.knowledge.RemoveEngine(a.GetId())
 		}
 	}
 	c.taken = c.tracker.Revision()
--- a/pkg/placer/orders.go
+++ b/pkg/placer/orders.go
@@ -59,7 +59,7 @@
 			if e.use.Adapters[adapter] {
 				// A gateway has not heard yet, or its request still runs: an unload
 				// would wait for it, and meanwhile the engine takes no other orders.
-				held.at = now.Add(p.policy.ConfirmAgain)
+				held.at = now.Add(p.policy.ConfirmInterval)
 				continue
 			}
 			held.state = dropping
@@ -100,7 +100,7 @@
 // nextLoad loads what is queued, if there is a free place or a newer version takes the
 // place of an older.
 func (p *Placer) nextLoad(now time.Time, e *engine) (Order, bool) {
-	if !e.open() || e.coming() >= p.policy.MaxComing {
+	if !e.open() || e.coming() >= p.policy.MaxLoadsPerEngine {
 		return Order{}, false
 	}
 	p.dropLate(now, e)
@@ -150,7 +150,7 @@
 // makeRoom tells the gateways that the least wanted adapters go, until the queue and
 // the reserve have places.
 func (p *Placer) makeRoom(now time.Time, e *engine) {
-	need := len(e.queue) + p.policy.Reserve
+	need := len(e.queue) + p.policy.ReservedSlots
 	free := p.slots(e) - len(e.places)
 	for _, held := range e.places {
 		if held.state == leaving || held.state == dropping {
@@ -163,7 +163,7 @@
 			return
 		}
 		held := e.places[victim]
-		held.state, held.at = leaving, now.Add(p.policy.Notice)
+		held.state, held.at = leaving, now.Add(p.policy.UnloadNotice)
 		p.touch(e)
 		free++
 	}
@@ -172,9 +172,9 @@
 // victim returns the adapter at an engine for which there is the least demand, of those
 // that no request uses.
 func (p *Placer) victim(now time.Time, e *engine, pressed bool) string {
-	idleFor := p.policy.IdleFor
+	idleFor := p.policy.MinIdle
 	if pressed {
-		idleFor = p.policy.IdleUnderPressure
+		idleFor = p.policy.MinIdleUnderPressure
 	}
 	victim, least := "", 0.0
 	for adapter, held := range e.places {
--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Done takes the end of an order. State is set for reports that were answered.
-func (p *Placer) Done(now time.Time, o Order, outcome Outcome, state *State) {
+// RecordOutcome takes the end of an order. State is set for reports that were answered.
+func (p *Placer) RecordOutcome(now time.Time, o Order, outcome Outcome, state *EngineState) {
 	e := p.engines[o.Backend]
 	if e == nil {
 		return
@@ -27,7 +27,7 @@
 		outcome = afterRepeat(o, outcome)
 	}
 	switch {
-	case outcome == Gone:
+	case outcome == WrongIncarnation:
 		delete(p.engines, o.Backend)
 	case o.Kind == Report:
 		p.doneReport(now, e, outcome, state)
@@ -36,7 +36,7 @@
 		// Requests that wait for adapters here are better served elsewhere.
 		e.reported = false
 		p.giveBack(now, e)
-		e.waitUntil = now.Add(p.policy.UnknownWait)
+		e.waitUntil = now.Add(p.policy.ResyncDelay)
 	case o.Kind == LoadModel:
 		p.doneModel(now, e, outcome)
 	case o.Kind == Unload:
@@ -68,7 +68,7 @@
 		if q.until.IsZero() {
 			continue
 		}
-		p.Want(now, q.adapter, []string{e.info.GetId()}, q.until)
+		p.RequestLoad(now, q.adapter, []string{e.info.GetId()}, q.until)
 	}
 	e.queue = nil
 }
@@ -85,7 +85,7 @@
 	}
 	if outcome == Unreachable || e.failures >= failuresToAvoid {
 		// One without an answer has taken its timeout already; a refused connection takes no time.
-		e.waitUntil = now.Add(p.policy.Unanswered.Delay(e.failures, rand.Float64()))
+		e.waitUntil = now.Add(p.policy.RetryBackoff.Delay(e.failures, rand.Float64()))
 	}
 }
 
@@ -93,7 +93,7 @@
 // engine holds or takes what was asked for, the order was accepted once, the first time or now. A
 // conflict tells nothing of it: another order may have been carried out in between.
 func afterRepeat(o Order, outcome Outcome) Outcome {
-	accepted := outcome == Holds || outcome == Accepted
+	accepted := outcome == Completed || outcome == Accepted
 	if accepted && o.Kind != Unload {
 		return Accepted
 	}
@@ -105,7 +105,7 @@
 
 func (p *Placer) doneModel(now time.Time, e *engine, outcome Outcome) {
 	switch outcome {
-	case Holds:
+	case Completed:
 		e.model = true
 		p.touch(e)
 	case Accepted:
@@ -122,7 +122,7 @@
 	e.asking = false
 	held := e.places[o.Adapter]
 	switch outcome {
-	case Gone:
+	case WrongIncarnation:
 		delete(p.engines, o.Backend)
 		return
 	case Unknown, Unreachable:
@@ -140,15 +140,15 @@
 	if now.Sub(e.askedAt) > lateSight {
 		held.repeated = true
 	}
-	if outcome == Holds {
+	if outcome == Completed {
 		p.loaded(now, e, o.Adapter, held)
 		return
 	}
-	held.at = now.Add(p.policy.ConfirmAgain)
+	held.at = now.Add(p.policy.ConfirmInterval)
 	if cold := held.begun.Add(p.expectedCold()); held.warm && outcome == Accepted && held.at.Before(cold) {
 		held.at = cold
 	}
-	if now.Sub(held.begun) > p.policy.LostLoad {
+	if now.Sub(held.begun) > p.policy.LoadTimeout {
 		// It is not there after all; what the engine holds has to be asked.
 		e.reported = false
 	}
@@ -176,14 +176,14 @@
 		held.repeated = true
 	}
 	switch outcome {
-	case Holds:
+	case Completed:
 		p.loaded(now, e, o.Adapter, held)
 	case Accepted:
 		held.accepted = true
 		held.at = now.Add(p.expected(e, o.Adapter))
 	case Refused:
 		delete(e.places, o.Adapter)
-		e.waitUntil = now.Add(p.policy.UnknownWait)
+		e.waitUntil = now.Add(p.policy.ResyncDelay)
 	}
 }
 
@@ -195,8 +195,8 @@
 	case outcome == Conflict:
 		// It was given again after no answer; the first was accepted and may wait for runs.
 		e.accepted++
-		held.pending, held.at = true, now.Add(p.policy.UnloadAgain)
-	case outcome == Holds:
+		held.pending, held.at = true, now.Add(p.policy.UnloadCheckInterval)
+	case outcome == Completed:
 		if !held.pending {
 			// One that was accepted before has been counted.
 			e.accepted++
@@ -207,13 +207,13 @@
 		if !held.pending {
 			e.accepted++
 		}
-		held.pending, held.at = true, now.Add(p.policy.UnloadAgain)
+		held.pending, held.at = true, now.Add(p.policy.UnloadCheckInterval)
 	}
 }
 
-func (p *Placer) doneReport(now time.Time, e *engine, outcome Outcome, state *State) {
-	if outcome != Holds || state == nil {
-		e.waitUntil = now.Add(p.policy.UnknownWait)
+func (p *Placer) doneReport(now time.Time, e *engine, outcome Outcome, state *EngineState) {
+	if outcome != Completed || state == nil {
+		e.waitUntil = now.Add(p.policy.ResyncDelay)
 		return
 	}
 	e.reported = true
@@ -229,10 +229,10 @@
 		e.remember(adapter)
 		if p.demand[adapter] == nil {
 			// A leader that has just begun knows of no requests; what is there was wanted.
-			p.demand[adapter] = &demand{rate: assumedRate, last: now.Add(-p.policy.IdleFor)}
+			p.demand[adapter] = &demand{rate: assumedRate, last: now.Add(-p.policy.MinIdle)}
 		}
 	}
-	for _, qualified := range state.Coming {
+	for _, qualified := range state.Loading {
 		adapter, version := splitVersion(qualified)
 		places[adapter] = &place{state: loading, version: version, at: now, begun: now, depth: -1, accepted: true}
 	}
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -19,13 +19,13 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Kind says what an order asks for.
-type Kind int
+// OrderKind says what an order asks for.
+type OrderKind int
 
 // The kinds of orders.
 const (
 	// Report asks an engine for its state.
-	Report Kind = iota
+	Report OrderKind = iota
 	// Load loads an adapter.
 	Load
 	// Confirm is a load sent again, to learn whether the adapter is there.
@@ -37,13 +37,13 @@
 )
 
 // String returns the kind's name.
-func (k Kind) String() string {
+func (k OrderKind) String() string {
 	return [...]string{"Report", "Load", "Confirm", "Unload", "LoadModel"}[k]
 }
 
 // Order is an instruction to one engine.
 type Order struct {
-	Kind Kind
+	Kind OrderKind
 	// Backend is the start that is meant; Address, Name and BornMs are as it announced them.
 	Backend string
 	Address string
@@ -71,28 +71,28 @@
 	Unreachable
 	// Accepted means that the engine carries it out.
 	Accepted
-	// Holds means that what was asked for is the case.
-	Holds
+	// Completed means that what was asked for is the case.
+	Completed
 	// Conflict means that the engine has accepted another number of orders.
 	Conflict
 	// Refused means that the engine does not carry it out.
 	Refused
-	// Gone means that the engine is another start than the one meant.
-	Gone
+	// WrongIncarnation means that the engine is another start than the one meant.
+	WrongIncarnation
 )
 
-// State is what an engine reported of itself.
-type State struct {
+// EngineState is what an engine reported of itself.
+type EngineState struct {
 	Accepted uint64
 	// Models are the base models there.
 	Models   []string
 	Adapters []string
-	Coming   []string
+	Loading  []string
 }
 
 // Placer holds what the leader knows. Make one with New.
 type Placer struct {
-	*Knowledge
+	*LearnedState
 	limits   map[string]*wire.EngineLimits
 	engines  map[string]*engine
 	versions map[string]uint64
@@ -131,12 +131,12 @@
 }
 
 // New returns a placer that knows nothing yet.
-func New(policy Policy) *Placer { return NewWith(NewKnowledge(policy)) }
+func New(policy Policy) *Placer { return NewWith(NewLearnedState(policy)) }
 
 // NewWith returns a placer that goes on from what a leader before it has learnt.
-func NewWith(k *Knowledge) *Placer {
+func NewWith(k *LearnedState) *Placer {
 	return &Placer{
-		Knowledge: k, limits: map[string]*wire.EngineLimits{}, engines: map[string]*engine{},
+		LearnedState: k, limits: map[string]*wire.EngineLimits{}, engines: map[string]*engine{},
 		versions: map[string]uint64{}, wants: map[string]*want{}, changed: map[string]bool{},
 	}
 }
@@ -188,28 +188,28 @@
 	p.versions[adapter] = max(p.versions[adapter], v.GetVersion())
 }
 
-// Use is what all gateways have at one engine.
-type Use struct {
+// Usage is what all gateways have at one engine.
+type Usage struct {
 	Requests float64
 	// Adapters are those that the requests use.
 	Adapters map[string]bool
 }
 
-// SetUse takes what all gateways have at each engine.
-func (p *Placer) SetUse(uses map[string]*Use) {
+// SetUsage takes what all gateways have at each engine.
+func (p *Placer) SetUsage(uses map[string]*Usage) {
 	for id, e := range p.engines {
-		e.use = Use{}
+		e.use = Usage{}
 		if use := uses[id]; use != nil {
 			e.use = *use
 		}
 	}
 }
 
-// Want notes that requests wait, until then, for an adapter that they can't use anywhere.
+// RequestLoad notes that requests wait, until then, for an adapter that they can't use anywhere.
 // A zero until stands for the policy's time.
-func (p *Placer) Want(now time.Time, adapter string, avoid []string, until time.Time) {
+func (p *Placer) RequestLoad(now time.Time, adapter string, avoid []string, until time.Time) {
 	if until.IsZero() {
-		until = now.Add(p.policy.WantFor)
+		until = now.Add(p.policy.PendingLoadTimeout)
 	}
 	w := p.wants[adapter]
 	if w == nil {
@@ -248,8 +248,8 @@
 	return orders
 }
 
-// Next returns the orders to give to one engine now.
-func (p *Placer) Next(now time.Time, id string) []Order {
+// NextOrders returns the orders to give to one engine now.
+func (p *Placer) NextOrders(now time.Time, id string) []Order {
 	p.coldKnown = false
 	return p.next(now, id)
 }
@@ -316,7 +316,7 @@
 			p.drop(adapter)
 		}
 	}
-	p.Forget(now)
+	p.PruneDemand(now)
 }
 
 const (
--- a/pkg/placer/placer_test.go
+++ b/pkg/placer/placer_test.go
@@ -20,7 +20,7 @@
 	c := qt.New(t)
 	w := newWorld(c, 3, 8)
 	w.pass(100 * time.Millisecond)
-	w.p.Want(w.now, name(1), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(1), nil, time.Time{})
 	w.pass(coldLoad + 60*time.Millisecond)
 	c.Assert(w.usable(name(1)), qt.Equals, 1)
 }
@@ -35,8 +35,8 @@
 	for round := range 60 {
 		for i := range 60 {
 			if !seen[name(i)] {
-				w.p.Demand(w.now, name(i), 1)
-				w.p.Want(w.now, name(i), nil, time.Time{})
+				w.p.RecordRequests(w.now, name(i), 1)
+				w.p.RequestLoad(w.now, name(i), nil, time.Time{})
 			}
 		}
 		w.pass(100 * time.Millisecond)
@@ -64,10 +64,10 @@
 	c := qt.New(t)
 	w := newWorld(c, 6, 8)
 	w.pass(100 * time.Millisecond)
-	w.p.Want(w.now, name(1), nil, time.Time{})
-	w.p.Want(w.now, name(2), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(1), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(2), nil, time.Time{})
 	for range 50 {
-		w.p.Demand(w.now, name(1), 6)
+		w.p.RecordRequests(w.now, name(1), 6)
 		w.pass(100 * time.Millisecond)
 	}
 	c.Check(w.usable(name(1)) >= 3, qt.IsTrue, qt.Commentf("%d copies", w.usable(name(1))))
@@ -79,13 +79,13 @@
 	c := qt.New(t)
 	w := newWorld(c, 1, 4)
 	w.pass(100 * time.Millisecond)
-	w.p.Want(w.now, name(0), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
 	w.pass(400 * time.Millisecond)
 	c.Assert(w.usable(name(0)), qt.Equals, 1)
 	w.fakes["e0"].running[name(0)] = true
-	w.p.SetUse(map[string]*Use{"e0": {Requests: 1, Adapters: map[string]bool{name(0): true}}})
+	w.p.SetUsage(map[string]*Usage{"e0": {Requests: 1, Adapters: map[string]bool{name(0): true}}})
 	for i := 1; i < 30; i++ {
-		w.p.Want(w.now, name(i), nil, time.Time{})
+		w.p.RequestLoad(w.now, name(i), nil, time.Time{})
 		w.pass(200 * time.Millisecond)
 		c.Assert(w.usable(name(0)), qt.Equals, 1)
 	}
@@ -102,8 +102,8 @@
 			w.unanswered, w.late = share, 0.5
 			came := 0
 			for i := range 120 {
-				w.p.Demand(w.now, name(i%40), 1)
-				w.p.Want(w.now, name(i%40), nil, time.Time{})
+				w.p.RecordRequests(w.now, name(i%40), 1)
+				w.p.RequestLoad(w.now, name(i%40), nil, time.Time{})
 				w.pass(150 * time.Millisecond)
 				if w.usable(name(i%40)) > 0 {
 					came++
@@ -122,7 +122,7 @@
 	c := qt.New(t)
 	w := newWorld(c, 2, 4)
 	w.pass(100 * time.Millisecond)
-	w.p.Want(w.now, name(1), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(1), nil, time.Time{})
 	w.pass(400 * time.Millisecond)
 	c.Assert(w.usable(name(1)), qt.Equals, 1)
 	w.p.SetVersion(&wire.AdapterVersion{Model: "m", Adapter: "a1", Version: 5})
@@ -143,16 +143,16 @@
 	}
 	loads := []time.Duration{}
 	for now := begin(); now.Before(begin().Add(3 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		p.Want(now, "m/a1", nil, time.Time{})
+		p.RequestLoad(now, "m/a1", nil, time.Time{})
 		for _, o := range p.Plan(now) {
 			switch o.Kind {
 			case Report:
-				p.Done(now, o, Holds, &State{})
+				p.RecordOutcome(now, o, Completed, &EngineState{})
 			case LoadModel:
 				if !slices.Contains(loads, now.Sub(begin())) && p.engines[o.Backend].modelAt.IsZero() {
 					loads = append(loads, now.Sub(begin()))
 				}
-				p.Done(now, o, Accepted, nil)
+				p.RecordOutcome(now, o, Accepted, nil)
 			default:
 				c.Fatalf("order %v to an engine without its model", o)
 			}
@@ -174,8 +174,8 @@
 	}
 	w.pass(100 * time.Millisecond)
 	for i := range 4 {
-		w.p.Demand(w.now, name(100+i), 1)
-		w.p.Want(w.now, name(100+i), nil, time.Time{})
+		w.p.RecordRequests(w.now, name(100+i), 1)
+		w.p.RequestLoad(w.now, name(100+i), nil, time.Time{})
 		w.pass(900 * time.Millisecond)
 	}
 	kept := 0
@@ -195,8 +195,8 @@
 	next := 0
 	for range 40 {
 		for range 30 {
-			w.p.Demand(w.now, name(next), 1)
-			w.p.Want(w.now, name(next), nil, time.Time{})
+			w.p.RecordRequests(w.now, name(next), 1)
+			w.p.RequestLoad(w.now, name(next), nil, time.Time{})
 			next++
 		}
 		w.pass(100 * time.Millisecond)
@@ -210,9 +210,9 @@
 	c := qt.New(t)
 	w := newWorld(c, 12, 8)
 	w.pass(200 * time.Millisecond)
-	w.p.Want(w.now, name(0), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
 	for range 10 {
-		w.p.Demand(w.now, name(0), 10)
+		w.p.RecordRequests(w.now, name(0), 10)
 		w.pass(100 * time.Millisecond)
 	}
 	c.Check(w.usable(name(0)) >= 5, qt.IsTrue, qt.Commentf("%d copies", w.usable(name(0))))
@@ -223,9 +223,9 @@
 	c := qt.New(t)
 	w := newWorld(c, 12, 8)
 	w.pass(200 * time.Millisecond)
-	w.p.Want(w.now, name(0), nil, time.Time{})
+	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
 	for range 10 {
-		w.p.Demand(w.now, name(0), 4)
+		w.p.RecordRequests(w.now, name(0), 4)
 		w.pass(time.Second)
 	}
 	c.Check(w.usable(name(0)), qt.Equals, 1)
@@ -249,8 +249,8 @@
 			w.pass(100 * time.Millisecond)
 			w.p.SetLimit("e1", test.limit)
 			for i := range 6 {
-				w.p.Demand(w.now, name(i), 1)
-				w.p.Want(w.now, name(i), nil, time.Time{})
+				w.p.RecordRequests(w.now, name(i), 1)
+				w.p.RequestLoad(w.now, name(i), nil, time.Time{})
 			}
 			w.pass(time.Second)
 			c.Check(len(w.fakes["e1"].held) > 0, qt.Equals, test.held)
@@ -273,8 +273,8 @@
 	w.timeout = 60 * time.Millisecond
 	w.pass(100 * time.Millisecond)
 	w.unanswered, w.late = 1, 1
-	w.p.Demand(w.now, name(100), 1)
-	w.p.Want(w.now, name(100), nil, time.Time{})
+	w.p.RecordRequests(w.now, name(100), 1)
+	w.p.RequestLoad(w.now, name(100), nil, time.Time{})
 	for w.orders[Load] == 0 {
 		w.pass(10 * time.Millisecond)
 	}
@@ -284,8 +284,8 @@
 	came := false
 	for range 8 {
 		// Gateways ask again while requests wait.
-		w.p.Demand(w.now, name(100), 1)
-		w.p.Want(w.now, name(100), nil, time.Time{})
+		w.p.RecordRequests(w.now, name(100), 1)
+		w.p.RequestLoad(w.now, name(100), nil, time.Time{})
 		w.pass(400 * time.Millisecond)
 		came = came || w.usable(name(100)) > 0
 	}
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -9,48 +9,48 @@
 
 // Policy holds the placer's limits.
 type Policy struct {
-	// Reserve is the number of places that are kept free at each engine, so that a load
+	// ReservedSlots is the number of places that are kept free at each engine, so that a load
 	// does not have to wait for an unload.
-	Reserve int
-	// MaxComing bounds the adapters on their way to one engine.
-	MaxComing int
+	ReservedSlots int
+	// MaxLoadsPerEngine bounds the adapters on their way to one engine.
+	MaxLoadsPerEngine int
 	// ColdLoad and WarmLoad are the expected times of loads from the weight store and
 	// from the engine's own memory.
 	ColdLoad time.Duration
 	WarmLoad time.Duration
-	// ConfirmAgain is the time between two questions whether a load has ended.
-	ConfirmAgain time.Duration
-	// Notice is the time between telling the gateways that an adapter goes and its
+	// ConfirmInterval is the time between two questions whether a load has ended.
+	ConfirmInterval time.Duration
+	// UnloadNotice is the time between telling the gateways that an adapter goes and its
 	// unload, so that no request is under way to it.
-	Notice time.Duration
-	// Unanswered is the wait before the next order to an engine that has not answered.
-	Unanswered retrier.Backoff
-	// UnknownWait is how long an engine is left alone after an answer which shows that its
+	UnloadNotice time.Duration
+	// RetryBackoff is the wait before the next order to an engine that has not answered.
+	RetryBackoff retrier.Backoff
+	// ResyncDelay is how long an engine is left alone after an answer which shows that its
 	// state is not as believed; its reports lag behind.
-	UnknownWait time.Duration
+	ResyncDelay time.Duration
 	// DemandHalfLife is the time in which popularity is forgotten by half.
 	DemandHalfLife time.Duration
-	// QuickHalfLife is the same for the rate by which copies are added: a few times the
+	// BurstHalfLife is the same for the rate by which copies are added: a few times the
 	// span in which all gateways report, and longer than chance keeps requests together.
-	QuickHalfLife time.Duration
+	BurstHalfLife time.Duration
 	// RunTime is the expected time of a request at an engine.
 	RunTime time.Duration
-	// FillPerCopy is the part of an engine's slots that one adapter's requests may take
+	// FillPerReplica is the part of an engine's slots that one adapter's requests may take
 	// before it gets another copy, and RatePerCopy the requests a second: an engine with
 	// many slots is slowed down by reading prompts long before its slots are taken.
-	FillPerCopy float64
-	RatePerCopy float64
-	// WantFor is how long a wish is kept that can't be fulfilled.
-	WantFor time.Duration
-	// IdleFor is how long nobody must have asked for an adapter before it is unloaded, and
+	FillPerReplica float64
+	RatePerReplica float64
+	// PendingLoadTimeout is how long a wish is kept that can't be fulfilled.
+	PendingLoadTimeout time.Duration
+	// MinIdle is how long nobody must have asked for an adapter before it is unloaded, and
 	// IdleUnderPressure the same while others wait for its place.
-	IdleFor           time.Duration
-	IdleUnderPressure time.Duration
-	// LostLoad is the time after which a load that has not ended is taken for lost.
-	LostLoad time.Duration
-	// UnloadAgain is the time between two questions whether an unload has ended that
+	MinIdle              time.Duration
+	MinIdleUnderPressure time.Duration
+	// LoadTimeout is the time after which a load that has not ended is taken for lost.
+	LoadTimeout time.Duration
+	// UnloadCheckInterval is the time between two questions whether an unload has ended that
 	// waits for runs.
-	UnloadAgain time.Duration
+	UnloadCheckInterval time.Duration
 	// Off are the mechanisms that an experiment does without.
 	Off ablator.Off
 }
@@ -58,11 +58,11 @@
 // DefaultPolicy returns the limits that were measured; docs/MEASURED.md has the runs.
 func DefaultPolicy() Policy {
 	return Policy{
-		Reserve: 1, MaxComing: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
-		ConfirmAgain: 30 * time.Millisecond, Notice: 80 * time.Millisecond, UnknownWait: 250 * time.Millisecond,
-		Unanswered:     retrier.Backoff{Initial: 10 * time.Millisecond, Max: time.Second},
-		DemandHalfLife: 4 * time.Second, QuickHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerCopy: 0.4, RatePerCopy: 16,
-		WantFor: 700 * time.Millisecond, IdleFor: 600 * time.Millisecond, IdleUnderPressure: 250 * time.Millisecond,
-		UnloadAgain: 60 * time.Millisecond, LostLoad: 3 * time.Second,
+		ReservedSlots: 1, MaxLoadsPerEngine: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
+		ConfirmInterval: 30 * time.Millisecond, UnloadNotice: 80 * time.Millisecond, ResyncDelay: 250 * time.Millisecond,
+		RetryBackoff:   retrier.Backoff{Initial: 10 * time.Millisecond, Max: time.Second},
+		DemandHalfLife: 4 * time.Second, BurstHalfLife: 500 * time.Millisecond, RunTime: 400 * time.Millisecond, FillPerReplica: 0.4, RatePerReplica: 16,
+		PendingLoadTimeout: 700 * time.Millisecond, MinIdle: 600 * time.Millisecond, MinIdleUnderPressure: 250 * time.Millisecond,
+		UnloadCheckInterval: 60 * time.Millisecond, LoadTimeout: 3 * time.Second,
 	}
 }
--- a/pkg/placer/world_test.go
+++ b/pkg/placer/world_test.go
@@ -64,18 +64,18 @@
 	}
 }
 
-func (e *engineFake) carryOut(now time.Time, o Order) (Outcome, *State) {
+func (e *engineFake) carryOut(now time.Time, o Order) (Outcome, *EngineState) {
 	e.pass(now)
 	if o.Kind == Report {
-		state := &State{Accepted: e.accepted, Models: []string{"m"}}
+		state := &EngineState{Accepted: e.accepted, Models: []string{"m"}}
 		for adapter, version := range e.held {
 			state.Adapters = append(state.Adapters, adapter+"@"+strconv.FormatUint(version, 10))
 		}
 		for adapter := range e.coming {
 			// What is on its way counts for the places, and an engine's report has it.
-			state.Coming = append(state.Coming, adapter+"@0")
+			state.Loading = append(state.Loading, adapter+"@0")
 		}
-		return Holds, state
+		return Completed, state
 	}
 	_, coming := e.coming[o.Adapter]
 	_, held := e.held[o.Adapter]
@@ -83,9 +83,9 @@
 	case coming && o.Kind != Unload:
 		return Accepted, nil
 	case held && o.Kind != Unload && e.held[o.Adapter] >= o.Version:
-		return Holds, nil
+		return Completed, nil
 	case o.Kind == Unload && (!held || e.dropping == o.Adapter):
-		return map[bool]Outcome{true: Accepted, false: Holds}[e.dropping == o.Adapter], nil
+		return map[bool]Outcome{true: Accepted, false: Completed}[e.dropping == o.Adapter], nil
 	case o.After != e.accepted || e.dropping != "":
 		return Conflict, nil
 	}
@@ -107,7 +107,7 @@
 		return Accepted, nil
 	}
 	delete(e.held, o.Adapter)
-	return Holds, nil
+	return Completed, nil
 }
 
 // world is a placer with engines, moved on in steps of 10 ms.
@@ -124,7 +124,7 @@
 	timeout  time.Duration
 	pending  []pendingOrder
 	timeouts []pendingOrder
-	orders   map[Kind]int
+	orders   map[OrderKind]int
 	// planEvery is the time between two plans; a leader without enough processor time makes
 	// fewer of them.
 	planEvery time.Duration
@@ -141,7 +141,7 @@
 func newWorld(c *qt.C, engines, slots int) *world {
 	w := &world{
 		c: c, p: New(DefaultPolicy()), fakes: map[string]*engineFake{}, now: begin(),
-		random: rand.New(rand.NewPCG(7, 7)), orders: map[Kind]int{}, told: map[string]*wire.Holding{},
+		random: rand.New(rand.NewPCG(7, 7)), orders: map[OrderKind]int{}, told: map[string]*wire.Holding{},
 	}
 	w.p.Begin(1)
 	w.p.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{
@@ -168,7 +168,7 @@
 			if w.now.Before(lost.at) {
 				return false
 			}
-			w.p.Done(w.now, lost.order, Unknown, nil)
+			w.p.RecordOutcome(w.now, lost.order, Unknown, nil)
 			return true
 		})
 		for _, f := range w.fakes {
@@ -190,7 +190,7 @@
 				continue
 			}
 			outcome, state := w.fakes[o.Backend].carryOut(w.now, o)
-			w.p.Done(w.now, o, outcome, state)
+			w.p.RecordOutcome(w.now, o, outcome, state)
 		}
 	}
 }
--- a/pkg/planner/leases.go
+++ b/pkg/planner/leases.go
@@ -16,8 +16,8 @@
 	popularityIn = 20 * time.Second
 )
 
-// Demand takes a session's report on one adapter.
-func (p *Planner) Demand(now time.Time, id SessionID, d *wire.AdapterDemand) {
+// RecordDemand takes a session's report on one adapter.
+func (p *Planner) RecordDemand(now time.Time, id SessionID, d *wire.AdapterDemand) {
 	a := p.adapters[d.GetAdapter()]
 	if a == nil {
 		a = &adapter{
@@ -59,9 +59,9 @@
 	}
 }
 
-// Grant gives a session leases on all loaded placements of an adapter that it
+// GrantLeases gives a session leases on all loaded placements of an adapter that it
 // does not hold yet.
-func (p *Planner) Grant(now time.Time, id SessionID, name string) []*wire.LeaseGrant {
+func (p *Planner) GrantLeases(now time.Time, id SessionID, name string) []*wire.LeaseGrant {
 	var grants []*wire.LeaseGrant
 	for _, backend := range slices.Sorted(maps.Keys(p.placed[name])) {
 		pl := p.placed[name][backend]
@@ -107,20 +107,20 @@
 	return recalls
 }
 
-// ForgetSession drops a session with all that it held and wanted. The caller makes
+// RemoveSession drops a session with all that it held and wanted. The caller makes
 // sure that nothing of it can still run.
-func (p *Planner) ForgetSession(id SessionID) {
+func (p *Planner) RemoveSession(id SessionID) {
 	for lease, pl := range p.held[id] {
 		p.unhold(id, lease, pl)
 	}
 	delete(p.held, id)
 	delete(p.recalled, id)
 	delete(p.orphans, id)
-	p.ForgetDemand(id)
+	p.RemoveDemand(id)
 }
 
-// ForgetDemand drops what a session wants, as soon as it has ended.
-func (p *Planner) ForgetDemand(id SessionID) {
+// RemoveDemand drops what a session wants, as soon as it has ended.
+func (p *Planner) RemoveDemand(id SessionID) {
 	for _, a := range p.active {
 		a.waiting.set(id, 0)
 		a.running.set(id, 0)
--- a/pkg/planner/placements.go
+++ b/pkg/planner/placements.go
@@ -6,9 +6,9 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Announce takes in what an engine tells of itself. A new incarnation is an empty
+// UpdateEngine takes in what an engine tells of itself. A new incarnation is an empty
 // engine: what was leased on the old one is void.
-func (p *Planner) Announce(now time.Time, b *wire.Backend, drained bool) {
+func (p *Planner) UpdateEngine(now time.Time, b *wire.Backend, drained bool) {
 	e := p.engines[b.GetName()]
 	if e != nil && e.info.GetIncarnation() != b.GetIncarnation() {
 		p.dropEngine(e)
@@ -58,7 +58,7 @@
 
 // ResetSession takes a session's full list of leases for all that it holds.
 func (p *Planner) ResetSession(now time.Time, id SessionID, held []*wire.LeaseGrant) {
-	p.ForgetSession(id)
+	p.RemoveSession(id)
 	for _, g := range held {
 		if p.engines[g.GetBackend()] == nil {
 			p.orphans[id] = append(p.orphans[id], g)
@@ -138,8 +138,8 @@
 	delete(p.held[id], lease)
 }
 
-// Expire forgets engines that have not announced themselves for too long.
-func (p *Planner) Expire(now time.Time) {
+// ExpireEngines forgets engines that have not announced themselves for too long.
+func (p *Planner) ExpireEngines(now time.Time) {
 	for _, e := range p.engines {
 		if now.Sub(e.seen) > p.Policy.BackendLease {
 			p.dropEngine(e)
@@ -156,8 +156,8 @@
 	p.byBase = nil
 }
 
-// Dropped returns the engines that were forgotten since the last call.
-func (p *Planner) Dropped() []string {
+// TakeRemovedEngines returns the engines that were forgotten since the last call.
+func (p *Planner) TakeRemovedEngines() []string {
 	dropped := p.dropped
 	p.dropped = nil
 	return dropped
--- a/pkg/planner/plan.go
+++ b/pkg/planner/plan.go
@@ -23,12 +23,12 @@
 
 // Plan returns the orders that are due. Each is under way until Done is called.
 func (p *Planner) Plan(now time.Time) []Order {
-	p.Expire(now)
+	p.ExpireEngines(now)
 	p.refill(now)
 	p.forgetIdle(now)
 	orders := p.unloads(now)
 	clearing := p.clearingSoon()
-	recalls := p.Policy.LoadsAtOnce
+	recalls := p.Policy.MaxConcurrentLoads
 	for _, a := range p.wanting(now) {
 		e := p.roomFor(now, a)
 		switch {
@@ -38,7 +38,7 @@
 		case e == nil && recalls > 0:
 			recalls--
 			p.makeRoom(now, a)
-		case e != nil && p.loading < p.Policy.LoadsAtOnce && p.tokens >= 1:
+		case e != nil && p.loading < p.Policy.MaxConcurrentLoads && p.tokens >= 1:
 			orders = append(orders, p.load(now, e, a))
 		}
 	}
@@ -47,7 +47,7 @@
 
 func (p *Planner) refill(now time.Time) {
 	p.tokens += now.Sub(p.filledAt).Seconds() * p.Policy.LoadsPerSecond
-	p.tokens = min(p.tokens, max(1, float64(p.Policy.LoadsAtOnce)))
+	p.tokens = min(p.tokens, max(1, float64(p.Policy.MaxConcurrentLoads)))
 	p.filledAt = now
 }
 
@@ -107,7 +107,7 @@
 	slices.SortFunc(all, func(a, b *adapter) int {
 		return cmp.Or(cmp.Compare(p.urgency(now, b), p.urgency(now, a)), cmp.Compare(a.name, b.name))
 	})
-	return all[:min(len(all), roundsAhead*p.Policy.LoadsAtOnce)]
+	return all[:min(len(all), roundsAhead*p.Policy.MaxConcurrentLoads)]
 }
 
 // urgency weighs how long requests have waited against how many would share the
@@ -205,7 +205,7 @@
 	if now.Before(e.notBefore) {
 		return false
 	}
-	return e.info.GetChecksFencing() || now.Sub(p.started) > p.Policy.LongestOrder
+	return e.info.GetChecksFencing() || now.Sub(p.started) > p.Policy.OrderTimeout
 }
 
 // burden is an engine's work: what it reported, and what the adapters on it have
@@ -307,7 +307,7 @@
 func (p *Planner) order(now time.Time, kind OrderKind, e *engine, pl *Placement) Order {
 	if !e.reachable() {
 		// One order at a time shows whether it answers again.
-		e.notBefore = now.Add(p.Policy.LongestOrder)
+		e.notBefore = now.Add(p.Policy.OrderTimeout)
 	}
 	pl.order = OrderID(p.next())
 	p.orders[pl.order] = pl
@@ -317,13 +317,13 @@
 	}
 }
 
-// Done takes in how an order ended.
-func (p *Planner) Done(now time.Time, id OrderID, outcome Outcome) {
+// RecordOutcome takes in how an order ended.
+func (p *Planner) RecordOutcome(now time.Time, id OrderID, outcome Outcome) {
 	pl := p.orders[id]
 	if pl == nil {
 		return
 	}
-	kind, ok := pl.State, outcome == Carried
+	kind, ok := pl.State, outcome == Completed
 	p.closeOrder(pl)
 	e := p.engines[pl.Backend]
 	p.noteAnswer(now, e, outcome)
@@ -350,7 +350,7 @@
 		return
 	}
 	e.unanswered++
-	e.notBefore = now.Add(p.Policy.AfterFailure.Delay(e.unanswered, rand.Float64()))
+	e.notBefore = now.Add(p.Policy.FailureBackoff.Delay(e.unanswered, rand.Float64()))
 }
 
 func (p *Planner) closeOrder(pl *Placement) {
@@ -375,7 +375,7 @@
 		return
 	}
 	a.failures++
-	wait := p.Policy.AfterFailure.Delay(a.failures, 0)
+	wait := p.Policy.FailureBackoff.Delay(a.failures, 0)
 	a.notBefore = now.Add(wait)
 	a.avoid[pl.Backend] = now.Add(2 * wait)
 }
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -40,8 +40,8 @@
 
 // The outcomes of orders.
 const (
-	// Carried means that the engine has done it.
-	Carried Outcome = iota
+	// Completed means that the engine has done it.
+	Completed Outcome = iota
 	// Refused means that the engine has answered that it does not.
 	Refused
 	// Unanswered means that the engine was not reached, or gave no answer.
@@ -79,8 +79,8 @@
 // Policy holds the settings of a deployment's placement.
 type Policy struct {
 	// LoadsPerSecond and LoadsAtOnce are what the weight store allows.
-	LoadsPerSecond float64
-	LoadsAtOnce    int
+	LoadsPerSecond     float64
+	MaxConcurrentLoads int
 	// StallWeight counts the time that requests wait for a load, BatchWeight the
 	// number of requests that a load lets run together.
 	StallWeight float64
@@ -91,12 +91,12 @@
 	MinResidence time.Duration
 	// BackendLease is how long an engine is known after its last announcement.
 	BackendLease time.Duration
-	// LongestOrder is how long an order can be under way.
-	LongestOrder time.Duration
-	// AfterFailure is the wait after failed loads of an adapter, and before the next order
+	// OrderTimeout is how long an order can be under way.
+	OrderTimeout time.Duration
+	// FailureBackoff is the wait after failed loads of an adapter, and before the next order
 	// to an engine that has not answered. Without it a plan repeats an order each time that
 	// the one before has failed: thousands a minute to an engine behind a cut link.
-	AfterFailure retrier.Backoff
+	FailureBackoff retrier.Backoff
 	// Evict picks the adapter to give up. Nil takes the least popular one.
 	Evict func(candidates []*Placement) *Placement
 }
@@ -225,9 +225,9 @@
 	p.settled = false
 }
 
-// SetSettled tells whether all that sessions hold is known. Nothing is recalled or
+// SetSynced tells whether all that sessions hold is known. Nothing is recalled or
 // unloaded before.
-func (p *Planner) SetSettled(settled bool) { p.settled = settled }
+func (p *Planner) SetSynced(settled bool) { p.settled = settled }
 
 // Placements returns all placements by engine and adapter.
 func (p *Planner) Placements() []*Placement {
--- a/pkg/planner/planner_bench_test.go
+++ b/pkg/planner/planner_bench_test.go
@@ -23,7 +23,7 @@
 			p := &planner.Planner{Policy: policy()}
 			now := time.Unix(1000, 0)
 			p.Start(now, 1)
-			p.SetSettled(true)
+			p.SetSynced(true)
 			for e := range size.engines {
 				info := &wire.Backend{
 					Name: fmt.Sprintf("engine-%d", e), Incarnation: "1", BaseModel: "base", Slots: 8, Batch: 16, ChecksFencing: true,
@@ -31,16 +31,16 @@
 				for s := range 8 {
 					info.Loaded = append(info.Loaded, fmt.Sprintf("a%d", (e*8+s)%size.adapters))
 				}
-				p.Announce(now, info, false)
+				p.UpdateEngine(now, info, false)
 			}
 			for a := range size.adapters {
 				if a%10 == 0 {
-					p.Demand(now, 1, &wire.AdapterDemand{Adapter: fmt.Sprintf("a%d", a), BaseModel: "base", Running: 3})
+					p.RecordDemand(now, 1, &wire.AdapterDemand{Adapter: fmt.Sprintf("a%d", a), BaseModel: "base", Running: 3})
 				}
 			}
 			for b.Loop() {
 				for _, o := range p.Plan(now) {
-					p.Done(now, o.ID, planner.Refused)
+					p.RecordOutcome(now, o.ID, planner.Refused)
 				}
 			}
 		})
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -15,9 +15,9 @@
 
 func policy() planner.Policy {
 	return planner.Policy{
-		LoadsPerSecond: 10, LoadsAtOnce: 3, StallWeight: 1, BatchWeight: 0.1,
+		LoadsPerSecond: 10, MaxConcurrentLoads: 3, StallWeight: 1, BatchWeight: 0.1,
 		StarveAfter: 500 * time.Millisecond, MinResidence: time.Second, BackendLease: 3 * time.Second,
-		LongestOrder: 5 * time.Second, AfterFailure: retrier.Backoff{Initial: 500 * time.Millisecond, Max: 10 * time.Second},
+		OrderTimeout: 5 * time.Second, FailureBackoff: retrier.Backoff{Initial: 500 * time.Millisecond, Max: 10 * time.Second},
 	}
 }
 
@@ -41,7 +41,7 @@
 		slots: slots, fencing: true, restarts: map[string]int{},
 	}
 	b.planner.Start(b.now, 1)
-	b.planner.SetSettled(true)
+	b.planner.SetSynced(true)
 	for i := range engines {
 		b.loaded[fmt.Sprintf("engine-%d", i)] = map[string]bool{}
 	}
@@ -58,17 +58,17 @@
 		for adapter := range loaded {
 			info.Loaded = append(info.Loaded, adapter)
 		}
-		b.planner.Announce(b.now, info, false)
+		b.planner.UpdateEngine(b.now, info, false)
 	}
 }
 
 // want reports demand of a session and takes its leases.
 func (b *bench) want(id planner.SessionID, adapter string, waiting uint32) {
-	b.planner.Demand(b.now, id, &wire.AdapterDemand{Adapter: adapter, BaseModel: "base", Waiting: waiting, Started: waiting})
+	b.planner.RecordDemand(b.now, id, &wire.AdapterDemand{Adapter: adapter, BaseModel: "base", Waiting: waiting, Started: waiting})
 	if b.leases[id] == nil {
 		b.leases[id] = map[uint64]*wire.LeaseGrant{}
 	}
-	for _, g := range b.planner.Grant(b.now, id, adapter) {
+	for _, g := range b.planner.GrantLeases(b.now, id, adapter) {
 		b.leases[id][g.GetId()] = g
 	}
 }
@@ -97,7 +97,7 @@
 		if o.Kind == planner.Load && current && !fail {
 			b.loaded[o.Backend][o.Adapter] = true
 		}
-		b.planner.Done(b.now, o.ID, ended(current && !fail))
+		b.planner.RecordOutcome(b.now, o.ID, ended(current && !fail))
 	}
 	b.orders = b.planner.Plan(b.now)
 	return wrong
@@ -105,7 +105,7 @@
 
 func ended(ok bool) planner.Outcome {
 	if ok {
-		return planner.Carried
+		return planner.Completed
 	}
 	return planner.Refused
 }
@@ -188,7 +188,7 @@
 			if ok {
 				b.loaded[o.Backend][o.Adapter] = true
 			}
-			b.planner.Done(b.now, o.ID, ended(ok))
+			b.planner.RecordOutcome(b.now, o.ID, ended(ok))
 		}
 	}
 	c.Assert(loads["fine"], qt.Equals, 1)
@@ -212,7 +212,7 @@
 		for _, o := range b.planner.Plan(b.now) {
 			if o.Backend == "engine-0" {
 				lost++
-				b.planner.Done(b.now, o.ID, planner.Unanswered)
+				b.planner.RecordOutcome(b.now, o.ID, planner.Unanswered)
 				continue
 			}
 			if o.Kind == planner.Unload {
@@ -220,7 +220,7 @@
 			} else {
 				b.loaded[o.Backend][o.Adapter] = true
 			}
-			b.planner.Done(b.now, o.ID, planner.Carried)
+			b.planner.RecordOutcome(b.now, o.ID, planner.Completed)
 		}
 		b.handBack(1)
 	}
@@ -262,7 +262,7 @@
 			b.fencing = tc.fencing
 			b.loaded["engine-0"]["old"] = true
 			b.planner.Start(b.now, 2)
-			b.planner.SetSettled(tc.settled)
+			b.planner.SetSynced(tc.settled)
 			b.announce()
 			b.now = b.now.Add(tc.after)
 			b.announce()
--- a/pkg/arranger/arranger.go
+++ b/pkg/relayplanner/arranger.go
@@ -5,7 +5,7 @@
 // It answers the load of a system with many gateways: if all ask the controllers, the
 // leader's bytes and time grow with the gateways times all that is news, and most of the
 // bytes cross zones. In a tree each piece of news enters a zone a few times.
-package arranger
+package relayplanner
 
 import (
 	"slices"
@@ -26,22 +26,22 @@
 	leastRelays = 2
 )
 
-// Place is a gateway's place in the tree.
-type Place struct {
+// Assignment is a gateway's place in the tree.
+type Assignment struct {
 	// Direct means that the gateway asks the controllers itself.
 	Direct bool
 	// Relays are the addresses of the gateways that it asks else, in its own order: the
 	// followers of a zone spread over its relays.
 	Relays []string
-	// Elsewhere are other gateways, to be asked when no controller can be reached.
-	Elsewhere []string
+	// Fallbacks are other gateways, to be asked when no controller can be reached.
+	Fallbacks []string
 }
 
 // maxElsewhere bounds the gateways that are tried where no controller can be reached.
 const maxElsewhere = 8
 
-// Arrange returns the place of the gateway at an address. The list need not have it yet.
-func Arrange(list []*wire.GatewayEntry, self *wire.GatewayEntry) Place {
+// Assign returns the place of the gateway at an address. The list need not have it yet.
+func Assign(list []*wire.GatewayEntry, self *wire.GatewayEntry) Assignment {
 	mates := []string{self.GetAddress()}
 	var others []string
 	for _, g := range list {
@@ -54,13 +54,13 @@
 		}
 	}
 	relays := relaysOf(self.GetZone(), mates)
-	place := Place{Direct: relays == nil || slices.Contains(relays, self.GetAddress())}
+	place := Assignment{Direct: relays == nil || slices.Contains(relays, self.GetAddress())}
 	// Those of other zones come first: what cuts this gateway off may cut off its zone.
 	ranker.Sort(others, self.GetAddress())
 	ranker.Sort(mates, self.GetAddress())
 	mates = slices.DeleteFunc(mates, func(address string) bool { return address == self.GetAddress() })
 	elsewhere := slices.Concat(others[:min(len(others), maxElsewhere/2)], mates)
-	place.Elsewhere = elsewhere[:min(len(elsewhere), maxElsewhere)]
+	place.Fallbacks = elsewhere[:min(len(elsewhere), maxElsewhere)]
 	if !place.Direct {
 		ranker.Sort(relays, self.GetAddress())
 		place.Relays = relays
