--- a/controller/arbiter/arbiter_test.go
+++ b/controller/arbiter/arbiter_test.go
@@ -48,7 +48,7 @@
 
 // ends lets enough starts end under a request, one after the other, and the leader judge.
 func (t *court) ends(fingerprint string) {
-	for i := range quarantiner.EnoughEnds {
+	for i := range quarantiner.QuarantineThreshold {
 		t.now = t.now.Add(time.Second)
 		t.Hear(t.now, []*wire.RunReport{{Fingerprint: fingerprint, Backend: fmt.Sprint(fingerprint, i), Model: "m/a", Place: "POST h/x"}})
 	}
--- a/pkg/quarantiner/quarantiner.go
+++ b/pkg/quarantiner/quarantiner.go
@@ -17,10 +17,10 @@
 )
 
 const (
-	// EnoughEnds is how many starts must have ended under a request. Two happen to a
+	// QuarantineThreshold is how many starts must have ended under a request. Two happen to a
 	// request that is repeated while backend servers fail for other reasons; each further
 	// one costs the streams of all callers there.
-	EnoughEnds = 3
+	QuarantineThreshold = 3
 	// SuspectEnds is from how many on a request counts as suspect: it is not repeated
 	// without need, and runs that it completes are told of.
 	SuspectEnds = 2
--- a/pkg/quarantiner/quarantiner_test.go
+++ b/pkg/quarantiner/quarantiner_test.go
@@ -50,7 +50,7 @@
 
 func TestVerdicts(t *testing.T) {
 	three := func(s *story, with ...string) {
-		for i := range EnoughEnds {
+		for i := range QuarantineThreshold {
 			s.lost(fmt.Sprint(i), append(with, fmt.Sprint("other ", i))...)
 		}
 	}
@@ -70,7 +70,7 @@
 		"as much speaks against both": {func(s *story) { three(s, "f", "g") }, []string{"f", "g"}},
 		"a run from before the trial": {func(s *story) { s.held(true, "f"); s.Note(s.now, lostAt("f", "a")) }, nil},
 		"one had begun to answer": {func(s *story) {
-			for i := range EnoughEnds {
+			for i := range QuarantineThreshold {
 				s.lost(fmt.Sprint(i), "f")
 				s.Note(s.now, &wire.RunReport{Fingerprint: "g", Backend: fmt.Sprint(i), Begun: true})
 			}
@@ -109,7 +109,7 @@
 func TestVerdictsAreGivenAgain(t *testing.T) {
 	c := qt.New(t)
 	s := newStory()
-	for i := range EnoughEnds {
+	for i := range QuarantineThreshold {
 		s.lost(fmt.Sprint(i), "f")
 	}
 	c.Assert(s.verdicts(), qt.DeepEquals, []string{"f"})
@@ -147,7 +147,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStory()
-			for i := range EnoughEnds {
+			for i := range QuarantineThreshold {
 				s.lost(fmt.Sprint(i), "f")
 			}
 			s.Note(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: uint32(test.ago.Milliseconds())})
@@ -180,7 +180,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			q, now := New(), begin()
-			for i := range EnoughEnds {
+			for i := range QuarantineThreshold {
 				now = now.Add(test.apart)
 				q.Note(now, &wire.RunReport{Fingerprint: "f", Backend: fmt.Sprint(i), RanMs: 300})
 			}
--- a/pkg/quarantiner/schedule_test.go
+++ b/pkg/quarantiner/schedule_test.go
@@ -268,10 +268,10 @@
 
 // retries counts the sends of a culprit later than contact after it ended its third start.
 func (m *model) retries(fp string) int {
-	if len(m.ended[fp]) < EnoughEnds {
+	if len(m.ended[fp]) < QuarantineThreshold {
 		return 0
 	}
-	from := m.ended[fp][EnoughEnds-1].Add(contact)
+	from := m.ended[fp][QuarantineThreshold-1].Add(contact)
 	count := 0
 	for _, at := range m.sent[fp] {
 		if at.After(from) {
--- a/pkg/quarantiner/verdicts.go
+++ b/pkg/quarantiner/verdicts.go
@@ -82,7 +82,7 @@
 func (q *Quarantiner) enough(fingerprint string) int {
 	switch h := q.held[fingerprint]; {
 	case h == nil:
-		return EnoughEnds
+		return QuarantineThreshold
 	case h.GetOnTrial():
 		return 1
 	}
@@ -111,7 +111,7 @@
 			last = e.at
 		}
 	}
-	return chain >= EnoughEnds
+	return chain >= QuarantineThreshold
 }
 
 // blame makes a request the cause of what speaks against it.
