--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -181,7 +181,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return slices.ContainsFunc(list, func(fingerprint string) bool {
-		return i.suspects[fingerprint] != nil || i.judge.Ends(fingerprint) >= quarantiner.SuspectEnds
+		return i.suspects[fingerprint] != nil || i.judge.Ends(fingerprint) >= quarantiner.SuspectThreshold
 	})
 }
 
--- a/pkg/quarantiner/quarantiner.go
+++ b/pkg/quarantiner/quarantiner.go
@@ -21,9 +21,9 @@
 	// request that is repeated while backend servers fail for other reasons; each further
 	// one costs the streams of all callers there.
 	QuarantineThreshold = 3
-	// SuspectEnds is from how many on a request counts as suspect: it is not repeated
+	// SuspectThreshold is from how many on a request counts as suspect: it is not repeated
 	// without need, and runs that it completes are told of.
-	SuspectEnds = 2
+	SuspectThreshold = 2
 	// settle is how long reports of the other gateways are waited for, which tell what else
 	// ran there: they come with the next call, some 150 ms later.
 	settle = 400 * time.Millisecond
@@ -286,7 +286,7 @@
 func (q *Quarantiner) Suspects() []string {
 	var list []string
 	for _, fingerprint := range slices.Sorted(maps.Keys(q.runs)) {
-		if len(q.runs[fingerprint].ends) >= SuspectEnds && q.Ends(fingerprint) >= SuspectEnds {
+		if len(q.runs[fingerprint].ends) >= SuspectThreshold && q.Ends(fingerprint) >= SuspectThreshold {
 			list = append(list, fingerprint)
 		}
 	}
