--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -82,7 +82,7 @@
 		return
 	}
 	for _, r := range reports {
-		a.judge.Note(now, r)
+		a.judge.Observe(now, r)
 	}
 	a.stale = true
 }
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -239,7 +239,7 @@
 		}
 		i.fed = last
 		for _, r := range reports {
-			i.judge.Note(now, r)
+			i.judge.Observe(now, r)
 		}
 	}
 }
--- a/pkg/quarantiner/quarantiner.go
+++ b/pkg/quarantiner/quarantiner.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// Note takes a report. Reports that come twice, or late, count once.
-func (q *Quarantiner) Note(now time.Time, r *wire.RunReport) {
+// Observe takes a report. Reports that come twice, or late, count once.
+func (q *Quarantiner) Observe(now time.Time, r *wire.RunReport) {
 	switch {
 	case r.GetFingerprint() == "" || r.GetBackend() == "":
 	case r.GetCompleted():
--- a/pkg/quarantiner/quarantiner_test.go
+++ b/pkg/quarantiner/quarantiner_test.go
@@ -22,12 +22,12 @@
 func (s *story) lost(backend string, fingerprints ...string) {
 	s.now = s.now.Add(time.Second)
 	for _, fingerprint := range fingerprints {
-		s.Note(s.now, lostAt(fingerprint, backend))
+		s.Observe(s.now, lostAt(fingerprint, backend))
 	}
 }
 
 func (s *story) completed(fingerprint string) {
-	s.Note(s.now, &wire.RunReport{Fingerprint: fingerprint, Backend: "x", Completed: true})
+	s.Observe(s.now, &wire.RunReport{Fingerprint: fingerprint, Backend: "x", Completed: true})
 }
 
 // verdicts lets enough time pass, and returns what is to be held.
@@ -68,11 +68,11 @@
 			s.lost("d", "f")
 		}, []string{"f"}},
 		"as much speaks against both": {func(s *story) { three(s, "f", "g") }, []string{"f", "g"}},
-		"a run from before the trial": {func(s *story) { s.held(true, "f"); s.Note(s.now, lostAt("f", "a")) }, nil},
+		"a run from before the trial": {func(s *story) { s.held(true, "f"); s.Observe(s.now, lostAt("f", "a")) }, nil},
 		"one had begun to answer": {func(s *story) {
 			for i := range QuarantineThreshold {
 				s.lost(fmt.Sprint(i), "f")
-				s.Note(s.now, &wire.RunReport{Fingerprint: "g", Backend: fmt.Sprint(i), Begun: true})
+				s.Observe(s.now, &wire.RunReport{Fingerprint: "g", Backend: fmt.Sprint(i), Begun: true})
 			}
 		}, []string{"f"}},
 		"what is held explains the others": {func(s *story) {
@@ -150,14 +150,14 @@
 			for i := range QuarantineThreshold {
 				s.lost(fmt.Sprint(i), "f")
 			}
-			s.Note(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: uint32(test.ago.Milliseconds())})
+			s.Observe(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: uint32(test.ago.Milliseconds())})
 			qt.New(t).Check(s.verdicts(), qt.HasLen, test.want)
 		})
 	}
 	c := qt.New(t)
 	s := newStory()
 	s.held(false, "f")
-	s.Note(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: 60_000})
+	s.Observe(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: 60_000})
 	c.Check(s.TakeCleared(), qt.HasLen, 0)
 	// What another leader has released is not released again once it is held anew.
 	s.completed("f")
@@ -182,7 +182,7 @@
 			q, now := New(), begin()
 			for i := range QuarantineThreshold {
 				now = now.Add(test.apart)
-				q.Note(now, &wire.RunReport{Fingerprint: "f", Backend: fmt.Sprint(i), RanMs: 300})
+				q.Observe(now, &wire.RunReport{Fingerprint: "f", Backend: fmt.Sprint(i), RanMs: 300})
 			}
 			qt.New(t).Check(q.Judge(now.Add(test.wait)), qt.HasLen, test.held)
 		})
@@ -194,7 +194,7 @@
 	c := qt.New(t)
 	q := New()
 	for i := range maxEnds + 50 {
-		q.Note(begin(), lostAt(fmt.Sprint("f", i), fmt.Sprint(i)))
+		q.Observe(begin(), lostAt(fmt.Sprint("f", i), fmt.Sprint(i)))
 	}
 	c.Check(len(q.ends), qt.Equals, maxEnds)
 	c.Check(len(q.runs), qt.Equals, maxEnds)
--- a/pkg/quarantiner/schedule_test.go
+++ b/pkg/quarantiner/schedule_test.go
@@ -241,7 +241,7 @@
 		if m.now.Before(l.at) {
 			return false
 		}
-		m.judges[l.to].Note(m.now, l.data)
+		m.judges[l.to].Observe(m.now, l.data)
 		return true
 	})
 }
