--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -181,7 +181,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return slices.ContainsFunc(list, func(fingerprint string) bool {
-		return i.suspects[fingerprint] != nil || i.judge.Ends(fingerprint) >= quarantiner.SuspectThreshold
+		return i.suspects[fingerprint] != nil || i.judge.Crashes(fingerprint) >= quarantiner.SuspectThreshold
 	})
 }
 
@@ -265,7 +265,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, fingerprint := range list {
-		if i.suspects[fingerprint] == nil && i.judge.Ends(fingerprint) == 0 {
+		if i.suspects[fingerprint] == nil && i.judge.Crashes(fingerprint) == 0 {
 			continue
 		}
 		delete(i.heldHere, fingerprint)
--- a/pkg/quarantiner/quarantiner.go
+++ b/pkg/quarantiner/quarantiner.go
@@ -272,8 +272,8 @@
 	return list
 }
 
-// Ends returns how many ends of starts speak against a request.
-func (q *Quarantiner) Ends(fingerprint string) int {
+// Crashes returns how many ends of starts speak against a request.
+func (q *Quarantiner) Crashes(fingerprint string) int {
 	known := q.runs[fingerprint]
 	if known == nil {
 		return 0
@@ -286,7 +286,7 @@
 func (q *Quarantiner) Suspects() []string {
 	var list []string
 	for _, fingerprint := range slices.Sorted(maps.Keys(q.runs)) {
-		if len(q.runs[fingerprint].ends) >= SuspectThreshold && q.Ends(fingerprint) >= SuspectThreshold {
+		if len(q.runs[fingerprint].ends) >= SuspectThreshold && q.Crashes(fingerprint) >= SuspectThreshold {
 			list = append(list, fingerprint)
 		}
 	}
--- a/pkg/quarantiner/schedule_test.go
+++ b/pkg/quarantiner/schedule_test.go
@@ -186,7 +186,7 @@
 			e.runs = slices.Delete(e.runs, i, i+1)
 			i--
 			m.busy[r.fp] = false
-			if m.judges[m.leader].Ends(r.fp) > 0 {
+			if m.judges[m.leader].Crashes(r.fp) > 0 {
 				m.report(&wire.RunReport{Fingerprint: r.fp, Backend: e.id, Completed: true})
 			}
 		}
