--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -107,7 +107,7 @@
 		clear(i.heldHere)
 		return
 	}
-	for _, verdict := range i.judge.Judge(now) {
+	for _, verdict := range i.judge.Evaluate(now) {
 		if i.heldHere[verdict.GetFingerprint()] {
 			continue
 		}
--- a/pkg/quarantiner/quarantiner_test.go
+++ b/pkg/quarantiner/quarantiner_test.go
@@ -34,7 +34,7 @@
 func (s *story) verdicts() []string {
 	s.now = s.now.Add(settleTogether)
 	var list []string
-	for _, h := range s.Judge(s.now) {
+	for _, h := range s.Evaluate(s.now) {
 		list = append(list, h.GetFingerprint())
 	}
 	return list
@@ -184,7 +184,7 @@
 				now = now.Add(test.apart)
 				q.Observe(now, &wire.RunReport{Fingerprint: "f", Backend: fmt.Sprint(i), RanMs: 300})
 			}
-			qt.New(t).Check(q.Judge(now.Add(test.wait)), qt.HasLen, test.held)
+			qt.New(t).Check(q.Evaluate(now.Add(test.wait)), qt.HasLen, test.held)
 		})
 	}
 }
--- a/pkg/quarantiner/schedule_test.go
+++ b/pkg/quarantiner/schedule_test.go
@@ -247,7 +247,7 @@
 }
 
 func (m *model) judge() {
-	for _, verdict := range m.judges[m.leader].Judge(m.now) {
+	for _, verdict := range m.judges[m.leader].Evaluate(m.now) {
 		m.held[verdict.GetFingerprint()] = verdict
 		m.heldFrom[verdict.GetFingerprint()] = m.now.Add(m.late())
 		if !strings.HasPrefix(verdict.GetFingerprint(), "culprit") {
--- a/pkg/quarantiner/verdicts.go
+++ b/pkg/quarantiner/verdicts.go
@@ -42,8 +42,8 @@
 	count
 }
 
-// Judge returns the requests that are to be refused from now on.
-func (q *Quarantiner) Judge(now time.Time) []*wire.HeldRequest {
+// Evaluate returns the requests that are to be refused from now on.
+func (q *Quarantiner) Evaluate(now time.Time) []*wire.HeldRequest {
 	var verdicts []*wire.HeldRequest
 	for {
 		list := q.accused(now)
