--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -49,7 +49,7 @@
 	active atomic.Bool
 
 	mu      sync.Mutex
-	witness *quarantiner.Witness
+	witness *quarantiner.CrashReporter
 	// judge has the reports that pass here, up to fed.
 	judge *quarantiner.Quarantiner
 	fed   uint64
--- a/pkg/quarantiner/witness.go
+++ b/pkg/quarantiner/witness.go
@@ -22,11 +22,11 @@
 	completedAgainAfter = 500 * time.Millisecond
 )
 
-// Witness holds what one gateway has seen of runs that were lost, until it is known whether
+// CrashReporter holds what one gateway has seen of runs that were lost, until it is known whether
 // the process that ran them has ended, and the reports of those where it has, which are told
 // to all controllers. A lost answer alone says nothing: connections are reset and cut, and
 // backend servers that leave end what still runs. Make one with NewWitness.
-type Witness struct {
+type CrashReporter struct {
 	losses map[string][]*lossSeen
 	waits  int
 	// leaving are starts that have said that they leave.
@@ -55,15 +55,15 @@
 type reportKey struct{ fingerprint, backend string }
 
 // NewWitness returns a witness that has seen nothing.
-func NewWitness() *Witness {
-	return &Witness{
+func NewWitness() *CrashReporter {
+	return &CrashReporter{
 		losses: map[string][]*lossSeen{}, leaving: map[string]time.Time{}, ended: map[string]time.Time{},
 		told: map[reportKey]bool{}, completed: map[string]time.Time{},
 	}
 }
 
 // Lose notes that a run was lost at a start that is named in its report.
-func (w *Witness) Lose(now time.Time, report *wire.RunReport) {
+func (w *CrashReporter) Lose(now time.Time, report *wire.RunReport) {
 	backend := report.GetBackend()
 	if !w.leaving[backend].IsZero() {
 		return
@@ -80,17 +80,17 @@
 }
 
 // Waits reports whether it is open if a start has ended at which runs were lost.
-func (w *Witness) Waits(backend string) bool { return len(w.losses[backend]) > 0 }
+func (w *CrashReporter) Waits(backend string) bool { return len(w.losses[backend]) > 0 }
 
 // Leaves notes that a start has said that it leaves.
-func (w *Witness) Leaves(now time.Time, backend string) {
+func (w *CrashReporter) Leaves(now time.Time, backend string) {
 	w.leaving[backend] = now
 	w.drop(backend)
 }
 
 // Ended notes that the process of a start has ended without notice, as its address says or
 // another start there.
-func (w *Witness) Ended(now time.Time, backend string) {
+func (w *CrashReporter) Ended(now time.Time, backend string) {
 	if !w.leaving[backend].IsZero() || !w.ended[backend].IsZero() {
 		return
 	}
@@ -104,13 +104,13 @@
 	w.drop(backend)
 }
 
-func (w *Witness) drop(backend string) {
+func (w *CrashReporter) drop(backend string) {
 	w.waits -= len(w.losses[backend])
 	delete(w.losses, backend)
 }
 
 // Completed notes that a run was answered whole.
-func (w *Witness) Completed(now time.Time, report *wire.RunReport) {
+func (w *CrashReporter) Completed(now time.Time, report *wire.RunReport) {
 	if now.Sub(w.completed[report.GetFingerprint()]) < completedAgainAfter {
 		return
 	}
@@ -120,13 +120,13 @@
 }
 
 // Hear takes reports of gateways that follow this one.
-func (w *Witness) Hear(now time.Time, reports []*wire.RunReport) {
+func (w *CrashReporter) Hear(now time.Time, reports []*wire.RunReport) {
 	for _, r := range reports {
 		w.keep(r, now.Add(-time.Duration(r.GetAgoMs())*time.Millisecond))
 	}
 }
 
-func (w *Witness) keep(r *wire.RunReport, at time.Time) {
+func (w *CrashReporter) keep(r *wire.RunReport, at time.Time) {
 	key := reportKey{r.GetFingerprint(), r.GetBackend()}
 	if !r.GetCompleted() {
 		if w.told[key] {
@@ -141,7 +141,7 @@
 	}
 }
 
-func (w *Witness) forgetFirst() {
+func (w *CrashReporter) forgetFirst() {
 	r := w.reports[0].report
 	delete(w.told, reportKey{r.GetFingerprint(), r.GetBackend()})
 	w.reports = w.reports[1:]
@@ -149,7 +149,7 @@
 
 // Reports returns what was reported after the report with a number, and the number of the
 // last of them.
-func (w *Witness) Reports(now time.Time, after uint64) ([]*wire.RunReport, uint64) {
+func (w *CrashReporter) Reports(now time.Time, after uint64) ([]*wire.RunReport, uint64) {
 	first := w.next - uint64(len(w.reports))
 	from := max(after, first) - first
 	if after > w.next || from >= uint64(len(w.reports)) {
@@ -174,10 +174,10 @@
 }
 
 // Empty reports whether nothing waits to be confirmed or told.
-func (w *Witness) Empty() bool { return len(w.losses) == 0 && len(w.reports) == 0 }
+func (w *CrashReporter) Empty() bool { return len(w.losses) == 0 && len(w.reports) == 0 }
 
 // Tick forgets what is too old to count.
-func (w *Witness) Tick(now time.Time) {
+func (w *CrashReporter) Tick(now time.Time) {
 	for backend, list := range w.losses {
 		if now.Sub(list[len(list)-1].at) > confirmWithin {
 			w.drop(backend)
--- a/pkg/quarantiner/witness_test.go
+++ b/pkg/quarantiner/witness_test.go
@@ -19,42 +19,54 @@
 // Only a process that has ended without notice is reported, and each run there once.
 func TestWhatIsReported(t *testing.T) {
 	for name, test := range map[string]struct {
-		happens func(w *Witness)
+		happens func(w *CrashReporter)
 		reports int
 	}{
-		"a lost answer alone": {func(w *Witness) { w.Lose(begin(), lostAt("f", "b")) }, 0},
-		"an end alone":        {func(w *Witness) { w.Ended(begin(), "b") }, 0},
-		"two runs and the end": {func(w *Witness) {
+		"a lost answer alone": {func(w *CrashReporter) { w.Lose(begin(), lostAt("f", "b")) }, 0},
+		"an end alone":        {func(w *CrashReporter) { w.Ended(begin(), "b") }, 0},
+		"two runs and the end": {func(w *CrashReporter) {
 			w.Lose(begin(), lostAt("f", "b"))
 			w.Lose(begin(), lostAt("g", "b"))
 			w.Ended(begin(), "b")
 		}, 2},
-		"the end of another start": {func(w *Witness) { w.Lose(begin(), lostAt("f", "b")); w.Ended(begin(), "c") }, 0},
-		"the end is told twice":    {func(w *Witness) { w.Lose(begin(), lostAt("f", "b")); w.Ended(begin(), "b"); w.Ended(begin(), "b") }, 1},
-		"a run is lost twice": {func(w *Witness) {
+		"the end of another start": {func(w *CrashReporter) { w.Lose(begin(), lostAt("f", "b")); w.Ended(begin(), "c") }, 0},
+		"the end is told twice": {func(w *CrashReporter) {
+			w.Lose(begin(), lostAt("f", "b"))
+			w.Ended(begin(), "b")
+			w.Ended(begin(), "b")
+		}, 1},
+		"a run is lost twice": {func(w *CrashReporter) {
 			w.Lose(begin(), lostAt("f", "b"))
 			w.Lose(begin(), lostAt("f", "b"))
 			w.Ended(begin(), "b")
 		}, 1},
-		"a loss is noticed late": {func(w *Witness) {
+		"a loss is noticed late": {func(w *CrashReporter) {
 			w.Lose(begin(), lostAt("f", "b"))
 			w.Ended(begin(), "b")
 			w.Lose(begin(), lostAt("g", "b"))
 		}, 2},
-		"it had said that it leaves": {func(w *Witness) { w.Leaves(begin(), "b"); w.Lose(begin(), lostAt("f", "b")); w.Ended(begin(), "b") }, 0},
-		"it says so after the loss":  {func(w *Witness) { w.Lose(begin(), lostAt("f", "b")); w.Leaves(begin(), "b"); w.Ended(begin(), "b") }, 0},
-		"the end is known long after the loss": {func(w *Witness) {
+		"it had said that it leaves": {func(w *CrashReporter) {
+			w.Leaves(begin(), "b")
+			w.Lose(begin(), lostAt("f", "b"))
+			w.Ended(begin(), "b")
+		}, 0},
+		"it says so after the loss": {func(w *CrashReporter) {
+			w.Lose(begin(), lostAt("f", "b"))
+			w.Leaves(begin(), "b")
+			w.Ended(begin(), "b")
+		}, 0},
+		"the end is known long after the loss": {func(w *CrashReporter) {
 			w.Lose(begin(), lostAt("f", "b"))
 			w.Tick(begin().Add(time.Minute))
 			w.Ended(begin(), "b")
 		}, 0},
-		"a follower tells the same": {func(w *Witness) {
+		"a follower tells the same": {func(w *CrashReporter) {
 			w.Lose(begin(), lostAt("f", "b"))
 			w.Ended(begin(), "b")
 			w.Hear(begin(), []*wire.RunReport{lostAt("f", "b")})
 		}, 1},
-		"a run is completed again and again": {func(w *Witness) { w.Completed(begin(), lostAt("f", "b")); w.Completed(begin(), lostAt("f", "b")) }, 1},
-		"all of it is old": {func(w *Witness) {
+		"a run is completed again and again": {func(w *CrashReporter) { w.Completed(begin(), lostAt("f", "b")); w.Completed(begin(), lostAt("f", "b")) }, 1},
+		"all of it is old": {func(w *CrashReporter) {
 			w.Lose(begin(), lostAt("f", "b"))
 			w.Ended(begin(), "b")
 			w.Tick(begin().Add(time.Hour))
