--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -76,7 +76,7 @@
 
 // Init prepares the isolator for use.
 func (i *Isolator) Init() {
-	i.witness, i.judge = quarantiner.NewWitness(), quarantiner.New()
+	i.witness, i.judge = quarantiner.NewCrashReporter(), quarantiner.New()
 	i.suspects, i.heldHere = map[string]*wire.Suspect{}, map[string]bool{}
 	i.trials, i.failed, i.probing = map[string]bool{}, map[string]time.Time{}, map[string]bool{}
 }
--- a/pkg/quarantiner/witness.go
+++ b/pkg/quarantiner/witness.go
@@ -54,8 +54,8 @@
 
 type reportKey struct{ fingerprint, backend string }
 
-// NewWitness returns a witness that has seen nothing.
-func NewWitness() *CrashReporter {
+// NewCrashReporter returns a witness that has seen nothing.
+func NewCrashReporter() *CrashReporter {
 	return &CrashReporter{
 		losses: map[string][]*lossSeen{}, leaving: map[string]time.Time{}, ended: map[string]time.Time{},
 		told: map[reportKey]bool{}, completed: map[string]time.Time{},
--- a/pkg/quarantiner/witness_test.go
+++ b/pkg/quarantiner/witness_test.go
@@ -74,7 +74,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			w := NewWitness()
+			w := NewCrashReporter()
 			test.happens(w)
 			reports, last := w.Reports(begin(), 0)
 			c.Check(reports, qt.HasLen, test.reports)
@@ -90,7 +90,7 @@
 	for name, n := range map[string]int{"few": 3, "more than a call carries": maxTold + 7, "more than are kept": maxReports + 100} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			w := NewWitness()
+			w := NewCrashReporter()
 			w.Lose(begin(), lostAt("first", "b"))
 			w.Ended(begin(), "b")
 			for i := range n - 1 {
