--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -197,7 +197,7 @@
 	for _, fingerprint := range list {
 		r := proto.CloneOf(report)
 		r.Fingerprint = fingerprint
-		i.witness.Lose(now, r)
+		i.witness.RecordLoss(now, r)
 	}
 	i.feed(now)
 	if !i.witness.Waits(backend) || i.probing[backend] {
--- a/pkg/quarantiner/witness.go
+++ b/pkg/quarantiner/witness.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// Lose notes that a run was lost at a start that is named in its report.
-func (w *CrashReporter) Lose(now time.Time, report *wire.RunReport) {
+// RecordLoss notes that a run was lost at a start that is named in its report.
+func (w *CrashReporter) RecordLoss(now time.Time, report *wire.RunReport) {
 	backend := report.GetBackend()
 	if !w.leaving[backend].IsZero() {
 		return
