--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -200,7 +200,7 @@
 		i.witness.RecordLoss(now, r)
 	}
 	i.feed(now)
-	if !i.witness.Waits(backend) || i.probing[backend] {
+	if !i.witness.Unconfirmed(backend) || i.probing[backend] {
 		return
 	}
 	i.probing[backend] = true
--- a/pkg/quarantiner/witness.go
+++ b/pkg/quarantiner/witness.go
@@ -79,8 +79,8 @@
 	w.losses[backend] = append(w.losses[backend], &lossSeen{report: report, at: now})
 }
 
-// Waits reports whether it is open if a start has ended at which runs were lost.
-func (w *CrashReporter) Waits(backend string) bool { return len(w.losses[backend]) > 0 }
+// Unconfirmed reports whether it is open if a start has ended at which runs were lost.
+func (w *CrashReporter) Unconfirmed(backend string) bool { return len(w.losses[backend]) > 0 }
 
 // Leaves notes that a start has said that it leaves.
 func (w *CrashReporter) Leaves(now time.Time, backend string) {
