--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -249,7 +249,7 @@
 	switch {
 	case a.GetDraining():
 		i.mu.Lock()
-		i.witness.Leaves(i.Clock.Now(), a.GetId())
+		i.witness.RecordLeaving(i.Clock.Now(), a.GetId())
 		i.mu.Unlock()
 	case a.GetGone():
 		i.Ended(a.GetId())
--- a/pkg/quarantiner/witness.go
+++ b/pkg/quarantiner/witness.go
@@ -82,8 +82,8 @@
 // Unconfirmed reports whether it is open if a start has ended at which runs were lost.
 func (w *CrashReporter) Unconfirmed(backend string) bool { return len(w.losses[backend]) > 0 }
 
-// Leaves notes that a start has said that it leaves.
-func (w *CrashReporter) Leaves(now time.Time, backend string) {
+// RecordLeaving notes that a start has said that it leaves.
+func (w *CrashReporter) RecordLeaving(now time.Time, backend string) {
 	w.leaving[backend] = now
 	w.drop(backend)
 }
--- a/pkg/quarantiner/witness_test.go
+++ b/pkg/quarantiner/witness_test.go
@@ -46,13 +46,13 @@
 			w.RecordLoss(begin(), lostAt("g", "b"))
 		}, 2},
 		"it had said that it leaves": {func(w *CrashReporter) {
-			w.Leaves(begin(), "b")
+			w.RecordLeaving(begin(), "b")
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.Ended(begin(), "b")
 		}, 0},
 		"it says so after the loss": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
-			w.Leaves(begin(), "b")
+			w.RecordLeaving(begin(), "b")
 			w.Ended(begin(), "b")
 		}, 0},
 		"the end is known long after the loss": {func(w *CrashReporter) {
