--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -226,7 +226,7 @@
 	now := i.Clock.Now()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.witness.Ended(now, backend)
+	i.witness.RecordExit(now, backend)
 	i.feed(now)
 }
 
--- a/pkg/quarantiner/witness.go
+++ b/pkg/quarantiner/witness.go
@@ -88,9 +88,9 @@
 	w.drop(backend)
 }
 
-// Ended notes that the process of a start has ended without notice, as its address says or
+// RecordExit notes that the process of a start has ended without notice, as its address says or
 // another start there.
-func (w *CrashReporter) Ended(now time.Time, backend string) {
+func (w *CrashReporter) RecordExit(now time.Time, backend string) {
 	if !w.leaving[backend].IsZero() || !w.ended[backend].IsZero() {
 		return
 	}
--- a/pkg/quarantiner/witness_test.go
+++ b/pkg/quarantiner/witness_test.go
@@ -23,52 +23,52 @@
 		reports int
 	}{
 		"a lost answer alone": {func(w *CrashReporter) { w.RecordLoss(begin(), lostAt("f", "b")) }, 0},
-		"an end alone":        {func(w *CrashReporter) { w.Ended(begin(), "b") }, 0},
+		"an end alone":        {func(w *CrashReporter) { w.RecordExit(begin(), "b") }, 0},
 		"two runs and the end": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordLoss(begin(), lostAt("g", "b"))
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
 		}, 2},
-		"the end of another start": {func(w *CrashReporter) { w.RecordLoss(begin(), lostAt("f", "b")); w.Ended(begin(), "c") }, 0},
+		"the end of another start": {func(w *CrashReporter) { w.RecordLoss(begin(), lostAt("f", "b")); w.RecordExit(begin(), "c") }, 0},
 		"the end is told twice": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
-			w.Ended(begin(), "b")
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
+			w.RecordExit(begin(), "b")
 		}, 1},
 		"a run is lost twice": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordLoss(begin(), lostAt("f", "b"))
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
 		}, 1},
 		"a loss is noticed late": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
 			w.RecordLoss(begin(), lostAt("g", "b"))
 		}, 2},
 		"it had said that it leaves": {func(w *CrashReporter) {
 			w.RecordLeaving(begin(), "b")
 			w.RecordLoss(begin(), lostAt("f", "b"))
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
 		}, 0},
 		"it says so after the loss": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordLeaving(begin(), "b")
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
 		}, 0},
 		"the end is known long after the loss": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.Tick(begin().Add(time.Minute))
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
 		}, 0},
 		"a follower tells the same": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
 			w.Hear(begin(), []*wire.RunReport{lostAt("f", "b")})
 		}, 1},
 		"a run is completed again and again": {func(w *CrashReporter) { w.Completed(begin(), lostAt("f", "b")); w.Completed(begin(), lostAt("f", "b")) }, 1},
 		"all of it is old": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
 			w.Tick(begin().Add(time.Hour))
 		}, 0},
 	} {
@@ -92,7 +92,7 @@
 			c := qt.New(t)
 			w := NewCrashReporter()
 			w.RecordLoss(begin(), lostAt("first", "b"))
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
 			for i := range n - 1 {
 				w.RecordLoss(begin(), lostAt(fmt.Sprint(i), "b"))
 			}
