--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -269,7 +269,7 @@
 			continue
 		}
 		delete(i.heldHere, fingerprint)
-		i.witness.Completed(now, &wire.RunReport{Fingerprint: fingerprint, Backend: backend})
+		i.witness.RecordCompletion(now, &wire.RunReport{Fingerprint: fingerprint, Backend: backend})
 	}
 	i.feed(now)
 }
--- a/pkg/quarantiner/witness.go
+++ b/pkg/quarantiner/witness.go
@@ -109,8 +109,8 @@
 	delete(w.losses, backend)
 }
 
-// Completed notes that a run was answered whole.
-func (w *CrashReporter) Completed(now time.Time, report *wire.RunReport) {
+// RecordCompletion notes that a run was answered whole.
+func (w *CrashReporter) RecordCompletion(now time.Time, report *wire.RunReport) {
 	if now.Sub(w.completed[report.GetFingerprint()]) < completedAgainAfter {
 		return
 	}
--- a/pkg/quarantiner/witness_test.go
+++ b/pkg/quarantiner/witness_test.go
@@ -65,7 +65,10 @@
 			w.RecordExit(begin(), "b")
 			w.Hear(begin(), []*wire.RunReport{lostAt("f", "b")})
 		}, 1},
-		"a run is completed again and again": {func(w *CrashReporter) { w.Completed(begin(), lostAt("f", "b")); w.Completed(begin(), lostAt("f", "b")) }, 1},
+		"a run is completed again and again": {func(w *CrashReporter) {
+			w.RecordCompletion(begin(), lostAt("f", "b"))
+			w.RecordCompletion(begin(), lostAt("f", "b"))
+		}, 1},
 		"all of it is old": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordExit(begin(), "b")
