--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -283,7 +283,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.active.Store(true)
-	i.witness.Hear(now, reports)
+	i.witness.Receive(now, reports)
 	i.feed(now)
 }
 
--- a/pkg/quarantiner/witness.go
+++ b/pkg/quarantiner/witness.go
@@ -119,8 +119,8 @@
 	w.keep(report, now)
 }
 
-// Hear takes reports of gateways that follow this one.
-func (w *CrashReporter) Hear(now time.Time, reports []*wire.RunReport) {
+// Receive takes reports of gateways that follow this one.
+func (w *CrashReporter) Receive(now time.Time, reports []*wire.RunReport) {
 	for _, r := range reports {
 		w.keep(r, now.Add(-time.Duration(r.GetAgoMs())*time.Millisecond))
 	}
--- a/pkg/quarantiner/witness_test.go
+++ b/pkg/quarantiner/witness_test.go
@@ -63,7 +63,7 @@
 		"a follower tells the same": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordExit(begin(), "b")
-			w.Hear(begin(), []*wire.RunReport{lostAt("f", "b")})
+			w.Receive(begin(), []*wire.RunReport{lostAt("f", "b")})
 		}, 1},
 		"a run is completed again and again": {func(w *CrashReporter) {
 			w.RecordCompletion(begin(), lostAt("f", "b"))
