--- a/controller/curator/requestlimits_test.go
+++ b/controller/curator/requestlimits_test.go
@@ -21,7 +21,7 @@
 	cu, _ := newCurator()
 	clock := cu.Clock.(*clockwork.FakeClock)
 	now := clock.Now()
-	cu.tracker.Note(now, &wire.Announcement{Id: "b", Name: "b", Service: "s", Address: "b", Sequence: 1})
+	cu.tracker.Observe(now, &wire.Announcement{Id: "b", Name: "b", Service: "s", Address: "b", Sequence: 1})
 	cu.hear(now, syncOf("one", &wire.RequestLimit{Backend: "b", RequestsPerSecond: 5, AgeMs: 100},
 		&wire.RequestLimit{Backend: "nobody", RequestsPerSecond: 5}))
 	ask := syncOf("other")
@@ -47,10 +47,10 @@
 	cu, _ := newCurator()
 	now := cu.Clock.Now()
 	b := &wire.Announcement{Id: "b", Name: "b", Service: "s", Address: "b", Sequence: 1}
-	cu.tracker.Note(now, b)
+	cu.tracker.Observe(now, b)
 	cu.hear(now, syncOf("one", &wire.RequestLimit{Backend: "b", RequestsPerSecond: 5}))
 	before := cu.requestLimits.Revision()
-	cu.tracker.Note(now, &wire.Announcement{Id: "b", Name: "b", Service: "s", Address: "b", Sequence: 2, Gone: true})
+	cu.tracker.Observe(now, &wire.Announcement{Id: "b", Name: "b", Service: "s", Address: "b", Sequence: 2, Gone: true})
 	cu.forgetLimits(now)
 	c.Check(cu.requestLimits.Empty(), qt.IsTrue)
 	c.Check(cu.requestLimits.Revision() > before, qt.IsTrue)
--- a/controller/curator/sync.go
+++ b/controller/curator/sync.go
@@ -265,7 +265,7 @@
 	return c.Call(ctx, func(now time.Time) {
 		var news []*wire.Announcement
 		for _, a := range list {
-			isNews, _ := c.tracker.Note(now, a)
+			isNews, _ := c.tracker.Observe(now, a)
 			if isNews {
 				news = append(news, a)
 			}
--- a/pkg/tracker/tracker.go
+++ b/pkg/tracker/tracker.go
@@ -43,9 +43,9 @@
 	revision uint64
 }
 
-// Note takes an announcement. It reports whether it was news, which is to be passed on,
+// Observe takes an announcement. It reports whether it was news, which is to be passed on,
 // and whether it changes what gateways have to know.
-func (t *Tracker) Note(now time.Time, a *wire.Announcement) (news, changed bool) {
+func (t *Tracker) Observe(now time.Time, a *wire.Announcement) (news, changed bool) {
 	if t.entries == nil {
 		t.entries, t.byAddress, t.latest = map[string]*entry{}, map[string]string{}, map[string]*entry{}
 	}
--- a/pkg/tracker/tracker_test.go
+++ b/pkg/tracker/tracker_test.go
@@ -151,7 +151,7 @@
 			tr := newTracker()
 			for _, s := range test.steps {
 				tr.Tick(start().Add(s.after))
-				tr.Note(start().Add(s.after), s.a)
+				tr.Observe(start().Add(s.after), s.a)
 			}
 			tr.Tick(start().Add(test.now))
 			for id, want := range test.want {
@@ -166,14 +166,14 @@
 func TestNewsAndChanges(t *testing.T) {
 	c := qt.New(t)
 	tr := newTracker()
-	news, changed := tr.Note(start(), at("a", "x", 1))
+	news, changed := tr.Observe(start(), at("a", "x", 1))
 	c.Check([]bool{news, changed}, qt.DeepEquals, []bool{true, true})
-	news, changed = tr.Note(start(), at("a", "x", 1))
+	news, changed = tr.Observe(start(), at("a", "x", 1))
 	c.Check([]bool{news, changed}, qt.DeepEquals, []bool{false, false})
-	news, changed = tr.Note(start(), at("a", "x", 2))
+	news, changed = tr.Observe(start(), at("a", "x", 2))
 	c.Check([]bool{news, changed}, qt.DeepEquals, []bool{true, false})
 	revision := tr.Revision()
-	news, changed = tr.Note(start(), at("a", "x", 3, draining))
+	news, changed = tr.Observe(start(), at("a", "x", 3, draining))
 	c.Check([]bool{news, changed}, qt.DeepEquals, []bool{true, true})
 	c.Check(tr.Since(revision), qt.HasLen, 1)
 	c.Check(tr.Since(tr.Revision()), qt.HasLen, 0)
@@ -182,9 +182,9 @@
 func TestLeftOnesAreForgottenInTheEnd(t *testing.T) {
 	c := qt.New(t)
 	tr := newTracker()
-	tr.Note(start(), at("a", "x", 1))
-	tr.Note(start(), gone("a"))
-	tr.Note(start().Add(time.Minute), at("b", "y", 1))
+	tr.Observe(start(), at("a", "x", 1))
+	tr.Observe(start(), gone("a"))
+	tr.Observe(start().Add(time.Minute), at("b", "y", 1))
 	tr.Tick(start().Add(time.Minute + time.Second))
 	c.Check(tr.Get("a"), qt.IsNil)
 	c.Check(state(tr.Get("b")), qt.Equals, "ready")
@@ -195,11 +195,11 @@
 func TestReplacedStartsAreTold(t *testing.T) {
 	c := qt.New(t)
 	tr := newTracker()
-	tr.Note(start(), at("a~1", "x", 1, born("a", 1)))
-	tr.Note(start(), at("b~1", "y", 1, born("b", 1)))
+	tr.Observe(start(), at("a~1", "x", 1, born("a", 1)))
+	tr.Observe(start(), at("b~1", "y", 1, born("b", 1)))
 	revision := tr.Revision()
-	tr.Note(start(), at("a~2", "x", 1, born("a", 2)))
-	tr.Note(start(), gone("b"))
+	tr.Observe(start(), at("a~2", "x", 1, born("a", 2)))
+	tr.Observe(start(), gone("b"))
 	told := map[string]bool{}
 	for _, a := range tr.Since(revision) {
 		told[a.GetId()] = a.GetReplaced()
