--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -51,7 +51,7 @@
 	Want func(wants []*wire.Want)
 
 	mu       sync.Mutex
-	spreader *spreader.Spreader
+	spreader *spreader.Disseminator
 	waiters  []*waiter
 	// own are this gateway's loads as of the last look.
 	own []*wire.Load
@@ -71,7 +71,7 @@
 
 // Init prepares the relayer for calls before Run.
 func (r *Relayer) Init() {
-	r.spreader = &spreader.Spreader{Self: r.Self, Epoch: rand.Uint64()}
+	r.spreader = &spreader.Disseminator{Self: r.Self, Epoch: rand.Uint64()}
 	r.spreader.Init()
 }
 
--- a/pkg/spreader/followers.go
+++ b/pkg/spreader/followers.go
@@ -27,7 +27,7 @@
 }
 
 // Ask takes a follower's call.
-func (s *Spreader) Ask(now time.Time, req *wire.SyncRequest) {
+func (s *Disseminator) Ask(now time.Time, req *wire.SyncRequest) {
 	f := s.followers[req.GetGateway()]
 	if f == nil {
 		f = &follower{wants: map[string]time.Time{}}
@@ -49,7 +49,7 @@
 }
 
 // Want notes that a follower's requests wait for adapters.
-func (s *Spreader) Want(now time.Time, gateway string, wants []*wire.Want) {
+func (s *Disseminator) Want(now time.Time, gateway string, wants []*wire.Want) {
 	f := s.followers[gateway]
 	if f == nil {
 		return
@@ -60,7 +60,7 @@
 }
 
 // Tick forgets followers that have not called for long.
-func (s *Spreader) Tick(now time.Time) {
+func (s *Disseminator) Tick(now time.Time) {
 	for name, f := range s.followers {
 		if now.Sub(f.seen) > FollowerLease {
 			s.inside.Remove(f.loads)
@@ -77,7 +77,7 @@
 }
 
 // countMembers makes the list of members anew.
-func (s *Spreader) countMembers() {
+func (s *Disseminator) countMembers() {
 	byAddress := map[string]*wire.GatewayEntry{}
 	for _, f := range s.followers {
 		for _, g := range append([]*wire.GatewayEntry{f.entry}, f.members...) {
@@ -104,10 +104,10 @@
 
 // Members returns the followers and theirs, with a number that differs between two lists;
 // 0 is the empty one.
-func (s *Spreader) Members() ([]*wire.GatewayEntry, uint64) { return s.members, s.membersRevision }
+func (s *Disseminator) Members() ([]*wire.GatewayEntry, uint64) { return s.members, s.membersRevision }
 
 // Loads returns the loads of this gateway and of its followers together.
-func (s *Spreader) Loads(own []*wire.Load) []*wire.Load {
+func (s *Disseminator) Loads(own []*wire.Load) []*wire.Load {
 	if len(s.followers) == 0 {
 		return own
 	}
@@ -115,7 +115,7 @@
 }
 
 // decline notes that adapters do not come in time, for the followers that asked for them.
-func (s *Spreader) decline(adapters []string) {
+func (s *Disseminator) decline(adapters []string) {
 	for _, adapter := range adapters {
 		for _, f := range s.followers {
 			if _, ok := f.wants[adapter]; ok {
@@ -127,7 +127,7 @@
 }
 
 // wake marks the followers whose requests wait for adapters that have come.
-func (s *Spreader) wake(now time.Time, engines []string) {
+func (s *Disseminator) wake(now time.Time, engines []string) {
 	for _, f := range s.followers {
 		if len(f.wants) == 0 {
 			continue
@@ -145,7 +145,7 @@
 }
 
 // Due reports whether a follower's call is to be answered before its wait is over.
-func (s *Spreader) Due(now time.Time, req *wire.SyncRequest) bool {
+func (s *Disseminator) Due(now time.Time, req *wire.SyncRequest) bool {
 	f := s.followers[req.GetGateway()]
 	if s.hasUrgentNews(req) || f != nil && len(f.declined) > 0 {
 		return true
@@ -157,14 +157,14 @@
 }
 
 // hasUrgentNews reports whether there is something that all gateways must know soon.
-func (s *Spreader) hasUrgentNews(req *wire.SyncRequest) bool {
+func (s *Disseminator) hasUrgentNews(req *wire.SyncRequest) bool {
 	return req.GetEpoch() != s.Epoch || req.GetAnnouncementRevision() != s.announcing ||
 		req.GetVersionRevision() != s.versionSum || req.GetTableVersion() < s.table.GetVersion() ||
 		req.GetSuspectsRevision() < s.suspectsRevision && (req.GetSuspectsRevision() != 0 || len(s.suspects) > 0)
 }
 
 // Answer returns what a follower is told. Own are the loads of this gateway itself.
-func (s *Spreader) Answer(now time.Time, req *wire.SyncRequest, own []*wire.Load) *wire.SyncResponse {
+func (s *Disseminator) Answer(now time.Time, req *wire.SyncRequest, own []*wire.Load) *wire.SyncResponse {
 	res := &wire.SyncResponse{
 		Epoch: s.Epoch, AnnouncementRevision: s.announcing, VersionRevision: s.versionSum, TableVersion: s.table.GetVersion(),
 		ControllersRevision: s.controllersRevision, Gateways: s.gatewayCount, GatewaysRevision: s.gatewaysRevision,
@@ -211,7 +211,7 @@
 	return uint32(min(max(0, age.Milliseconds()), most))
 }
 
-func (s *Spreader) announcedSince(revision uint64) []*wire.Announcement {
+func (s *Disseminator) announcedSince(revision uint64) []*wire.Announcement {
 	if revision >= s.announcing {
 		return nil
 	}
@@ -230,7 +230,7 @@
 }
 
 // loadsFor returns the loads of all gateways but a follower and those that follow it.
-func (s *Spreader) loadsFor(f *follower, own []*wire.Load) []*wire.Load {
+func (s *Disseminator) loadsFor(f *follower, own []*wire.Load) []*wire.Load {
 	total := make(map[string]uint32, len(s.outside))
 	for backend, n := range s.outside {
 		total[backend] = n
--- a/pkg/spreader/spreader.go
+++ b/pkg/spreader/spreader.go
@@ -35,8 +35,8 @@
 	maxGone = 4096
 )
 
-// Spreader holds what one gateway knows. Set the exported fields, then call Init.
-type Spreader struct {
+// Disseminator holds what one gateway knows. Set the exported fields, then call Init.
+type Disseminator struct {
 	Self *wire.GatewayEntry
 	// Epoch differs from that of any other process, and of any other start of this one.
 	Epoch uint64
@@ -80,7 +80,7 @@
 }
 
 // Init prepares the spreader for use.
-func (s *Spreader) Init() {
+func (s *Disseminator) Init() {
 	s.holdings = NewHoldings()
 	s.announcements = map[string]*announced{}
 	s.versions = map[string]*wire.AdapterVersion{}
@@ -90,34 +90,34 @@
 }
 
 // SuspectsRevision returns the number of the list of suspects that is known, 0 for none.
-func (s *Spreader) SuspectsRevision() uint64 { return s.suspectsRevision }
+func (s *Disseminator) SuspectsRevision() uint64 { return s.suspectsRevision }
 
-func (s *Spreader) hearSuspects(res *wire.SyncResponse) {
+func (s *Disseminator) hearSuspects(res *wire.SyncResponse) {
 	if res.GetSuspectsRevision() > s.suspectsRevision {
 		s.suspects, s.suspectsRevision = res.GetSuspects(), res.GetSuspectsRevision()
 	}
 }
 
 // HoldingRevision returns up to which revision the holdings are known.
-func (s *Spreader) HoldingRevision() uint64 { return s.holdings.Revision() }
+func (s *Disseminator) HoldingRevision() uint64 { return s.holdings.Revision() }
 
 // Gateways returns all gateways, by the word of the leader.
-func (s *Spreader) Gateways() []*wire.GatewayEntry { return s.gateways }
+func (s *Disseminator) Gateways() []*wire.GatewayEntry { return s.gateways }
 
 // Controllers returns the addresses of all controllers that were told of.
-func (s *Spreader) Controllers() []string { return s.controllers }
+func (s *Disseminator) Controllers() []string { return s.controllers }
 
 // ContactAge returns how long ago any controller was heard, directly or through others.
-func (s *Spreader) ContactAge(now time.Time) time.Duration { return now.Sub(s.contactAt) }
+func (s *Disseminator) ContactAge(now time.Time) time.Duration { return now.Sub(s.contactAt) }
 
 // LeaderAge returns how old the leader's word is that is known.
-func (s *Spreader) LeaderAge(now time.Time) time.Duration { return now.Sub(s.leaderAt) }
+func (s *Disseminator) LeaderAge(now time.Time) time.Duration { return now.Sub(s.leaderAt) }
 
 // Hear takes an answer of a controller or of another gateway. It returns the same answer
 // with whole holdings in place of differences, and those of backend servers that it tells
 // of for the first time. It reports false if a difference left a gap: then everything has
 // to be asked for.
-func (s *Spreader) Hear(now time.Time, res *wire.SyncResponse) (*wire.SyncResponse, bool) {
+func (s *Disseminator) Hear(now time.Time, res *wire.SyncResponse) (*wire.SyncResponse, bool) {
 	s.contactAt = latest(s.contactAt, now.Add(-milliseconds(res.GetContactAgeMs())))
 	news := withoutHoldings(res)
 	changed := s.hearAnnouncements(res.GetAnnouncements())
@@ -161,7 +161,7 @@
 }
 
 // hearAnnouncements takes announcements and returns the backend servers that are new.
-func (s *Spreader) hearAnnouncements(list []*wire.Announcement) []string {
+func (s *Disseminator) hearAnnouncements(list []*wire.Announcement) []string {
 	var fresh []string
 	for _, a := range list {
 		known := s.announcements[a.GetId()]
@@ -187,7 +187,7 @@
 }
 
 // forgetGone forgets the backend servers that left first, when there are too many.
-func (s *Spreader) forgetGone() {
+func (s *Disseminator) forgetGone() {
 	if s.gone <= maxGone {
 		return
 	}
@@ -207,7 +207,7 @@
 	}
 }
 
-func (s *Spreader) hearVersion(v *wire.AdapterVersion) {
+func (s *Disseminator) hearVersion(v *wire.AdapterVersion) {
 	key := v.GetModel() + "/" + v.GetAdapter()
 	if known := s.versions[key]; v.GetVersion() > known.GetVersion() {
 		s.versionSum += v.GetVersion() - known.GetVersion()
@@ -216,7 +216,7 @@
 }
 
 // hearGateways takes the list of gateways of a leader, or of anybody before one is known.
-func (s *Spreader) hearGateways(res *wire.SyncResponse) {
+func (s *Disseminator) hearGateways(res *wire.SyncResponse) {
 	fromLeader := res.GetLeads() && res.GetTerm() >= s.term
 	if list := res.GetGatewayList(); len(list) > 0 && (fromLeader || s.term == 0) {
 		s.gateways, s.gatewaysRevision = list, res.GetGatewaysRevision()
@@ -226,7 +226,7 @@
 	}
 }
 
-func (s *Spreader) hearLoads(res *wire.SyncResponse) {
+func (s *Disseminator) hearLoads(res *wire.SyncResponse) {
 	if !res.GetHasLoads() {
 		return
 	}
@@ -237,7 +237,7 @@
 }
 
 // wholeOf returns all that engines hold of which something is known.
-func (s *Spreader) wholeOf(engines []string) []*wire.Holding {
+func (s *Disseminator) wholeOf(engines []string) []*wire.Holding {
 	var list []*wire.Holding
 	told := map[string]bool{}
 	for _, backend := range engines {
--- a/pkg/spreader/spreader_test.go
+++ b/pkg/spreader/spreader_test.go
@@ -13,8 +13,8 @@
 
 func begin() time.Time { return time.Unix(1000, 0) }
 
-func newSpreader() *Spreader {
-	s := &Spreader{Self: &wire.GatewayEntry{Address: "relay", Zone: "z"}, Epoch: 7}
+func newSpreader() *Disseminator {
+	s := &Disseminator{Self: &wire.GatewayEntry{Address: "relay", Zone: "z"}, Epoch: 7}
 	s.Init()
 	return s
 }
