--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -106,7 +106,7 @@
 	now := r.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news, whole := r.spreader.Hear(now, res)
+	news, whole := r.spreader.Receive(now, res)
 	if !whole {
 		r.Log.Warn("a difference has a gap before it; all is asked for", "Source", source,
 			"Since", res.GetHoldingsSince(), "Known", r.spreader.HoldingRevision())
--- a/pkg/spreader/spreader.go
+++ b/pkg/spreader/spreader.go
@@ -113,11 +113,11 @@
 // LeaderAge returns how old the leader's word is that is known.
 func (s *Disseminator) LeaderAge(now time.Time) time.Duration { return now.Sub(s.leaderAt) }
 
-// Hear takes an answer of a controller or of another gateway. It returns the same answer
+// Receive takes an answer of a controller or of another gateway. It returns the same answer
 // with whole holdings in place of differences, and those of backend servers that it tells
 // of for the first time. It reports false if a difference left a gap: then everything has
 // to be asked for.
-func (s *Disseminator) Hear(now time.Time, res *wire.SyncResponse) (*wire.SyncResponse, bool) {
+func (s *Disseminator) Receive(now time.Time, res *wire.SyncResponse) (*wire.SyncResponse, bool) {
 	s.contactAt = latest(s.contactAt, now.Add(-milliseconds(res.GetContactAgeMs())))
 	news := withoutHoldings(res)
 	changed := s.hearAnnouncements(res.GetAnnouncements())
--- a/pkg/spreader/spreader_test.go
+++ b/pkg/spreader/spreader_test.go
@@ -41,7 +41,7 @@
 	s := newSpreader()
 	heard := fromLeader(0)
 	heard.Loads = []*wire.Load{load("e", 10)}
-	s.Hear(begin(), heard)
+	s.Receive(begin(), heard)
 	s.Ask(begin(), call("a", load("e", 1), load("f", 2)))
 	s.Ask(begin(), call("b", load("e", 3)))
 	own := []*wire.Load{load("e", 100)}
@@ -96,13 +96,13 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			s := newSpreader()
-			s.Hear(begin(), fromLeader(1))
+			s.Receive(begin(), fromLeader(1))
 			s.Ask(begin(), call("a"))
 			told := s.Answer(begin(), call("a"), nil)
 			for _, adapter := range test.wants {
 				s.Want(begin(), "a", []*wire.Want{{Adapter: adapter}})
 			}
-			s.Hear(begin(), test.news)
+			s.Receive(begin(), test.news)
 			req := call("a")
 			req.HoldingRevision, req.AnnouncementRevision = told.GetHoldingRevision(), told.GetAnnouncementRevision()
 			c.Check(s.Due(begin().Add(test.after), req), qt.Equals, test.due)
@@ -115,13 +115,13 @@
 func TestTheAgeOfNewsGrowsOnTheWay(t *testing.T) {
 	c := qt.New(t)
 	a, b := newSpreader(), newSpreader()
-	a.Hear(begin(), fromLeader(1))
+	a.Receive(begin(), fromLeader(1))
 	now := begin()
 	for range 5 {
 		now = now.Add(100 * time.Millisecond)
-		b.Hear(now, a.Answer(now, call("b"), nil))
+		b.Receive(now, a.Answer(now, call("b"), nil))
 		now = now.Add(100 * time.Millisecond)
-		a.Hear(now, b.Answer(now, call("a"), nil))
+		a.Receive(now, b.Answer(now, call("a"), nil))
 	}
 	c.Check(a.ContactAge(now), qt.Equals, time.Second)
 	c.Check(b.LeaderAge(now), qt.Equals, time.Second)
@@ -133,8 +133,8 @@
 func TestHoldingsOfAnEngineThatIsToldOfLater(t *testing.T) {
 	c := qt.New(t)
 	s := newSpreader()
-	s.Hear(begin(), fromLeader(1, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}}))
-	news, _ := s.Hear(begin(), &wire.SyncResponse{Announcements: []*wire.Announcement{{Id: "e"}}})
+	s.Receive(begin(), fromLeader(1, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}}))
+	news, _ := s.Receive(begin(), &wire.SyncResponse{Announcements: []*wire.Announcement{{Id: "e"}}})
 	c.Assert(news.GetHoldings(), qt.HasLen, 1)
 	c.Check(news.GetHoldings()[0].GetAdapters(), qt.DeepEquals, []string{"m/x@0"})
 	c.Check(news.GetTerm(), qt.Equals, uint64(1))
@@ -146,8 +146,8 @@
 	s := newSpreader()
 	later := fromLeader(0, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}})
 	later.Term, later.HoldingRevision, later.Loads = 2, 2*term1+1, []*wire.Load{load("e", 5)}
-	s.Hear(begin(), later)
-	news, ok := s.Hear(begin(), fromLeader(9, &wire.Holding{Backend: "e"}))
+	s.Receive(begin(), later)
+	news, ok := s.Receive(begin(), fromLeader(9, &wire.Holding{Backend: "e"}))
 	c.Check(ok, qt.IsTrue)
 	c.Check(news.GetLeads(), qt.IsFalse)
 	c.Check(news.GetHoldings(), qt.HasLen, 0)
@@ -195,9 +195,9 @@
 			return
 		}
 		s := newSpreader()
-		s.Hear(begin(), fromLeader(1, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}}))
+		s.Receive(begin(), fromLeader(1, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}}))
 		before := s.HoldingRevision()
-		s.Hear(begin(), res)
+		s.Receive(begin(), res)
 		if s.HoldingRevision() < before {
 			t.Fatalf("the holdings go back from %d to %d", before, s.HoldingRevision())
 		}
@@ -209,7 +209,7 @@
 func TestDeclinedAdaptersAreToldToWhoAsked(t *testing.T) {
 	c := qt.New(t)
 	s := newSpreader()
-	s.Hear(begin(), fromLeader(1))
+	s.Receive(begin(), fromLeader(1))
 	for _, name := range []string{"a", "b"} {
 		s.Ask(begin(), call(name))
 	}
@@ -217,7 +217,7 @@
 	s.Want(begin(), "b", []*wire.Want{{Adapter: "m/y"}})
 	res := fromLeader(1)
 	res.Declined = []string{"m/x"}
-	news, _ := s.Hear(begin(), res)
+	news, _ := s.Receive(begin(), res)
 	c.Check(news.GetDeclined(), qt.DeepEquals, []string{"m/x"})
 	known := call("a")
 	known.HoldingRevision = term1 + 1
@@ -245,7 +245,7 @@
 		for _, name := range names {
 			heard.Suspects = append(heard.Suspects, &wire.Suspect{Fingerprint: name, Held: true})
 		}
-		s.Hear(begin(), heard)
+		s.Receive(begin(), heard)
 	}
 	hear(5, "f", "g")
 	c.Check(s.hasUrgentNews(asks(0)), qt.IsTrue)
