--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -154,7 +154,7 @@
 	if len(r.waiters) >= maxWaiters {
 		return nil, twirp.NewError(twirp.ResourceExhausted, "too many gateways ask this one")
 	}
-	r.spreader.Ask(now, req)
+	r.spreader.ObserveFollower(now, req)
 	if r.isDue(now, w) {
 		r.answer(now, w)
 	} else {
--- a/pkg/spreader/followers.go
+++ b/pkg/spreader/followers.go
@@ -26,8 +26,8 @@
 	declined []string
 }
 
-// Ask takes a follower's call.
-func (s *Disseminator) Ask(now time.Time, req *wire.SyncRequest) {
+// ObserveFollower takes a follower's call.
+func (s *Disseminator) ObserveFollower(now time.Time, req *wire.SyncRequest) {
 	f := s.followers[req.GetGateway()]
 	if f == nil {
 		f = &follower{wants: map[string]time.Time{}}
--- a/pkg/spreader/spreader_test.go
+++ b/pkg/spreader/spreader_test.go
@@ -42,8 +42,8 @@
 	heard := fromLeader(0)
 	heard.Loads = []*wire.Load{load("e", 10)}
 	s.Receive(begin(), heard)
-	s.Ask(begin(), call("a", load("e", 1), load("f", 2)))
-	s.Ask(begin(), call("b", load("e", 3)))
+	s.ObserveFollower(begin(), call("a", load("e", 1), load("f", 2)))
+	s.ObserveFollower(begin(), call("b", load("e", 3)))
 	own := []*wire.Load{load("e", 100)}
 	for name, want := range map[string]map[string]uint32{
 		"a": {"e": 113}, "b": {"e": 111, "f": 2},
@@ -66,9 +66,9 @@
 func TestUsesAreAddedUp(t *testing.T) {
 	c := qt.New(t)
 	s := newSpreader()
-	s.Ask(begin(), call("a", load("e", 1, "m/x", "m/y")))
-	s.Ask(begin(), call("b", load("e", 1, "m/x")))
-	s.Ask(begin(), call("b"))
+	s.ObserveFollower(begin(), call("a", load("e", 1, "m/x", "m/y")))
+	s.ObserveFollower(begin(), call("b", load("e", 1, "m/x")))
+	s.ObserveFollower(begin(), call("b"))
 	c.Assert(s.Loads(nil), qt.HasLen, 1)
 	c.Check(s.Loads(nil)[0].GetAdapters(), qt.ContentEquals, []string{"m/x", "m/y"})
 	s.Tick(begin().Add(FollowerLease + time.Millisecond))
@@ -97,7 +97,7 @@
 			c := qt.New(t)
 			s := newSpreader()
 			s.Receive(begin(), fromLeader(1))
-			s.Ask(begin(), call("a"))
+			s.ObserveFollower(begin(), call("a"))
 			told := s.Answer(begin(), call("a"), nil)
 			for _, adapter := range test.wants {
 				s.Want(begin(), "a", []*wire.Want{{Adapter: adapter}})
@@ -161,8 +161,8 @@
 	req := call("a")
 	req.Members = []*wire.GatewayEntry{{Address: "b", Zone: "z"}, {Address: "c", Zone: "z"}, {Address: "relay", Zone: "z"}}
 	req.MembersRevision = 5
-	s.Ask(begin(), req)
-	s.Ask(begin(), call("b"))
+	s.ObserveFollower(begin(), req)
+	s.ObserveFollower(begin(), call("b"))
 	members, revision := s.Members()
 	c.Check(fmt.Sprint(members), qt.Equals, fmt.Sprint([]*wire.GatewayEntry{
 		{Address: "a", Zone: "z"}, {Address: "b", Zone: "z"}, {Address: "c", Zone: "z"},
@@ -171,7 +171,7 @@
 	// The list is not sent again as long as it stands.
 	again := call("a")
 	again.MembersRevision = 5
-	s.Ask(begin(), again)
+	s.ObserveFollower(begin(), again)
 	members, _ = s.Members()
 	c.Check(members, qt.HasLen, 3)
 }
@@ -211,7 +211,7 @@
 	s := newSpreader()
 	s.Receive(begin(), fromLeader(1))
 	for _, name := range []string{"a", "b"} {
-		s.Ask(begin(), call(name))
+		s.ObserveFollower(begin(), call(name))
 	}
 	s.Want(begin(), "a", []*wire.Want{{Adapter: "m/x"}})
 	s.Want(begin(), "b", []*wire.Want{{Adapter: "m/y"}})
@@ -235,7 +235,7 @@
 	asks := func(known uint64) *wire.SyncRequest {
 		req := call("a")
 		req.SuspectsRevision = known
-		s.Ask(begin(), req)
+		s.ObserveFollower(begin(), req)
 		return req
 	}
 	c.Check(s.hasUrgentNews(asks(0)), qt.IsFalse)
