--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -213,7 +213,7 @@
 // Acquire passes a follower's request for adapters on to the leader.
 func (r *Relayer) Acquire(_ context.Context, req *wire.AcquireRequest) (*wire.AcquireResponse, error) {
 	r.mu.Lock()
-	r.spreader.Want(r.Clock.Now(), req.GetGateway(), req.GetWants())
+	r.spreader.ObserveWants(r.Clock.Now(), req.GetGateway(), req.GetWants())
 	r.mu.Unlock()
 	r.Want(req.GetWants())
 	return &wire.AcquireResponse{}, nil
--- a/pkg/spreader/followers.go
+++ b/pkg/spreader/followers.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Want notes that a follower's requests wait for adapters.
-func (s *Disseminator) Want(now time.Time, gateway string, wants []*wire.Want) {
+// ObserveWants notes that a follower's requests wait for adapters.
+func (s *Disseminator) ObserveWants(now time.Time, gateway string, wants []*wire.Want) {
 	f := s.followers[gateway]
 	if f == nil {
 		return
--- a/pkg/spreader/spreader_test.go
+++ b/pkg/spreader/spreader_test.go
@@ -100,7 +100,7 @@
 			s.ObserveFollower(begin(), call("a"))
 			told := s.Answer(begin(), call("a"), nil)
 			for _, adapter := range test.wants {
-				s.Want(begin(), "a", []*wire.Want{{Adapter: adapter}})
+				s.ObserveWants(begin(), "a", []*wire.Want{{Adapter: adapter}})
 			}
 			s.Receive(begin(), test.news)
 			req := call("a")
@@ -213,8 +213,8 @@
 	for _, name := range []string{"a", "b"} {
 		s.ObserveFollower(begin(), call(name))
 	}
-	s.Want(begin(), "a", []*wire.Want{{Adapter: "m/x"}})
-	s.Want(begin(), "b", []*wire.Want{{Adapter: "m/y"}})
+	s.ObserveWants(begin(), "a", []*wire.Want{{Adapter: "m/x"}})
+	s.ObserveWants(begin(), "b", []*wire.Want{{Adapter: "m/y"}})
 	res := fromLeader(1)
 	res.Declined = []string{"m/x"}
 	news, _ := s.Receive(begin(), res)
