--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -107,7 +107,7 @@
 	waiters  []*waiter
 	// gateways are those that ask this controller, by name; loads is the sum of theirs.
 	gateways map[string]*gatewayState
-	loads    *spreader.Sum
+	loads    *spreader.LoadTotals
 	roster   roster
 	// holdings are what the placer has said that engines hold.
 	holdings *spreader.Holdings
--- a/pkg/spreader/spreader.go
+++ b/pkg/spreader/spreader.go
@@ -67,7 +67,7 @@
 	// outside are the loads of all gateways but this one and its followers.
 	outside map[string]uint32
 	// inside are the loads of the followers.
-	inside    *Sum
+	inside    *LoadTotals
 	followers map[string]*follower
 	// members are the followers, and theirs.
 	members         []*wire.GatewayEntry
--- a/pkg/spreader/sum.go
+++ b/pkg/spreader/sum.go
@@ -6,9 +6,9 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Sum adds up the loads of several gateways, and keeps up with each that changes at the
+// LoadTotals adds up the loads of several gateways, and keeps up with each that changes at the
 // cost of that change alone. Make one with NewSum.
-type Sum struct{ backends map[string]*total }
+type LoadTotals struct{ backends map[string]*total }
 
 type total struct {
 	// entries counts the loads that were added and not removed.
@@ -19,10 +19,10 @@
 }
 
 // NewSum returns a sum of no loads.
-func NewSum() *Sum { return &Sum{backends: map[string]*total{}} }
+func NewSum() *LoadTotals { return &LoadTotals{backends: map[string]*total{}} }
 
 // Add adds the loads of one gateway.
-func (s *Sum) Add(loads []*wire.Load) {
+func (s *LoadTotals) Add(loads []*wire.Load) {
 	for _, l := range loads {
 		t := s.backends[l.GetBackend()]
 		if t == nil {
@@ -38,7 +38,7 @@
 }
 
 // Remove takes off the loads of one gateway, which must be what was added for it.
-func (s *Sum) Remove(loads []*wire.Load) {
+func (s *LoadTotals) Remove(loads []*wire.Load) {
 	for _, l := range loads {
 		t := s.backends[l.GetBackend()]
 		t.requests -= l.GetRequests()
@@ -55,14 +55,14 @@
 
 // Each calls f with the requests at each backend server, and the number of gateways whose
 // requests use each adapter there.
-func (s *Sum) Each(f func(backend string, requests uint32, adapters map[string]int)) {
+func (s *LoadTotals) Each(f func(backend string, requests uint32, adapters map[string]int)) {
 	for backend, t := range s.backends {
 		f(backend, t.requests, t.adapters)
 	}
 }
 
 // With returns the sum together with one gateway's loads, as a list.
-func (s *Sum) With(own []*wire.Load) []*wire.Load {
+func (s *LoadTotals) With(own []*wire.Load) []*wire.Load {
 	s.Add(own)
 	defer s.Remove(own)
 	loads := make([]*wire.Load, 0, len(s.backends))
--- a/pkg/spreader/sum_test.go
+++ b/pkg/spreader/sum_test.go
@@ -43,7 +43,7 @@
 }
 
 // check compares a sum with one that is made anew.
-func check(t *rapid.T, s *Sum, latest map[int][]*wire.Load) {
+func check(t *rapid.T, s *LoadTotals, latest map[int][]*wire.Load) {
 	requests, adapters := map[string]uint32{}, map[string]map[string]int{}
 	for _, loads := range latest {
 		for _, l := range loads {
