--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -162,7 +162,7 @@
 	c.tracker = &tracker.Tracker{SilentAfter: c.SilentAfter, ForgetAfter: forgetAfter}
 	c.gateways = map[string]*gatewayState{}
 	c.startedAt, c.met = c.Clock.Now(), map[string]time.Time{}
-	c.loads = spreader.NewSum()
+	c.loads = spreader.NewLoadTotals()
 	c.holdings = spreader.NewHoldings()
 	c.initArbiter()
 	c.knowledge = placer.NewKnowledge(c.Policy)
--- a/pkg/spreader/spreader.go
+++ b/pkg/spreader/spreader.go
@@ -85,7 +85,7 @@
 	s.announcements = map[string]*announced{}
 	s.versions = map[string]*wire.AdapterVersion{}
 	s.outside = map[string]uint32{}
-	s.inside = NewSum()
+	s.inside = NewLoadTotals()
 	s.followers = map[string]*follower{}
 }
 
--- a/pkg/spreader/sum.go
+++ b/pkg/spreader/sum.go
@@ -18,8 +18,8 @@
 	adapters map[string]int
 }
 
-// NewSum returns a sum of no loads.
-func NewSum() *LoadTotals { return &LoadTotals{backends: map[string]*total{}} }
+// NewLoadTotals returns a sum of no loads.
+func NewLoadTotals() *LoadTotals { return &LoadTotals{backends: map[string]*total{}} }
 
 // Add adds the loads of one gateway.
 func (s *LoadTotals) Add(loads []*wire.Load) {
--- a/pkg/spreader/sum_test.go
+++ b/pkg/spreader/sum_test.go
@@ -15,7 +15,7 @@
 // all have gone.
 func TestSumsFollowTheLatestWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewSum()
+		s := NewLoadTotals()
 		latest := map[int][]*wire.Load{}
 		for range rapid.IntRange(0, 30).Draw(t, "words") {
 			gateway := rapid.IntRange(0, 3).Draw(t, "gateway")
@@ -72,7 +72,7 @@
 // A gateway's loads on top of the followers' are told without changing the sum.
 func TestOwnLoadsLeaveTheSumAlone(t *testing.T) {
 	c := qt.New(t)
-	s := NewSum()
+	s := NewLoadTotals()
 	s.Add([]*wire.Load{load("e", 2, "m/x")})
 	c.Check(s.With([]*wire.Load{load("e", 1, "m/y"), load("f", 1)}), qt.HasLen, 2)
 	c.Check(s.With(nil), qt.HasLen, 1)
