--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -315,7 +315,7 @@
 	c.ordersAfter = now.Add(c.HandOver)
 	c.placer = placer.NewWith(c.knowledge)
 	c.placer.Begin(term)
-	c.holdings.Begin(c.placer.Revision())
+	c.holdings.Reset(c.placer.Revision())
 	c.arbiter.Begin()
 	c.placer.SetTable(c.state.Table().GetTable())
 	c.lender = &lender.Lender{Rule: c.Limits, Known: c.knownGateways(now)}
--- a/controller/curator/learning.go
+++ b/controller/curator/learning.go
@@ -27,7 +27,7 @@
 		changed, whole := c.heard.Take(res.GetHoldingRevision(), res.GetHoldingsSince(), res.GetHoldings())
 		if !whole {
 			c.Log.Warn("a difference of the leader's holdings has a gap before it; all is asked for", "Since", res.GetHoldingsSince())
-			c.heard.Begin(0)
+			c.heard.Reset(0)
 			return
 		}
 		if len(changed) > 0 {
--- a/pkg/spreader/holdings.go
+++ b/pkg/spreader/holdings.go
@@ -40,8 +40,8 @@
 // Term returns the term of the leader whose word the holdings are.
 func (h *Holdings) Term() uint64 { return h.revision >> termShift }
 
-// Begin forgets everything: a leader begins at a revision.
-func (h *Holdings) Begin(revision uint64) {
+// Reset forgets everything: a leader begins at a revision.
+func (h *Holdings) Reset(revision uint64) {
 	clear(h.engines)
 	h.log, h.revision, h.since = nil, revision, revision
 }
@@ -147,7 +147,7 @@
 	}
 	switch {
 	case from == 0:
-		h.Begin(revision)
+		h.Reset(revision)
 	case from > h.revision || from < h.since&^(1<<termShift-1):
 		return nil, false
 	}
--- a/pkg/spreader/holdings_test.go
+++ b/pkg/spreader/holdings_test.go
@@ -29,7 +29,7 @@
 func (w *world) elect() {
 	w.term++
 	w.n = 0
-	w.leader.Begin(w.term << termShift)
+	w.leader.Reset(w.term << termShift)
 	w.record()
 }
 
@@ -148,7 +148,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			h := NewHoldings()
-			h.Begin(1)
+			h.Reset(1)
 			h.Set(2, "e", []string{"a", "b"})
 			test.change(h)
 			list, from := h.Since(2)
@@ -193,7 +193,7 @@
 func TestTheLogIsBounded(t *testing.T) {
 	c := qt.New(t)
 	h := NewHoldings()
-	h.Begin(1 << termShift)
+	h.Reset(1 << termShift)
 	for i := range uint64(3 * maxLog) {
 		h.Set(1<<termShift+i+1, "e", []string{fmt.Sprint("m/", i)})
 	}
