--- a/controller/curator/learning.go
+++ b/controller/curator/learning.go
@@ -24,7 +24,7 @@
 		if c.placer != nil || !res.GetLeads() {
 			return
 		}
-		changed, whole := c.heard.Take(res.GetHoldingRevision(), res.GetHoldingsSince(), res.GetHoldings())
+		changed, whole := c.heard.Apply(res.GetHoldingRevision(), res.GetHoldingsSince(), res.GetHoldings())
 		if !whole {
 			c.Log.Warn("a difference of the leader's holdings has a gap before it; all is asked for", "Since", res.GetHoldingsSince())
 			c.heard.Reset(0)
--- a/pkg/spreader/holdings.go
+++ b/pkg/spreader/holdings.go
@@ -137,11 +137,11 @@
 	return list
 }
 
-// Take takes what another instance has told, up to a revision and as a difference from
+// Apply takes what another instance has told, up to a revision and as a difference from
 // another one, and returns the engines of which something is new. What is not newer than
 // what is known changes nothing. It reports false for a difference from more than is
 // known, which leaves a gap: then all has to be asked for.
-func (h *Holdings) Take(revision, from uint64, list []*wire.Holding) (changed []string, ok bool) {
+func (h *Holdings) Apply(revision, from uint64, list []*wire.Holding) (changed []string, ok bool) {
 	if revision <= h.revision {
 		return nil, true
 	}
--- a/pkg/spreader/holdings_test.go
+++ b/pkg/spreader/holdings_test.go
@@ -115,14 +115,14 @@
 func deliver(t *rapid.T, w *world, nodes []*Holdings, a answer) {
 	node := nodes[a.to]
 	before := node.Revision()
-	_, ok := node.Take(a.revision, a.from, a.list)
+	_, ok := node.Apply(a.revision, a.from, a.list)
 	if node.Revision() < before {
 		t.Fatalf("a node goes back from %x to %x", before, node.Revision())
 	}
 	if !ok {
 		// All is asked for then; here from the leader.
 		list, from := w.leader.Since(0)
-		node.Take(w.leader.Revision(), from, list)
+		node.Apply(w.leader.Revision(), from, list)
 	}
 	if got, want := fmt.Sprint(contents(node)), fmt.Sprint(w.history[node.Revision()]); node.Revision() > 0 && got != want {
 		t.Fatalf("at %x it knows %s, and %s held", node.Revision(), got, want)
@@ -179,9 +179,9 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			h := NewHoldings()
-			_, ok := h.Take(term2+2, 0, []*wire.Holding{{Backend: "e", Adapters: []string{"a"}}})
+			_, ok := h.Apply(term2+2, 0, []*wire.Holding{{Backend: "e", Adapters: []string{"a"}}})
 			c.Assert(ok, qt.IsTrue)
-			_, ok = h.Take(test.revision, test.from, lost)
+			_, ok = h.Apply(test.revision, test.from, lost)
 			c.Check(ok, qt.Equals, test.ok)
 			held, _ := h.Get("e")
 			c.Check(held, qt.HasLen, test.held)
--- a/pkg/spreader/spreader.go
+++ b/pkg/spreader/spreader.go
@@ -136,7 +136,7 @@
 		s.term = res.GetTerm()
 		s.leaderAt = latest(s.leaderAt, now.Add(-milliseconds(res.GetLeaderAgeMs())))
 		var engines []string
-		engines, whole = s.holdings.Take(res.GetHoldingRevision(), res.GetHoldingsSince(), res.GetHoldings())
+		engines, whole = s.holdings.Apply(res.GetHoldingRevision(), res.GetHoldingsSince(), res.GetHoldings())
 		s.wake(now, engines)
 		s.decline(res.GetDeclined())
 		s.hearSuspects(res)
