--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -22,7 +22,7 @@
 // only if they are asked for.
 func (j *job) prints() []string {
 	if j.fingerprints == nil {
-		asked := isolator.Asked{
+		asked := isolator.Request{
 			Method: j.req.Head.Method, Host: j.req.Head.Header.Get("Host"), Target: j.req.Head.Target,
 			Body: j.req.Body, Caller: callerOf(j.req),
 		}
--- a/gateway/isolator/fingerprint.go
+++ b/gateway/isolator/fingerprint.go
@@ -9,8 +9,8 @@
 // that has the same 128 bits, and reports stay short.
 const fingerprintBytes = 16
 
-// Asked is what a request asks for and who asks, in the bytes that came.
-type Asked struct {
+// Request is what a request asks for and who asks, in the bytes that came.
+type Request struct {
 	Method string
 	Host   string
 	Target string
@@ -23,7 +23,7 @@
 // its header differs each time. The first is of its content alone, since what ends a backend
 // server does so whoever asks for it. The second is of the content and the caller: what many
 // ask for and get, as a read without a body, may be fatal from one of them.
-func (a *Asked) Fingerprints() []string {
+func (a *Request) Fingerprints() []string {
 	sum := sha256.New()
 	for _, part := range []string{a.Method, a.Host, a.Target} {
 		_, _ = sum.Write([]byte(part))
--- a/gateway/isolator/fingerprint_test.go
+++ b/gateway/isolator/fingerprint_test.go
@@ -10,7 +10,7 @@
 // of it is another request.
 func TestWhatIsSentAgainHasTheSameFingerprints(t *testing.T) {
 	made := func(method, host, target, caller, body string) []string {
-		return (&Asked{Method: method, Host: host, Target: target, Body: []byte(body), Caller: caller}).Fingerprints()
+		return (&Request{Method: method, Host: host, Target: target, Body: []byte(body), Caller: caller}).Fingerprints()
 	}
 	first := made("POST", "h", "/a/?q=1", "10.0.0.1", "body")
 	for name, test := range map[string]struct {
@@ -36,7 +36,7 @@
 }
 
 func benchmarkFingerprints(b *testing.B, size int) {
-	asked := &Asked{Method: "POST", Host: "h", Target: "/a/b/c", Body: make([]byte, size), Caller: "10.0.0.1"}
+	asked := &Request{Method: "POST", Host: "h", Target: "/a/b/c", Body: make([]byte, size), Caller: "10.0.0.1"}
 	b.SetBytes(int64(size))
 	for b.Loop() {
 		asked.Fingerprints()
--- a/gateway/receiver/isolation.go
+++ b/gateway/receiver/isolation.go
@@ -13,7 +13,7 @@
 // prints returns the fingerprints of a request, which are worked out at most once.
 func (e *entry) prints() []string {
 	if e.fingerprints == nil {
-		asked := isolator.Asked{
+		asked := isolator.Request{
 			Method: e.http.Method, Target: e.http.URL.RequestURI(), Body: e.body, Caller: e.terms.Customer(),
 		}
 		e.fingerprints = asked.Fingerprints()
