--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -64,8 +64,8 @@
 	probing map[string]bool
 }
 
-// Verdict says what is to become of a request.
-type Verdict struct {
+// Decision says what is to become of a request.
+type Decision struct {
 	// Held is set if it must not be sent; Left is for how long.
 	Held bool
 	Left time.Duration
@@ -122,14 +122,14 @@
 
 // Check says what is to become of a request that is about to be sent. Its fingerprints are
 // asked for only while any request is known here.
-func (i *Isolator) Check(prints func() []string) Verdict {
+func (i *Isolator) Check(prints func() []string) Decision {
 	if !i.active.Load() {
-		return Verdict{}
+		return Decision{}
 	}
 	list := prints()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	verdict := Verdict{}
+	verdict := Decision{}
 	for _, fingerprint := range list {
 		if v := i.check(fingerprint); v.Held || v.Trial != "" {
 			verdict = v
@@ -144,18 +144,18 @@
 	return verdict
 }
 
-func (i *Isolator) check(fingerprint string) Verdict {
+func (i *Isolator) check(fingerprint string) Decision {
 	if i.heldHere[fingerprint] && i.alone() {
-		return Verdict{Held: true, Left: heldHereFor}
+		return Decision{Held: true, Left: heldHereFor}
 	}
 	s := i.suspects[fingerprint]
 	switch {
 	case !s.GetHeld():
-		return Verdict{}
+		return Decision{}
 	case s.GetTrialAt() == "" || s.GetTrialAt() != i.Self || i.trials[fingerprint] || i.failedLately(fingerprint):
-		return Verdict{Held: true, Left: time.Duration(s.GetLeftS()) * time.Second}
+		return Decision{Held: true, Left: time.Duration(s.GetLeftS()) * time.Second}
 	}
-	return Verdict{Trial: fingerprint}
+	return Decision{Trial: fingerprint}
 }
 
 func (i *Isolator) failedLately(fingerprint string) bool {
--- a/gateway/isolator/isolator_test.go
+++ b/gateway/isolator/isolator_test.go
@@ -44,37 +44,37 @@
 	for name, test := range map[string]struct {
 		list    []*wire.Suspect
 		happens func(i *Isolator, clock *clockwork.FakeClock)
-		want    Verdict
+		want    Decision
 	}{
-		"nothing is known":          {nil, nil, Verdict{}},
-		"another is held":           {[]*wire.Suspect{held("g", "")}, nil, Verdict{}},
-		"it is held":                {[]*wire.Suspect{held("f", "")}, nil, Verdict{Held: true, Left: time.Minute}},
-		"its other name is held":    {[]*wire.Suspect{held("f2", "")}, nil, Verdict{Held: true, Left: time.Minute}},
-		"it is only suspected":      {[]*wire.Suspect{{Fingerprint: "f"}}, nil, Verdict{}},
-		"its trial is elsewhere":    {[]*wire.Suspect{held("f", "there")}, nil, Verdict{Held: true, Left: time.Minute}},
-		"its trial is here":         {[]*wire.Suspect{held("f", "here")}, nil, Verdict{Trial: "f"}},
-		"it is under trial already": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) { i.Check(prints("f")) }, Verdict{Held: true, Left: time.Minute}},
+		"nothing is known":          {nil, nil, Decision{}},
+		"another is held":           {[]*wire.Suspect{held("g", "")}, nil, Decision{}},
+		"it is held":                {[]*wire.Suspect{held("f", "")}, nil, Decision{Held: true, Left: time.Minute}},
+		"its other name is held":    {[]*wire.Suspect{held("f2", "")}, nil, Decision{Held: true, Left: time.Minute}},
+		"it is only suspected":      {[]*wire.Suspect{{Fingerprint: "f"}}, nil, Decision{}},
+		"its trial is elsewhere":    {[]*wire.Suspect{held("f", "there")}, nil, Decision{Held: true, Left: time.Minute}},
+		"its trial is here":         {[]*wire.Suspect{held("f", "here")}, nil, Decision{Trial: "f"}},
+		"it is under trial already": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) { i.Check(prints("f")) }, Decision{Held: true, Left: time.Minute}},
 		"its trial was lost": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", true)
-		}, Verdict{Held: true, Left: time.Minute}},
+		}, Decision{Held: true, Left: time.Minute}},
 		"its trial was lost, and something else has changed": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", true)
 			i.SetSuspects(8, []*wire.Suspect{held("f", "here"), held("g", "")})
-		}, Verdict{Held: true, Left: time.Minute}},
+		}, Decision{Held: true, Left: time.Minute}},
 		"its trial was lost some time ago": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, clock *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", true)
 			clock.Advance(trialAgainAfter)
 			i.tick()
-		}, Verdict{Trial: "f"}},
+		}, Decision{Trial: "f"}},
 		"its trial was not sent": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", false)
-		}, Verdict{Trial: "f"}},
-		"it was released":       {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(8, nil) }, Verdict{}},
-		"an older list is late": {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(6, nil) }, Verdict{Held: true, Left: time.Minute}},
+		}, Decision{Trial: "f"}},
+		"it was released":       {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(8, nil) }, Decision{}},
+		"an older list is late": {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(6, nil) }, Decision{Held: true, Left: time.Minute}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			age := time.Duration(0)
