--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -54,7 +54,7 @@
 	}
 	verdict := f.Isolator.Check(j.prints)
 	j.trial = verdict.Trial
-	if !verdict.Held {
+	if !verdict.Quarantined {
 		return false
 	}
 	f.Meter.Count("requests_held_back", "service", j.service)
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -66,9 +66,9 @@
 
 // Decision says what is to become of a request.
 type Decision struct {
-	// Held is set if it must not be sent; Left is for how long.
-	Held bool
-	Left time.Duration
+	// Quarantined is set if it must not be sent; Left is for how long.
+	Quarantined bool
+	Left        time.Duration
 	// Trial is the fingerprint by which it is held, if it may be sent once to see whether it
 	// still ends what runs it. End the trial with EndTrial.
 	Trial string
@@ -131,10 +131,10 @@
 	defer i.mu.Unlock()
 	verdict := Decision{}
 	for _, fingerprint := range list {
-		if v := i.check(fingerprint); v.Held || v.Trial != "" {
+		if v := i.check(fingerprint); v.Quarantined || v.Trial != "" {
 			verdict = v
 		}
-		if verdict.Held {
+		if verdict.Quarantined {
 			return verdict
 		}
 	}
@@ -146,14 +146,14 @@
 
 func (i *Isolator) check(fingerprint string) Decision {
 	if i.heldHere[fingerprint] && i.alone() {
-		return Decision{Held: true, Left: heldHereFor}
+		return Decision{Quarantined: true, Left: heldHereFor}
 	}
 	s := i.suspects[fingerprint]
 	switch {
 	case !s.GetHeld():
 		return Decision{}
 	case s.GetTrialAt() == "" || s.GetTrialAt() != i.Self || i.trials[fingerprint] || i.failedLately(fingerprint):
-		return Decision{Held: true, Left: time.Duration(s.GetLeftS()) * time.Second}
+		return Decision{Quarantined: true, Left: time.Duration(s.GetLeftS()) * time.Second}
 	}
 	return Decision{Trial: fingerprint}
 }
--- a/gateway/receiver/isolation.go
+++ b/gateway/receiver/isolation.go
@@ -29,7 +29,7 @@
 	}
 	verdict := r.Isolator.Check(e.prints)
 	e.trial = verdict.Trial
-	if !verdict.Held {
+	if !verdict.Quarantined {
 		return nil
 	}
 	r.Meter.Count("requests_held_back", "customer", e.terms.Customer())
