--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	f.Meter.Count("requests_held_back", "service", j.service)
-	f.giveUp(j, reasonHeld, verdict.Left)
+	f.giveUp(j, reasonHeld, verdict.Remaining)
 	return true
 }
 
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -68,7 +68,7 @@
 type Decision struct {
 	// Quarantined is set if it must not be sent; Left is for how long.
 	Quarantined bool
-	Left        time.Duration
+	Remaining   time.Duration
 	// Trial is the fingerprint by which it is held, if it may be sent once to see whether it
 	// still ends what runs it. End the trial with EndTrial.
 	Trial string
@@ -146,14 +146,14 @@
 
 func (i *Isolator) check(fingerprint string) Decision {
 	if i.heldHere[fingerprint] && i.alone() {
-		return Decision{Quarantined: true, Left: heldHereFor}
+		return Decision{Quarantined: true, Remaining: heldHereFor}
 	}
 	s := i.suspects[fingerprint]
 	switch {
 	case !s.GetHeld():
 		return Decision{}
 	case s.GetTrialAt() == "" || s.GetTrialAt() != i.Self || i.trials[fingerprint] || i.failedLately(fingerprint):
-		return Decision{Quarantined: true, Left: time.Duration(s.GetLeftS()) * time.Second}
+		return Decision{Quarantined: true, Remaining: time.Duration(s.GetLeftS()) * time.Second}
 	}
 	return Decision{Trial: fingerprint}
 }
--- a/gateway/isolator/isolator_test.go
+++ b/gateway/isolator/isolator_test.go
@@ -48,21 +48,21 @@
 	}{
 		"nothing is known":          {nil, nil, Decision{}},
 		"another is held":           {[]*wire.Suspect{held("g", "")}, nil, Decision{}},
-		"it is held":                {[]*wire.Suspect{held("f", "")}, nil, Decision{Quarantined: true, Left: time.Minute}},
-		"its other name is held":    {[]*wire.Suspect{held("f2", "")}, nil, Decision{Quarantined: true, Left: time.Minute}},
+		"it is held":                {[]*wire.Suspect{held("f", "")}, nil, Decision{Quarantined: true, Remaining: time.Minute}},
+		"its other name is held":    {[]*wire.Suspect{held("f2", "")}, nil, Decision{Quarantined: true, Remaining: time.Minute}},
 		"it is only suspected":      {[]*wire.Suspect{{Fingerprint: "f"}}, nil, Decision{}},
-		"its trial is elsewhere":    {[]*wire.Suspect{held("f", "there")}, nil, Decision{Quarantined: true, Left: time.Minute}},
+		"its trial is elsewhere":    {[]*wire.Suspect{held("f", "there")}, nil, Decision{Quarantined: true, Remaining: time.Minute}},
 		"its trial is here":         {[]*wire.Suspect{held("f", "here")}, nil, Decision{Trial: "f"}},
-		"it is under trial already": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) { i.Check(prints("f")) }, Decision{Quarantined: true, Left: time.Minute}},
+		"it is under trial already": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) { i.Check(prints("f")) }, Decision{Quarantined: true, Remaining: time.Minute}},
 		"its trial was lost": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", true)
-		}, Decision{Quarantined: true, Left: time.Minute}},
+		}, Decision{Quarantined: true, Remaining: time.Minute}},
 		"its trial was lost, and something else has changed": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", true)
 			i.SetSuspects(8, []*wire.Suspect{held("f", "here"), held("g", "")})
-		}, Decision{Quarantined: true, Left: time.Minute}},
+		}, Decision{Quarantined: true, Remaining: time.Minute}},
 		"its trial was lost some time ago": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, clock *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", true)
@@ -74,7 +74,7 @@
 			i.EndTrial("f", false)
 		}, Decision{Trial: "f"}},
 		"it was released":       {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(8, nil) }, Decision{}},
-		"an older list is late": {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(6, nil) }, Decision{Quarantined: true, Left: time.Minute}},
+		"an older list is late": {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(6, nil) }, Decision{Quarantined: true, Remaining: time.Minute}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			age := time.Duration(0)
--- a/gateway/receiver/isolation.go
+++ b/gateway/receiver/isolation.go
@@ -34,7 +34,7 @@
 	}
 	r.Meter.Count("requests_held_back", "customer", e.terms.Customer())
 	return &Problem{
-		Status: http.StatusServiceUnavailable, Kind: kindHeldBack, Ran: dispatcher.RanNo, RetryAfter: verdict.Left,
+		Status: http.StatusServiceUnavailable, Kind: kindHeldBack, Ran: dispatcher.RanNo, RetryAfter: verdict.Remaining,
 		Message: "backend servers end when they run this request; it is held back",
 	}
 }
