--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -112,7 +112,7 @@
 	r.regulator.Init()
 	r.granter = &granter.Granter{Clock: r.Clock, Log: r.Log, Meter: r.meter, Self: s.meshAddress(), Ranked: r.regulator.Ranked}
 	r.granter.Init()
-	r.isolator = &isolator.Isolator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress(), WordAge: r.wordAge}
+	r.isolator = &isolator.Isolator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress(), LeaderAge: r.wordAge}
 	r.borrower = &borrower.Borrower{
 		Clock: r.Clock, Log: r.Log, Meter: r.meter, Gateway: s.Instance.Name, Address: s.meshAddress(),
 		Upstream: func() string { return r.follower.Leader() }, Term: func() uint64 { return r.follower.Term() },
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -40,8 +40,8 @@
 	Log   *slog.Logger
 	// Self is where other gateways reach this one.
 	Self string
-	// WordAge returns how old the leader's word is; nil if nobody asks.
-	WordAge func() time.Duration
+	// LeaderAge returns how old the leader's word is; nil if nobody asks.
+	LeaderAge func() time.Duration
 	// Refuses reports whether nothing listens any more where a start of a backend server was.
 	Refuses func(ctx context.Context, backend, address string) bool
 
@@ -118,7 +118,7 @@
 }
 
 // alone reports whether this gateway has to go by what it knows itself.
-func (i *Isolator) alone() bool { return i.WordAge != nil && i.WordAge() > staleWord }
+func (i *Isolator) alone() bool { return i.LeaderAge != nil && i.LeaderAge() > staleWord }
 
 // Check says what is to become of a request that is about to be sent. Its fingerprints are
 // asked for only while any request is known here.
--- a/gateway/isolator/isolator_test.go
+++ b/gateway/isolator/isolator_test.go
@@ -16,7 +16,7 @@
 func newIsolator(age *time.Duration, refuses bool) (*Isolator, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	i := &Isolator{
-		Clock: clock, Log: slog.New(slog.DiscardHandler), Self: "here", WordAge: func() time.Duration { return *age },
+		Clock: clock, Log: slog.New(slog.DiscardHandler), Self: "here", LeaderAge: func() time.Duration { return *age },
 		Refuses: func(context.Context, string, string) bool { return refuses },
 	}
 	i.Init()
