--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -130,7 +130,7 @@
 	if address == "" {
 		address = s.Instance.Listen
 	}
-	a.isolator = &isolator.Isolator{Clock: a.Clock, Log: a.Log, Self: address, Refuses: refuses}
+	a.isolator = &isolator.Isolator{Clock: a.Clock, Log: a.Log, Self: address, ConnectionRefused: refuses}
 	a.isolator.Init()
 	a.renewer = &renewer.Renewer{
 		Clock: a.Clock, Log: a.Log, Scheduler: a.scheduler, Isolator: a.isolator, Controllers: controllers, Client: client,
--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -105,6 +105,6 @@
 	if f.Isolator == nil {
 		f.Isolator = &isolator.Isolator{Clock: f.Clock, Log: f.Log}
 	}
-	f.Isolator.Refuses = f.processEnded
+	f.Isolator.ConnectionRefused = f.processEnded
 	f.Isolator.Init()
 }
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -42,8 +42,8 @@
 	Self string
 	// LeaderAge returns how old the leader's word is; nil if nobody asks.
 	LeaderAge func() time.Duration
-	// Refuses reports whether nothing listens any more where a start of a backend server was.
-	Refuses func(ctx context.Context, backend, address string) bool
+	// ConnectionRefused reports whether nothing listens any more where a start of a backend server was.
+	ConnectionRefused func(ctx context.Context, backend, address string) bool
 
 	// active is set while any request is known here, so that all others cost nothing.
 	active atomic.Bool
@@ -209,7 +209,7 @@
 
 // probe asks the address of a start at which runs were lost, once for all of them.
 func (i *Isolator) probe(backend, address string) {
-	ended := i.Refuses(context.Background(), backend, address)
+	ended := i.ConnectionRefused(context.Background(), backend, address)
 	i.mu.Lock()
 	delete(i.probing, backend)
 	i.mu.Unlock()
--- a/gateway/isolator/isolator_test.go
+++ b/gateway/isolator/isolator_test.go
@@ -17,7 +17,7 @@
 	clock := clockwork.NewFakeClock()
 	i := &Isolator{
 		Clock: clock, Log: slog.New(slog.DiscardHandler), Self: "here", LeaderAge: func() time.Duration { return *age },
-		Refuses: func(context.Context, string, string) bool { return refuses },
+		ConnectionRefused: func(context.Context, string, string) bool { return refuses },
 	}
 	i.Init()
 	return i, clock
@@ -141,7 +141,7 @@
 			i, _ := newIsolator(&age, refuses)
 			asked := make(chan struct{}, 3)
 			release := make(chan struct{})
-			i.Refuses = func(context.Context, string, string) bool {
+			i.ConnectionRefused = func(context.Context, string, string) bool {
 				asked <- struct{}{}
 				<-release
 				return refuses
--- a/gateway/renewer/isolation_test.go
+++ b/gateway/renewer/isolation_test.go
@@ -17,7 +17,7 @@
 	clock := clockwork.NewFakeClock()
 	i := &isolator.Isolator{
 		Clock: clock, Log: slog.New(slog.DiscardHandler),
-		Refuses: func(context.Context, string, string) bool { return false },
+		ConnectionRefused: func(context.Context, string, string) bool { return false },
 	}
 	i.Init()
 	return &Renewer{Clock: clock, Isolator: i}
