--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -71,7 +71,7 @@
 
 // lostRun tells of a run that ended without a whole answer.
 func (f *Forwarder) lostRun(j *job, backend *wire.Announcement) {
-	f.Isolator.Lost(j.prints, &wire.RunReport{
+	f.Isolator.RecordLoss(j.prints, &wire.RunReport{
 		Service: j.service, Model: j.about.Model, Place: j.place(), Caller: callerOf(j.req),
 		Backend: backend.GetId(), Begun: j.begunAt == j.sends && j.sends > 0, RanMs: uint32(f.Clock.Since(j.sentAt).Milliseconds()),
 	}, backend.GetAddress())
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -185,9 +185,9 @@
 	})
 }
 
-// Lost notes that a run was lost, and finds out whether the process has ended. The report
+// RecordLoss notes that a run was lost, and finds out whether the process has ended. The report
 // is of each of the request's fingerprints.
-func (i *Isolator) Lost(prints func() []string, report *wire.RunReport, address string) {
+func (i *Isolator) RecordLoss(prints func() []string, report *wire.RunReport, address string) {
 	list := prints()
 	backend := report.GetBackend()
 	now := i.Clock.Now()
--- a/gateway/isolator/isolator_test.go
+++ b/gateway/isolator/isolator_test.go
@@ -32,7 +32,7 @@
 // lose lets a start end under a request, and waits until that is known.
 func lose(c *qt.C, i *Isolator, fingerprint, backend string) {
 	_, before := i.Reports(0)
-	i.Lost(prints(fingerprint), &wire.RunReport{Backend: backend, RanMs: 10}, "address")
+	i.RecordLoss(prints(fingerprint), &wire.RunReport{Backend: backend, RanMs: 10}, "address")
 	i.Ended(backend)
 	_, after := i.Reports(0)
 	c.Assert(after > before, qt.IsTrue)
@@ -147,7 +147,7 @@
 				return refuses
 			}
 			for _, fingerprint := range []string{"f", "g"} {
-				i.Lost(prints(fingerprint), &wire.RunReport{Backend: "b"}, "address")
+				i.RecordLoss(prints(fingerprint), &wire.RunReport{Backend: "b"}, "address")
 			}
 			<-asked
 			i.probing["b"] = true
@@ -177,7 +177,7 @@
 		t.Run(name, func(t *testing.T) {
 			age := time.Duration(0)
 			i, _ := newIsolator(&age, false)
-			i.Lost(prints("f"), &wire.RunReport{Backend: "b"}, "address")
+			i.RecordLoss(prints("f"), &wire.RunReport{Backend: "b"}, "address")
 			i.Announced(test.said)
 			reports, _ := i.Reports(0)
 			qt.New(t).Check(reports, qt.HasLen, test.reports)
--- a/gateway/receiver/isolation.go
+++ b/gateway/receiver/isolation.go
@@ -48,7 +48,7 @@
 
 // lostRun tells of a run that ended without a whole answer; begun says that a part had come.
 func (r *Receiver) lostRun(e *entry, to *router.Candidate, begun bool) {
-	r.Isolator.Lost(e.prints, &wire.RunReport{
+	r.Isolator.RecordLoss(e.prints, &wire.RunReport{
 		Service: e.job.Want.Service, Model: e.job.Want.Adapter, Place: e.http.Method + " " + e.http.URL.Path,
 		Caller: e.terms.Customer(), Backend: startOf(to), Begun: begun,
 		RanMs: uint32(r.Clock.Since(e.sentAt).Milliseconds()),
--- a/gateway/renewer/isolation_test.go
+++ b/gateway/renewer/isolation_test.go
@@ -27,7 +27,7 @@
 func (r *Renewer) loses(c *qt.C) {
 	r.noteAnswer(&wire.RenewResponse{Term: r.term, Backends: []*wire.Backend{{Name: "e", Incarnation: "1"}}}, r.reported)
 	lost := &wire.RunReport{Backend: isolator.Start("e", "1")}
-	r.Isolator.Lost(func() []string { return []string{"f"} }, lost, "address")
+	r.Isolator.RecordLoss(func() []string { return []string{"f"} }, lost, "address")
 	r.noteAnswer(&wire.RenewResponse{Term: r.term, Backends: []*wire.Backend{{Name: "e", Incarnation: "2"}}}, r.reported)
 	reports, _ := r.Isolator.Reports(0)
 	c.Assert(reports, qt.HasLen, 1)
