--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -146,7 +146,7 @@
 	}
 	if sender.KindOf(err) == sender.KindNotSent {
 		if sender.IsRefused(err) {
-			f.Isolator.Ended(backend.GetId())
+			f.Isolator.RecordExit(backend.GetId())
 		}
 		f.done(j, backend.GetId(), balancer.Unreachable)
 		j.avoid = append(j.avoid, backend.GetId())
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -214,12 +214,12 @@
 	delete(i.probing, backend)
 	i.mu.Unlock()
 	if ended {
-		i.Ended(backend)
+		i.RecordExit(backend)
 	}
 }
 
-// Ended notes that the process of a start has ended without notice.
-func (i *Isolator) Ended(backend string) {
+// RecordExit notes that the process of a start has ended without notice.
+func (i *Isolator) RecordExit(backend string) {
 	if !i.active.Load() {
 		return
 	}
@@ -252,7 +252,7 @@
 		i.witness.RecordLeaving(i.Clock.Now(), a.GetId())
 		i.mu.Unlock()
 	case a.GetGone():
-		i.Ended(a.GetId())
+		i.RecordExit(a.GetId())
 	}
 }
 
--- a/gateway/isolator/isolator_test.go
+++ b/gateway/isolator/isolator_test.go
@@ -33,7 +33,7 @@
 func lose(c *qt.C, i *Isolator, fingerprint, backend string) {
 	_, before := i.Reports(0)
 	i.RecordLoss(prints(fingerprint), &wire.RunReport{Backend: backend, RanMs: 10}, "address")
-	i.Ended(backend)
+	i.RecordExit(backend)
 	_, after := i.Reports(0)
 	c.Assert(after > before, qt.IsTrue)
 }
