--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -197,7 +197,7 @@
 func (f *Forwarder) announced(now time.Time, list []*wire.Announcement) {
 	for _, a := range list {
 		f.balancer.Announce(now, a)
-		f.Isolator.Announced(a)
+		f.Isolator.ObserveAnnouncement(a)
 		switch {
 		case a.GetReplaced():
 			f.Sender.Abandon(a.GetId())
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -244,8 +244,8 @@
 	}
 }
 
-// Announced takes what a backend server or a controller says of a start.
-func (i *Isolator) Announced(a *wire.Announcement) {
+// ObserveAnnouncement takes what a backend server or a controller says of a start.
+func (i *Isolator) ObserveAnnouncement(a *wire.Announcement) {
 	switch {
 	case a.GetDraining():
 		i.mu.Lock()
--- a/gateway/isolator/isolator_test.go
+++ b/gateway/isolator/isolator_test.go
@@ -178,7 +178,7 @@
 			age := time.Duration(0)
 			i, _ := newIsolator(&age, false)
 			i.RecordLoss(prints("f"), &wire.RunReport{Backend: "b"}, "address")
-			i.Announced(test.said)
+			i.ObserveAnnouncement(test.said)
 			reports, _ := i.Reports(0)
 			qt.New(t).Check(reports, qt.HasLen, test.reports)
 		})
