--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -85,7 +85,7 @@
 		in.Close()
 		j.runs++
 		f.done(j, d.Backend.GetId(), balancer.Failed)
-		f.Isolator.Completed(j.prints, d.Backend.GetId())
+		f.Isolator.RecordCompletion(j.prints, d.Backend.GetId())
 		j.avoid = append(j.avoid, d.Backend.GetId())
 		f.event(j, d.Backend, "the backend server failed; sent again", in.Head.Status)
 		return true
--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -80,7 +80,7 @@
 // completedRun tells of a run that was answered whole.
 func (f *Forwarder) completedRun(j *job, backend *wire.Announcement) {
 	j.completed = true
-	f.Isolator.Completed(j.prints, backend.GetId())
+	f.Isolator.RecordCompletion(j.prints, backend.GetId())
 }
 
 // mayEndMore reports whether a request is better not sent again by the gateway itself: more
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -256,8 +256,8 @@
 	}
 }
 
-// Completed notes a run that was answered whole, if anything speaks against its request.
-func (i *Isolator) Completed(prints func() []string, backend string) {
+// RecordCompletion notes a run that was answered whole, if anything speaks against its request.
+func (i *Isolator) RecordCompletion(prints func() []string, backend string) {
 	if !i.active.Load() {
 		return
 	}
--- a/gateway/isolator/isolator_test.go
+++ b/gateway/isolator/isolator_test.go
@@ -118,7 +118,7 @@
 	look := func() {
 		i.Check(ask)
 		i.Suspected(ask)
-		i.Completed(ask, "a")
+		i.RecordCompletion(ask, "a")
 	}
 	look()
 	c.Check(asked, qt.Equals, 0)
--- a/gateway/receiver/isolation.go
+++ b/gateway/receiver/isolation.go
@@ -58,7 +58,7 @@
 // completedRun tells of a run that was answered whole.
 func (r *Receiver) completedRun(e *entry, to *router.Candidate) {
 	e.completed = true
-	r.Isolator.Completed(e.prints, startOf(to))
+	r.Isolator.RecordCompletion(e.prints, startOf(to))
 }
 
 func startOf(to *router.Candidate) string {
