--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -274,8 +274,8 @@
 	i.feed(now)
 }
 
-// Hear takes reports of gateways that follow this one.
-func (i *Isolator) Hear(reports []*wire.RunReport) {
+// ReceiveReports takes reports of gateways that follow this one.
+func (i *Isolator) ReceiveReports(reports []*wire.RunReport) {
 	if len(reports) == 0 {
 		return
 	}
