--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -302,8 +302,8 @@
 // Start names one start of a backend server that keeps its name.
 func Start(name, incarnation string) string { return name + "/" + incarnation }
 
-// Revision returns the number of the leader's list that is known, 0 for none.
-func (i *Isolator) Revision() uint64 {
+// SuspectsRevision returns the number of the leader's list that is known, 0 for none.
+func (i *Isolator) SuspectsRevision() uint64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.revision
--- a/gateway/renewer/isolation.go
+++ b/gateway/renewer/isolation.go
@@ -23,7 +23,7 @@
 // the number of the last report in it.
 func (r *Renewer) report(req *wire.RenewRequest) uint64 {
 	reports, last := r.Isolator.Reports(r.reported)
-	req.RunReports, req.SuspectsRevision = reports, r.Isolator.Revision()
+	req.RunReports, req.SuspectsRevision = reports, r.Isolator.SuspectsRevision()
 	return last
 }
 
