--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -299,8 +299,8 @@
 	return i.witness.Reports(now, after)
 }
 
-// Start names one start of a backend server that keeps its name.
-func Start(name, incarnation string) string { return name + "/" + incarnation }
+// IncarnationID names one start of a backend server that keeps its name.
+func IncarnationID(name, incarnation string) string { return name + "/" + incarnation }
 
 // SuspectsRevision returns the number of the leader's list that is known, 0 for none.
 func (i *Isolator) SuspectsRevision() uint64 {
--- a/gateway/receiver/isolation.go
+++ b/gateway/receiver/isolation.go
@@ -62,7 +62,7 @@
 }
 
 func startOf(to *router.Candidate) string {
-	return isolator.Start(to.Backend.GetName(), to.Backend.GetIncarnation())
+	return isolator.IncarnationID(to.Backend.GetName(), to.Backend.GetIncarnation())
 }
 
 // mayRunAgain reports whether the gateway may repeat by itself what may have run: not if more
--- a/gateway/renewer/isolation.go
+++ b/gateway/renewer/isolation.go
@@ -51,10 +51,10 @@
 	}
 	before := r.starts[b.GetName()]
 	if before != "" && before != b.GetIncarnation() {
-		r.Isolator.ObserveAnnouncement(&wire.Announcement{Id: isolator.Start(b.GetName(), before), Gone: true})
+		r.Isolator.ObserveAnnouncement(&wire.Announcement{Id: isolator.IncarnationID(b.GetName(), before), Gone: true})
 	}
 	r.starts[b.GetName()] = b.GetIncarnation()
 	if b.GetLeaving() {
-		r.Isolator.ObserveAnnouncement(&wire.Announcement{Id: isolator.Start(b.GetName(), b.GetIncarnation()), Draining: true})
+		r.Isolator.ObserveAnnouncement(&wire.Announcement{Id: isolator.IncarnationID(b.GetName(), b.GetIncarnation()), Draining: true})
 	}
 }
--- a/gateway/renewer/isolation_test.go
+++ b/gateway/renewer/isolation_test.go
@@ -26,7 +26,7 @@
 // loses lets a start end that another one follows, by the leader's word.
 func (r *Renewer) loses(c *qt.C) {
 	r.noteAnswer(&wire.RenewResponse{Term: r.term, Backends: []*wire.Backend{{Name: "e", Incarnation: "1"}}}, r.reported)
-	lost := &wire.RunReport{Backend: isolator.Start("e", "1")}
+	lost := &wire.RunReport{Backend: isolator.IncarnationID("e", "1")}
 	r.Isolator.RecordLoss(func() []string { return []string{"f"} }, lost, "address")
 	r.noteAnswer(&wire.RenewResponse{Term: r.term, Backends: []*wire.Backend{{Name: "e", Incarnation: "2"}}}, r.reported)
 	reports, _ := r.Isolator.Reports(0)
