--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -54,7 +54,7 @@
 	stopping  atomic.Bool
 	door      *doorkeeper.Doorkeeper
 	forwarder *forwarder.Forwarder
-	follower  *follower.Follower
+	follower  *follower.Synchronizer
 	relayer   *relayer.Relayer
 	regulator *regulator.Regulator
 	granter   *granter.Granter
@@ -138,7 +138,7 @@
 	}
 	r.relayer.Init()
 	r.forwarder.NewsAge = r.relayer.LeaderAge
-	r.follower = &follower.Follower{
+	r.follower = &follower.Synchronizer{
 		Clock: r.Clock, Log: r.Log, Gateway: s.Instance.Name, Self: self, Seeds: func() []string { return *r.seeds.Load() },
 		Relayer: r.relayer, Demand: r.forwarder.Demand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
 		Granter: r.granter,
--- a/gateway/follower/acquire.go
+++ b/gateway/follower/acquire.go
@@ -12,21 +12,21 @@
 
 // Leader returns the address of the leader, or of the relay that is asked in its place; ""
 // if none is known.
-func (f *Follower) Leader() string {
+func (f *Synchronizer) Leader() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leader
 }
 
 // Term returns the term of the leader that was heard last.
-func (f *Follower) Term() uint64 {
+func (f *Synchronizer) Term() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.term
 }
 
 // Acquire asks the leader to load adapters. It does not wait for the loads.
-func (f *Follower) Acquire(ctx context.Context, wants []*wire.Want) {
+func (f *Synchronizer) Acquire(ctx context.Context, wants []*wire.Want) {
 	f.mu.Lock()
 	leader := f.leader
 	f.mu.Unlock()
@@ -50,7 +50,7 @@
 
 // noteAcquire logs the first of several requests for adapters in a row that fail, and how
 // many did once one succeeds: while there is no leader they fail dozens of times a second.
-func (f *Follower) noteAcquire(leader string, err error) {
+func (f *Synchronizer) noteAcquire(leader string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (f *Follower) transport() *http.Transport {
+func (f *Synchronizer) transport() *http.Transport {
 	f.acquiringOnce.Do(func() { f.acquiring = connector.NewTransport(nil) })
 	return f.acquiring
 }
--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -57,8 +57,8 @@
 	rotateEvery = time.Second
 )
 
-// Follower asks the controllers, or relays. Set the exported fields, then call Run.
-type Follower struct {
+// Synchronizer asks the controllers, or relays. Set the exported fields, then call Run.
+type Synchronizer struct {
 	Clock clockwork.Clock
 	Log   *slog.Logger
 	// Gateway names this gateway, and Self is where it is reached.
@@ -124,7 +124,7 @@
 }
 
 // Run works until ctx ends.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Synchronizer) Run(ctx context.Context) {
 	f.mu.Lock()
 	f.loops, f.sources, f.untoldDemand = map[string]*loop{}, map[string]*source{}, untoldDemand{}
 	f.mu.Unlock()
@@ -143,7 +143,7 @@
 }
 
 // arrange decides whether the controllers are asked, and which relays.
-func (f *Follower) arrange(ctx context.Context) {
+func (f *Synchronizer) arrange(ctx context.Context) {
 	place := arranger.Arrange(f.Relayer.Gateways(), f.Self)
 	now := f.Clock.Now()
 	f.mu.Lock()
@@ -158,7 +158,7 @@
 
 // cutOff reports whether the controllers are asked in vain: a gateway that is cut off from
 // them may still reach others. The caller holds the lock.
-func (f *Follower) cutOff(now time.Time) bool {
+func (f *Synchronizer) cutOff(now time.Time) bool {
 	since := f.directAt
 	if f.heard.After(since) {
 		since = f.heard
@@ -167,7 +167,7 @@
 }
 
 // setRelays changes the relays that are asked. The caller holds the lock.
-func (f *Follower) setRelays(ctx context.Context, relays []string) {
+func (f *Synchronizer) setRelays(ctx context.Context, relays []string) {
 	f.relays = relays
 	switch {
 	case len(relays) > 0 && f.stopRelays == nil:
@@ -183,7 +183,7 @@
 }
 
 // setDirect begins or ends to ask the controllers. The caller holds the lock.
-func (f *Follower) setDirect(now time.Time, direct bool) {
+func (f *Synchronizer) setDirect(now time.Time, direct bool) {
 	if f.direct == direct {
 		return
 	}
@@ -200,7 +200,7 @@
 
 // review starts asking the listed controllers, and stops asking those that have not been
 // listed for long. Seeds count as listed only while there is nobody else to ask.
-func (f *Follower) review(ctx context.Context, listed []string, fresh bool) {
+func (f *Synchronizer) review(ctx context.Context, listed []string, fresh bool) {
 	now := f.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -228,7 +228,7 @@
 }
 
 // follow asks one controller for news all the time.
-func (f *Follower) follow(ctx context.Context, address string) {
+func (f *Synchronizer) follow(ctx context.Context, address string) {
 	transport := connector.NewTransport(nil)
 	defer transport.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -253,7 +253,7 @@
 	}
 }
 
-func (f *Follower) pause(ctx context.Context) {
+func (f *Synchronizer) pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-f.Clock.After(retryPause):
@@ -261,7 +261,7 @@
 }
 
 // ask asks an instance for what it has not told yet.
-func (f *Follower) ask(ctx context.Context, client *connector.Client, address string, wait time.Duration) (*wire.SyncResponse, error) {
+func (f *Synchronizer) ask(ctx context.Context, client *connector.Client, address string, wait time.Duration) (*wire.SyncResponse, error) {
 	req, reported := f.prepare(address)
 	req.WaitMs = uint32(wait.Milliseconds())
 	res, err := wire.NewMeshProtobufClient("http://"+address, client).Sync(ctx, req)
@@ -273,7 +273,7 @@
 
 // noteReported notes up to which report an instance knows all. One that has started again
 // knows none but those of this call, so that all are told again.
-func (f *Follower) noteReported(address string, before, now, reported uint64) {
+func (f *Synchronizer) noteReported(address string, before, now, reported uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if before != 0 && before != now {
@@ -283,14 +283,14 @@
 }
 
 // asksForAdapters reports whether an instance is the one that is asked for adapters.
-func (f *Follower) asksForAdapters(address string) bool {
+func (f *Synchronizer) asksForAdapters(address string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.leader == address
 }
 
 // prepare returns the next call to an instance, and the number of the last report in it.
-func (f *Follower) prepare(address string) (*wire.SyncRequest, uint64) {
+func (f *Synchronizer) prepare(address string) (*wire.SyncRequest, uint64) {
 	req := &wire.SyncRequest{
 		Gateway: f.Gateway, Address: f.Self.GetAddress(), Zone: f.Self.GetZone(),
 		Loads: f.Relayer.AllLoads(), TableVersion: f.TableVersion(),
@@ -323,7 +323,7 @@
 
 // told returns who is told of requests: all controllers, or the relay that is asked, which
 // tells them. Nobody is told by both ways. The caller holds the lock.
-func (f *Follower) told(asked string) []string {
+func (f *Synchronizer) told(asked string) []string {
 	if !f.direct || f.cutOff(f.Clock.Now()) {
 		return []string{asked}
 	}
@@ -331,7 +331,7 @@
 }
 
 // source returns what an instance has told. The caller holds the lock.
-func (f *Follower) source(address string) *source {
+func (f *Synchronizer) source(address string) *source {
 	s := f.sources[address]
 	if s == nil {
 		s = &source{}
@@ -341,7 +341,7 @@
 }
 
 // take takes an answer, and returns the controllers that its sender lists.
-func (f *Follower) take(address string, res *wire.SyncResponse) []string {
+func (f *Synchronizer) take(address string, res *wire.SyncResponse) []string {
 	whole := f.Relayer.Hear(address, res)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -362,7 +362,7 @@
 }
 
 // note logs when a controller is lost or answers again.
-func (f *Follower) note(address string, err error) {
+func (f *Synchronizer) note(address string, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	known := f.loops[address]
--- a/gateway/follower/follower_test.go
+++ b/gateway/follower/follower_test.go
@@ -15,7 +15,7 @@
 func TestFailedAcquiresAreLoggedOnce(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
-	f := &Follower{Log: slog.New(slog.NewTextHandler(&out, nil))}
+	f := &Synchronizer{Log: slog.New(slog.NewTextHandler(&out, nil))}
 	for range 3 {
 		for range 40 {
 			f.noteAcquire("a", errors.New("connection refused"))
--- a/gateway/follower/relays.go
+++ b/gateway/follower/relays.go
@@ -8,7 +8,7 @@
 
 // followRelays asks one relay for news all the time, and another one as soon as it gives
 // none.
-func (f *Follower) followRelays(ctx context.Context) {
+func (f *Synchronizer) followRelays(ctx context.Context) {
 	transport := connector.NewTransport(nil)
 	defer transport.CloseIdleConnections()
 	r := rotation{asked: f.Clock.Now()}
@@ -43,14 +43,14 @@
 	}
 }
 
-func (f *Follower) relayList() []string {
+func (f *Synchronizer) relayList() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.relays
 }
 
 // relay returns the relay whose turn it is.
-func (f *Follower) relay(turn int) (string, bool) {
+func (f *Synchronizer) relay(turn int) (string, bool) {
 	relays := f.relayList()
 	if len(relays) == 0 {
 		return "", false
--- a/gateway/follower/tree_test.go
+++ b/gateway/follower/tree_test.go
@@ -44,7 +44,7 @@
 
 // system is one gateway that follows relays of its zone, which has ten gateways.
 type system struct {
-	*Follower
+	*Synchronizer
 	controller *meshFake
 	// relays are in the order in which the gateway asks them.
 	relays []*meshFake
@@ -90,7 +90,7 @@
 		Apply: func(string, *wire.SyncResponse) {}, Loads: func() []*wire.Load { return nil },
 	}
 	r.Init()
-	s.Follower = &Follower{
+	s.Synchronizer = &Synchronizer{
 		Granter: g,
 		Clock:   r.Clock, Log: r.Log, Gateway: "test", Self: self, Relayer: r, Seeds: func() []string { return []string{controller} },
 		Demand: func() []*wire.Demand { return nil }, TableVersion: func() uint64 { return 0 },
