--- a/gateway/follower/follower.go
+++ b/gateway/follower/follower.go
@@ -342,7 +342,7 @@
 
 // take takes an answer, and returns the controllers that its sender lists.
 func (f *Synchronizer) take(address string, res *wire.SyncResponse) []string {
-	whole := f.Relayer.Hear(address, res)
+	whole := f.Relayer.Receive(address, res)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if res.GetLeads() && res.GetTerm() >= f.term && f.leader != address {
--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// Hear takes an answer of a controller or of another gateway. It reports false if that
+// Receive takes an answer of a controller or of another gateway. It reports false if that
 // was a difference from what is not known here, so that all has to be asked for.
-func (r *Relayer) Hear(source string, res *wire.SyncResponse) bool {
+func (r *Relayer) Receive(source string, res *wire.SyncResponse) bool {
 	now := r.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/gateway/relayer/relayer_test.go
+++ b/gateway/relayer/relayer_test.go
@@ -80,7 +80,7 @@
 		happens func(b *bench)
 		want    int
 	}{
-		"a backend server is there": {func(b *bench) { b.Hear("c", &wire.SyncResponse{Announcements: []*wire.Announcement{{Id: "e"}}}) }, 1},
+		"a backend server is there": {func(b *bench) { b.Receive("c", &wire.SyncResponse{Announcements: []*wire.Announcement{{Id: "e"}}}) }, 1},
 		"the wait is over":          {func(b *bench) { b.clock.Advance(150 * time.Millisecond); b.look() }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -154,10 +154,10 @@
 func TestADifferenceWithAGap(t *testing.T) {
 	c := qt.New(t)
 	b := newBench()
-	c.Check(b.Hear("c", fromLeader(1, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}})), qt.IsTrue)
+	c.Check(b.Receive("c", fromLeader(1, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}})), qt.IsTrue)
 	late := fromLeader(9, &wire.Holding{Backend: "e", Difference: true, Gone: []string{"m/x@0"}})
 	late.HoldingsSince = term1 + 7
-	c.Check(b.Hear("c", late), qt.IsFalse)
+	c.Check(b.Receive("c", late), qt.IsFalse)
 	c.Check(b.HoldingRevision(), qt.Equals, uint64(term1+1))
 	c.Check(b.applied[1].GetHoldings(), qt.HasLen, 0)
 }
@@ -182,7 +182,7 @@
 	c.Check(b.LeaderAge(), qt.Equals, unknownAge)
 	res := fromLeader(1)
 	res.LeaderAgeMs = 30
-	b.Hear("c", res)
+	b.Receive("c", res)
 	b.clock.Advance(time.Second)
 	c.Check(b.LeaderAge(), qt.Equals, 1030*time.Millisecond)
 }
