--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -43,8 +43,8 @@
 	Loads func() []*wire.Load
 	// AddDemand takes the requests that followers have taken.
 	AddDemand func(list []*wire.Demand)
-	// HearRuns takes the runs of followers' requests that ended.
-	HearRuns func(reports []*wire.RunReport)
+	// ReceiveRunReports takes the runs of followers' requests that ended.
+	ReceiveRunReports func(reports []*wire.RunReport)
 	// Granter knows the request limits of backend servers.
 	Granter *granter.Granter
 	// Want asks the leader for adapters. It must not block.
@@ -125,7 +125,7 @@
 		r.AddDemand(req.GetDemand())
 	}
 	if len(req.GetRunReports()) > 0 {
-		r.HearRuns(req.GetRunReports())
+		r.ReceiveRunReports(req.GetRunReports())
 	}
 	if len(req.GetRequestLimits()) > 0 {
 		r.Granter.Hear(req.GetRequestLimits(), throttler.Follower)
