--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -133,7 +133,7 @@
 	self := &wire.GatewayEntry{Address: s.meshAddress(), Zone: s.Instance.Zone}
 	r.relayer = &relayer.Relayer{
 		Clock: r.Clock, Log: r.Log, Meter: r.meter, Self: self, Apply: r.forwarder.Apply, Loads: r.forwarder.Loads,
-		AddDemand: r.forwarder.AddDemand, Want: r.want, ReceiveRunReports: r.isolator.ReceiveReports,
+		AddDemand: r.forwarder.AddDemand, RequestAdapters: r.want, ReceiveRunReports: r.isolator.ReceiveReports,
 		Granter: r.granter,
 	}
 	r.relayer.Init()
--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -47,8 +47,8 @@
 	ReceiveRunReports func(reports []*wire.RunReport)
 	// Granter knows the request limits of backend servers.
 	Granter *granter.Granter
-	// Want asks the leader for adapters. It must not block.
-	Want func(wants []*wire.Want)
+	// RequestAdapters asks the leader for adapters. It must not block.
+	RequestAdapters func(wants []*wire.Want)
 
 	mu       sync.Mutex
 	spreader *spreader.Disseminator
@@ -215,7 +215,7 @@
 	r.mu.Lock()
 	r.spreader.ObserveWants(r.Clock.Now(), req.GetGateway(), req.GetWants())
 	r.mu.Unlock()
-	r.Want(req.GetWants())
+	r.RequestAdapters(req.GetWants())
 	return &wire.AcquireResponse{}, nil
 }
 
--- a/gateway/relayer/relayer_test.go
+++ b/gateway/relayer/relayer_test.go
@@ -31,11 +31,11 @@
 	b.Relayer = &Relayer{
 		Granter: g,
 		Clock:   b.clock, Log: slog.New(slog.DiscardHandler), Meter: meter.New("gateway", "test", "z"),
-		Self:      &wire.GatewayEntry{Address: "relay", Zone: "z"},
-		Apply:     func(_ string, news *wire.SyncResponse) { b.applied = append(b.applied, news) },
-		Loads:     func() []*wire.Load { return []*wire.Load{{Backend: "e", Requests: 5}} },
-		AddDemand: func(list []*wire.Demand) { b.demand = append(b.demand, list...) },
-		Want:      func(wants []*wire.Want) { b.wants = append(b.wants, wants...) },
+		Self:            &wire.GatewayEntry{Address: "relay", Zone: "z"},
+		Apply:           func(_ string, news *wire.SyncResponse) { b.applied = append(b.applied, news) },
+		Loads:           func() []*wire.Load { return []*wire.Load{{Backend: "e", Requests: 5}} },
+		AddDemand:       func(list []*wire.Demand) { b.demand = append(b.demand, list...) },
+		RequestAdapters: func(wants []*wire.Want) { b.wants = append(b.wants, wants...) },
 	}
 	b.Init()
 	return b
