--- a/controller/app/standby.go
+++ b/controller/app/standby.go
@@ -25,7 +25,7 @@
 	clock   clockwork.Clock
 	log     *slog.Logger
 	name    string
-	curator *curator.Curator
+	curator *curator.Coordinator
 	// leader returns the leader's address, or "".
 	leader func() string
 	// failed is set while questions go unanswered.
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -59,8 +59,8 @@
 	Compact(index uint64, state []byte)
 }
 
-// Curator owns the state. Set the exported fields, call Init, then Run.
-type Curator struct {
+// Coordinator owns the state. Set the exported fields, call Init, then Run.
+type Coordinator struct {
 	Clock  clockwork.Clock
 	Log    *slog.Logger
 	Keeper Keeper
@@ -155,7 +155,7 @@
 const wantLease = 3 * time.Second
 
 // Init prepares the curator for calls before Run.
-func (c *Curator) Init() {
+func (c *Coordinator) Init() {
 	c.calls = caller.New(callRing)
 	c.epoch = rand.Uint64()
 	c.state = recorder.New()
@@ -170,7 +170,7 @@
 }
 
 // Run works until ctx ends.
-func (c *Curator) Run(ctx context.Context) {
+func (c *Coordinator) Run(ctx context.Context) {
 	ticker := c.Clock.NewTicker(tickEvery)
 	defer ticker.Stop()
 	for {
@@ -188,11 +188,11 @@
 }
 
 // Call runs f in the curator's goroutine and waits for it.
-func (c *Curator) Call(ctx context.Context, f func(now time.Time)) error {
+func (c *Coordinator) Call(ctx context.Context, f func(now time.Time)) error {
 	return errors.Wrap(c.calls.Call(ctx, f), "curator")
 }
 
-func (c *Curator) apply(item keeper.Item) {
+func (c *Coordinator) apply(item keeper.Item) {
 	if item.Restore != nil {
 		c.restore(item.Restore)
 	}
@@ -214,7 +214,7 @@
 	}
 }
 
-func (c *Curator) tableChanged() {
+func (c *Coordinator) tableChanged() {
 	table := c.state.Table().GetTable()
 	c.Log.Info("a table is in force", "Version", table.GetVersion(), "Routes", len(table.GetRoutes()))
 	if c.lender != nil {
@@ -228,7 +228,7 @@
 	}
 }
 
-func (c *Curator) versionsChanged() {
+func (c *Coordinator) versionsChanged() {
 	sum := uint64(0)
 	for _, v := range c.state.AdapterVersions() {
 		sum += v.GetVersion()
@@ -239,7 +239,7 @@
 	c.versions = sum
 }
 
-func (c *Curator) restore(s *wire.Snapshot) {
+func (c *Coordinator) restore(s *wire.Snapshot) {
 	state, err := recorder.Restore(s.GetState())
 	if err != nil {
 		// The snapshot's checksum was right, so it was written by another version.
@@ -253,7 +253,7 @@
 	}
 }
 
-func (c *Curator) compact() {
+func (c *Coordinator) compact() {
 	if !c.compacting.CompareAndSwap(false, true) {
 		return
 	}
@@ -270,7 +270,7 @@
 	}()
 }
 
-func (c *Curator) tick(now time.Time) {
+func (c *Coordinator) tick(now time.Time) {
 	c.tracker.Tick(now)
 	c.takeChanges()
 	c.follow(now)
@@ -297,7 +297,7 @@
 
 // follow begins a term as leader, once all that was committed before has been applied,
 // and ends it.
-func (c *Curator) follow(now time.Time) {
+func (c *Coordinator) follow(now time.Time) {
 	standing := c.Keeper.Standing()
 	leads := standing.Leads(now)
 	c.led = c.led || leads || standing.Leader != ""
@@ -310,7 +310,7 @@
 	}
 }
 
-func (c *Curator) begin(now time.Time, term uint64) {
+func (c *Coordinator) begin(now time.Time, term uint64) {
 	c.term = term
 	c.ordersAfter = now.Add(c.HandOver)
 	c.placer = placer.NewWith(c.knowledge)
@@ -331,12 +331,12 @@
 }
 
 // leads reports whether the instance may give orders now.
-func (c *Curator) leads(now time.Time) bool {
+func (c *Coordinator) leads(now time.Time) bool {
 	standing := c.Keeper.Standing()
 	return c.term != 0 && c.term == standing.Term && standing.Leads(now)
 }
 
-func (c *Curator) plan(now time.Time) {
+func (c *Coordinator) plan(now time.Time) {
 	if !c.leads(now) || now.Before(c.ordersAfter) {
 		return
 	}
@@ -355,14 +355,14 @@
 }
 
 // planSoon plans at once, unless that was done just now: then the next tick does.
-func (c *Curator) planSoon(now time.Time) {
+func (c *Coordinator) planSoon(now time.Time) {
 	if now.Sub(c.planned) >= planSpacing {
 		c.plan(now)
 	}
 }
 
 // giveNext gives an engine its next orders.
-func (c *Curator) giveNext(now time.Time, backend string) {
+func (c *Coordinator) giveNext(now time.Time, backend string) {
 	if !c.leads(now) || now.Before(c.ordersAfter) {
 		return
 	}
@@ -371,7 +371,7 @@
 	}
 }
 
-func (c *Curator) carry(order placer.Order) {
+func (c *Coordinator) carry(order placer.Order) {
 	term := c.term
 	c.Carry(order, term, func(outcome placer.Outcome, state *placer.State) {
 		c.calls.Post(func(now time.Time) {
@@ -385,7 +385,7 @@
 
 // wake marks the gateways whose requests wait for adapters that have come, or do not come
 // in time.
-func (c *Curator) wake(now time.Time) {
+func (c *Coordinator) wake(now time.Time) {
 	for _, adapter := range c.placer.TakeDeclined() {
 		for _, g := range c.gateways {
 			if _, ok := g.wants[adapter]; ok {
@@ -406,7 +406,7 @@
 }
 
 // uses returns what the gateways have at each backend server.
-func (c *Curator) uses() map[string]*placer.Use {
+func (c *Coordinator) uses() map[string]*placer.Use {
 	total := map[string]*placer.Use{}
 	c.loads.Each(func(backend string, requests uint32, adapters map[string]int) {
 		use := &placer.Use{Requests: float64(requests), Adapters: make(map[string]bool, len(adapters))}
--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -59,9 +59,9 @@
 
 // newCurator returns a curator whose goroutine is the test's: calls are carried out by
 // run, so that nothing depends on timing.
-func newCurator() (*Curator, *keeperFake) {
+func newCurator() (*Coordinator, *keeperFake) {
 	k := &keeperFake{in: make(chan keeper.Item, 16)}
-	c := &Curator{
+	c := &Coordinator{
 		Clock: clockwork.NewFakeClock(), Log: slog.New(slog.DiscardHandler), Keeper: k, In: k.in,
 		Carry: func(placer.Order, uint64, func(placer.Outcome, *placer.State)) {}, Relay: func([]*wire.Announcement) {},
 		Controllers: func() []string { return nil }, Policy: placer.DefaultPolicy(), SilentAfter: 4 * time.Second,
@@ -71,7 +71,7 @@
 	return c, k
 }
 
-func lead(c *Curator, k *keeperFake) {
+func lead(c *Coordinator, k *keeperFake) {
 	k.standing = keeper.Standing{Role: 3, Term: 2, Leader: "a", LeaseUntil: c.Clock.Now().Add(time.Hour)}
 	c.tick(c.Clock.Now())
 }
--- a/controller/curator/isolation.go
+++ b/controller/curator/isolation.go
@@ -12,7 +12,7 @@
 // verdictTimeout bounds the wait for a verdict to be committed; it is given again then.
 const verdictTimeout = 900 * time.Millisecond
 
-func (c *Curator) initArbiter() {
+func (c *Coordinator) initArbiter() {
 	c.arbiter.Log = c.Log
 	c.arbiter.State = func() *recorder.Recorder { return c.state }
 	c.arbiter.Propose = c.propose
@@ -22,7 +22,7 @@
 }
 
 // propose commits a change in the background.
-func (c *Curator) propose(cmd *wire.Command) {
+func (c *Coordinator) propose(cmd *wire.Command) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), verdictTimeout)
 		defer cancel()
@@ -32,7 +32,7 @@
 	}()
 }
 
-func (c *Curator) gatewayAddresses() []string {
+func (c *Coordinator) gatewayAddresses() []string {
 	addresses := make([]string, 0, len(c.roster.list))
 	for _, g := range c.roster.list {
 		addresses = append(addresses, g.GetAddress())
@@ -41,7 +41,7 @@
 }
 
 // Held returns the requests that are held back in the state here.
-func (c *Curator) Held(ctx context.Context) (*wire.ListHeldResponse, error) {
+func (c *Coordinator) Held(ctx context.Context) (*wire.ListHeldResponse, error) {
 	// The call may still run after ctx has ended, and must not write what is read here.
 	held := make(chan []*wire.HeldRequest, 1)
 	if err := c.Call(ctx, func(time.Time) { held <- c.state.Held() }); err != nil {
--- a/controller/curator/isolation_test.go
+++ b/controller/curator/isolation_test.go
@@ -12,7 +12,7 @@
 )
 
 // reports lets gateways tell of runs that were lost, each at another one.
-func reports(cu *Curator, fingerprint string, backends ...string) {
+func reports(cu *Coordinator, fingerprint string, backends ...string) {
 	for i, backend := range backends {
 		req := &wire.SyncRequest{Gateway: fmt.Sprint(i), Address: entry(i).GetAddress(), Zone: "z"}
 		req.RunReports = []*wire.RunReport{{Fingerprint: fingerprint, Backend: backend, Place: "POST h/x"}}
@@ -21,10 +21,10 @@
 	}
 }
 
-func advance(cu *Curator, d time.Duration) { cu.Clock.(*clockwork.FakeClock).Advance(d) }
+func advance(cu *Coordinator, d time.Duration) { cu.Clock.(*clockwork.FakeClock).Advance(d) }
 
 // settleVerdicts lets a leader judge, and waits until its verdict is committed.
-func settleVerdicts(c *qt.C, cu *Curator, k *keeperFake) {
+func settleVerdicts(c *qt.C, cu *Coordinator, k *keeperFake) {
 	advance(cu, 2*time.Second)
 	cu.tick(cu.Clock.Now())
 	cu.apply(<-k.in)
@@ -33,7 +33,7 @@
 }
 
 // told is what a gateway that knows a list is told, and whether its call is answered at once.
-func told(cu *Curator, known uint64) (*wire.SyncResponse, bool) {
+func told(cu *Coordinator, known uint64) (*wire.SyncResponse, bool) {
 	req := &wire.SyncRequest{Gateway: "g", Epoch: cu.epoch, SuspectsRevision: known, WaitMs: 100}
 	req.AnnouncementRevision, req.VersionRevision = cu.tracker.Revision(), cu.versions
 	return cu.news(cu.Clock.Now(), req), cu.hasUrgentNews(req)
--- a/controller/curator/learning.go
+++ b/controller/curator/learning.go
@@ -8,7 +8,7 @@
 )
 
 // HeardRevision returns up to which revision the leader's holdings were heard.
-func (c *Curator) HeardRevision(ctx context.Context) (uint64, error) {
+func (c *Coordinator) HeardRevision(ctx context.Context) (uint64, error) {
 	// The call may still run after ctx has ended, and must not write what is read here.
 	revision := make(chan uint64, 1)
 	if err := c.Call(ctx, func(time.Time) { revision <- c.heard.Revision() }); err != nil {
@@ -19,7 +19,7 @@
 
 // Learn takes what the leader has learnt and what engines hold by its word, so that this
 // instance can go on from there when it leads.
-func (c *Curator) Learn(ctx context.Context, res *wire.SyncResponse) error {
+func (c *Coordinator) Learn(ctx context.Context, res *wire.SyncResponse) error {
 	return c.Call(ctx, func(time.Time) {
 		if c.placer != nil || !res.GetLeads() {
 			return
--- a/controller/curator/learning_test.go
+++ b/controller/curator/learning_test.go
@@ -12,14 +12,14 @@
 )
 
 // run lets a curator take calls until the test ends.
-func run(t *testing.T, cu *Curator) {
+func run(t *testing.T, cu *Coordinator) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go cu.Run(ctx)
 }
 
 // withEngine lets a leader know an engine that holds adapters.
-func withEngine(cu *Curator, adapters ...string) {
+func withEngine(cu *Coordinator, adapters ...string) {
 	now := cu.Clock.Now()
 	cu.placer.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{Name: "s", Engine: &wire.EngineLimits{AdapterSlots: 4, Models: []string{"m"}}}}})
 	cu.placer.SetEngine(&wire.Announcement{Id: "e", Service: "s", Slots: 4})
--- a/controller/curator/limits.go
+++ b/controller/curator/limits.go
@@ -11,19 +11,19 @@
 )
 
 // Borrow lends gateways of their customers' limits. Only a leader does.
-func (c *Curator) Borrow(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
+func (c *Coordinator) Borrow(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
 	return asLeader(ctx, c, func(now time.Time) *wire.BorrowResponse { return c.borrow(now, req) })
 }
 
 // ListLimits returns how the limits stand. Only a leader knows.
-func (c *Curator) ListLimits(ctx context.Context, _ *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
+func (c *Coordinator) ListLimits(ctx context.Context, _ *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
 	return asLeader(ctx, c, func(now time.Time) *wire.ListLimitsResponse {
 		return &wire.ListLimitsResponse{Limits: c.lender.Standings(now, true), RequestLimits: c.requestLimits.News(now)}
 	})
 }
 
 // asLeader runs f in the curator's goroutine if this instance leads.
-func asLeader[T any](ctx context.Context, c *Curator, f func(now time.Time) *T) (*T, error) {
+func asLeader[T any](ctx context.Context, c *Coordinator, f func(now time.Time) *T) (*T, error) {
 	// The call may still run after ctx has ended, and must not write what is read here.
 	answer := make(chan *T, 1)
 	err := c.Call(ctx, func(now time.Time) {
@@ -48,11 +48,11 @@
 
 // spentFor is how long a gateway counts that is heard no more: what it sent on is in the
 // window, after it has spent what was kept for it.
-func (c *Curator) spentFor() time.Duration { return c.Limits.Window + lender.AloneFor }
+func (c *Coordinator) spentFor() time.Duration { return c.Limits.Window + lender.AloneFor }
 
 // meetGateways notes which gateways there are, so that a new leader knows of all that may
 // have spent.
-func (c *Curator) meetGateways(now time.Time) {
+func (c *Coordinator) meetGateways(now time.Time) {
 	if now.Sub(c.lookedAt) < meetEvery {
 		return
 	}
@@ -70,14 +70,14 @@
 
 // knownGateways returns all gateways that may have sent on anything in the window, or none if
 // this instance has not run for long enough to tell.
-func (c *Curator) knownGateways(now time.Time) []string {
+func (c *Coordinator) knownGateways(now time.Time) []string {
 	if now.Sub(c.startedAt) < c.spentFor() {
 		return nil
 	}
 	return slices.Collect(maps.Keys(c.met))
 }
 
-func (c *Curator) borrow(now time.Time, req *wire.BorrowRequest) *wire.BorrowResponse {
+func (c *Coordinator) borrow(now time.Time, req *wire.BorrowRequest) *wire.BorrowResponse {
 	c.roster.refresh(now, c.gateways)
 	c.lender.Gateways = int(c.roster.count())
 	res := &wire.BorrowResponse{AgainInMs: uint32(c.lender.AgainIn().Milliseconds())}
--- a/controller/curator/limits_test.go
+++ b/controller/curator/limits_test.go
@@ -22,7 +22,7 @@
 }
 
 // borrow asks for a number of requests, with the test's goroutine in the curator's place.
-func borrow(cu *Curator, needed uint64) (*wire.BorrowResponse, error) {
+func borrow(cu *Coordinator, needed uint64) (*wire.BorrowResponse, error) {
 	type end struct {
 		res *wire.BorrowResponse
 		err error
--- a/controller/curator/mesh.go
+++ b/controller/curator/mesh.go
@@ -20,7 +20,7 @@
 
 // Mesh serves wire.Mesh: calls of gateways and of other controllers.
 type Mesh struct {
-	Curator *Curator
+	Curator *Coordinator
 	// Leader returns the leader's address, or "".
 	Leader func() string
 	// Client returns a client of the controller at an address.
--- a/controller/curator/requestlimits.go
+++ b/controller/curator/requestlimits.go
@@ -9,7 +9,7 @@
 
 // hearLimits takes the request limits that a gateway, or one that follows it, has read in
 // answers of backend servers.
-func (c *Curator) hearLimits(now time.Time, list []*wire.RequestLimit) {
+func (c *Coordinator) hearLimits(now time.Time, list []*wire.RequestLimit) {
 	for _, l := range list {
 		o, ok := throttler.Decode(now, l, throttler.Follower)
 		if !ok || !c.serves(o.Backend) {
@@ -28,7 +28,7 @@
 }
 
 // tellLimits adds the request limits to an answer, if the caller knows another list.
-func (c *Curator) tellLimits(now time.Time, req *wire.SyncRequest, res *wire.SyncResponse) {
+func (c *Coordinator) tellLimits(now time.Time, req *wire.SyncRequest, res *wire.SyncResponse) {
 	res.RequestLimitsRevision = c.requestLimits.Revision()
 	if req.GetEpoch() != c.epoch || req.GetRequestLimitsRevision() != res.GetRequestLimitsRevision() {
 		res.RequestLimits = c.requestLimits.News(now)
@@ -36,13 +36,13 @@
 }
 
 // limitOf returns the request limit of a backend server.
-func (c *Curator) limitOf(id string) throttler.Limit {
+func (c *Coordinator) limitOf(id string) throttler.Limit {
 	standing, _ := c.requestLimits.Standing(id)
 	return standing.Limit
 }
 
 // forgetLimits drops the limits of backend servers that are not known any more.
-func (c *Curator) forgetLimits(now time.Time) {
+func (c *Coordinator) forgetLimits(now time.Time) {
 	if c.requestLimits.Empty() {
 		return
 	}
@@ -50,7 +50,7 @@
 }
 
 // serves reports whether a backend server is known and has not left.
-func (c *Curator) serves(id string) bool {
+func (c *Coordinator) serves(id string) bool {
 	a := c.tracker.Get(id)
 	return a != nil && !a.GetGone() && !a.GetReplaced()
 }
--- a/controller/curator/roster_test.go
+++ b/controller/curator/roster_test.go
@@ -16,7 +16,7 @@
 }
 
 // asks lets a relay call, with the gateways that follow it.
-func asks(c *Curator, relay int, revision uint64, followers ...int) {
+func asks(c *Coordinator, relay int, revision uint64, followers ...int) {
 	req := &wire.SyncRequest{Gateway: fmt.Sprint(relay), Address: entry(relay).GetAddress(), Zone: "z", MembersRevision: revision}
 	for _, i := range followers {
 		req.Members = append(req.Members, entry(i))
@@ -28,15 +28,15 @@
 // changed its relay may be told by both for a while.
 func TestTheListOfGateways(t *testing.T) {
 	for name, test := range map[string]struct {
-		happens func(cu *Curator)
+		happens func(cu *Coordinator)
 		want    uint32
 	}{
-		"two relays":                  {func(cu *Curator) { asks(cu, 1, 7, 3, 4); asks(cu, 2, 8, 5) }, 5},
-		"one follower has moved":      {func(cu *Curator) { asks(cu, 1, 7, 3, 4); asks(cu, 2, 8, 4, 5) }, 5},
-		"a list that is known stands": {func(cu *Curator) { asks(cu, 1, 7, 3, 4); asks(cu, 1, 7) }, 3},
-		"the last follower has left":  {func(cu *Curator) { asks(cu, 1, 7, 3, 4); asks(cu, 1, 0) }, 1},
-		"a follower asks itself":      {func(cu *Curator) { asks(cu, 1, 7, 3); asks(cu, 3, 0) }, 2},
-		"a relay is silent": {func(cu *Curator) {
+		"two relays":                  {func(cu *Coordinator) { asks(cu, 1, 7, 3, 4); asks(cu, 2, 8, 5) }, 5},
+		"one follower has moved":      {func(cu *Coordinator) { asks(cu, 1, 7, 3, 4); asks(cu, 2, 8, 4, 5) }, 5},
+		"a list that is known stands": {func(cu *Coordinator) { asks(cu, 1, 7, 3, 4); asks(cu, 1, 7) }, 3},
+		"the last follower has left":  {func(cu *Coordinator) { asks(cu, 1, 7, 3, 4); asks(cu, 1, 0) }, 1},
+		"a follower asks itself":      {func(cu *Coordinator) { asks(cu, 1, 7, 3); asks(cu, 3, 0) }, 2},
+		"a relay is silent": {func(cu *Coordinator) {
 			asks(cu, 1, 7, 3)
 			cu.forgetGateways(cu.Clock.Now().Add(gatewayLease + time.Millisecond))
 		}, 0},
--- a/controller/curator/sync.go
+++ b/controller/curator/sync.go
@@ -20,7 +20,7 @@
 }
 
 // Sync answers a gateway as soon as there is news for it, or when its wait is over.
-func (c *Curator) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncResponse, error) {
+func (c *Coordinator) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncResponse, error) {
 	w := &waiter{request: req, answer: make(chan *wire.SyncResponse, 1)}
 	err := c.Call(ctx, func(now time.Time) {
 		w.deadline = now.Add(time.Duration(req.GetWaitMs()) * time.Millisecond)
@@ -43,7 +43,7 @@
 }
 
 // hear takes in what a gateway says of its requests, and of those of its members.
-func (c *Curator) hear(now time.Time, req *wire.SyncRequest) {
+func (c *Coordinator) hear(now time.Time, req *wire.SyncRequest) {
 	if req.GetKnowledge() {
 		return
 	}
@@ -72,7 +72,7 @@
 }
 
 // forgetGateways drops those that have not called for long.
-func (c *Curator) forgetGateways(now time.Time) {
+func (c *Coordinator) forgetGateways(now time.Time) {
 	for name, g := range c.gateways {
 		if now.Sub(g.seen) > gatewayLease {
 			c.loads.Remove(g.loads)
@@ -83,7 +83,7 @@
 }
 
 // Acquire notes that requests wait for adapters.
-func (c *Curator) Acquire(ctx context.Context, req *wire.AcquireRequest) error {
+func (c *Coordinator) Acquire(ctx context.Context, req *wire.AcquireRequest) error {
 	leads := false
 	err := c.Call(ctx, func(now time.Time) {
 		leads = c.leads(now)
@@ -115,7 +115,7 @@
 	return now.Add(time.Duration(w.GetLeftMs()) * time.Millisecond)
 }
 
-func (c *Curator) answerWaiters(now time.Time) {
+func (c *Coordinator) answerWaiters(now time.Time) {
 	kept := c.waiters[:0]
 	for _, w := range c.waiters {
 		if !c.isDue(now, w) {
@@ -129,7 +129,7 @@
 }
 
 // isDue reports whether a call is to be answered now.
-func (c *Curator) isDue(now time.Time, w *waiter) bool {
+func (c *Coordinator) isDue(now time.Time, w *waiter) bool {
 	if !now.Before(w.deadline) || c.hasUrgentNews(w.request) {
 		return true
 	}
@@ -144,7 +144,7 @@
 	return g == nil || g.urgent || now.Sub(g.answered) >= interval
 }
 
-func (c *Curator) answer(now time.Time, w *waiter) {
+func (c *Coordinator) answer(now time.Time, w *waiter) {
 	if g := c.gateways[w.request.GetGateway()]; g != nil {
 		g.answered = now
 		g.urgent = false
@@ -153,7 +153,7 @@
 }
 
 // hasUrgentNews reports whether there is something that all gateways must know soon.
-func (c *Curator) hasUrgentNews(req *wire.SyncRequest) bool {
+func (c *Coordinator) hasUrgentNews(req *wire.SyncRequest) bool {
 	return req.GetEpoch() != c.epoch ||
 		req.GetAnnouncementRevision() != c.tracker.Revision() ||
 		req.GetVersionRevision() != c.versions ||
@@ -163,14 +163,14 @@
 }
 
 // table returns the table that gateways may be told of, or nil.
-func (c *Curator) table() *wire.RoutingTable {
+func (c *Coordinator) table() *wire.RoutingTable {
 	if !c.led {
 		return nil
 	}
 	return c.state.Table().GetTable()
 }
 
-func (c *Curator) news(now time.Time, req *wire.SyncRequest) *wire.SyncResponse {
+func (c *Coordinator) news(now time.Time, req *wire.SyncRequest) *wire.SyncResponse {
 	c.roster.refresh(now, c.gateways)
 	controllers := c.Controllers()
 	res := &wire.SyncResponse{
@@ -223,7 +223,7 @@
 }
 
 // takeHoldings takes what the placer says of engines that have changed.
-func (c *Curator) takeHoldings() {
+func (c *Coordinator) takeHoldings() {
 	for _, h := range c.placer.TakeChanged() {
 		c.holdings.Set(c.placer.Revision(), h.GetBackend(), h.GetAdapters())
 	}
@@ -244,7 +244,7 @@
 }
 
 // loadsWithout returns the loads of all gateways but one and its members.
-func (c *Curator) loadsWithout(g *gatewayState) []*wire.Load {
+func (c *Coordinator) loadsWithout(g *gatewayState) []*wire.Load {
 	own := map[string]uint32{}
 	if g != nil {
 		for _, l := range g.loads {
@@ -261,7 +261,7 @@
 }
 
 // Announce takes what a backend server said of itself, here or to another controller.
-func (c *Curator) Announce(ctx context.Context, list []*wire.Announcement, relayed bool) error {
+func (c *Coordinator) Announce(ctx context.Context, list []*wire.Announcement, relayed bool) error {
 	return c.Call(ctx, func(now time.Time) {
 		var news []*wire.Announcement
 		for _, a := range list {
@@ -278,7 +278,7 @@
 }
 
 // takeChanges passes on to the placer what has changed among the backend servers.
-func (c *Curator) takeChanges() {
+func (c *Coordinator) takeChanges() {
 	for _, a := range c.tracker.Since(c.taken) {
 		c.Log.Info("a backend server has changed", "Backend", a.GetId(), "Service", a.GetService(), "Address", a.GetAddress(),
 			"Draining", a.GetDraining(), "Gone", a.GetGone(), "Silent", a.GetSilent(), "Sequence", a.GetSequence())
@@ -295,7 +295,7 @@
 }
 
 // Document returns the operator's document in force here.
-func (c *Curator) Document(ctx context.Context) (*wire.PutTable, error) {
+func (c *Coordinator) Document(ctx context.Context) (*wire.PutTable, error) {
 	// The call may still run after ctx has ended, and must not write what is read here.
 	table := make(chan *wire.PutTable, 1)
 	if err := c.Call(ctx, func(time.Time) { table <- c.state.Table() }); err != nil {
