--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -51,8 +51,8 @@
 	forgetAfter = 60 * time.Second
 )
 
-// Keeper is what the curator uses of the replicated log.
-type Keeper interface {
+// Raft is what the curator uses of the replicated log.
+type Raft interface {
 	Standing() *keeper.Standing
 	Leads() bool
 	Propose(ctx context.Context, cmd *wire.Command) (recorder.Result, error)
@@ -63,7 +63,7 @@
 type Coordinator struct {
 	Clock  clockwork.Clock
 	Log    *slog.Logger
-	Keeper Keeper
+	Keeper Raft
 	// In brings committed entries.
 	In <-chan keeper.Item
 	// Carry takes orders to engines and reports each one's end. It must not block.
