--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -61,9 +61,9 @@
 
 // Coordinator owns the state. Set the exported fields, call Init, then Run.
 type Coordinator struct {
-	Clock  clockwork.Clock
-	Log    *slog.Logger
-	Keeper Raft
+	Clock clockwork.Clock
+	Log   *slog.Logger
+	Raft  Raft
 	// In brings committed entries.
 	In <-chan keeper.Item
 	// Carry takes orders to engines and reports each one's end. It must not block.
@@ -266,7 +266,7 @@
 			c.Log.Error("the state can't be encoded", "Error", err.Error())
 			return
 		}
-		c.Keeper.Compact(frozen.GetApplied(), data)
+		c.Raft.Compact(frozen.GetApplied(), data)
 	}()
 }
 
@@ -298,7 +298,7 @@
 // follow begins a term as leader, once all that was committed before has been applied,
 // and ends it.
 func (c *Coordinator) follow(now time.Time) {
-	standing := c.Keeper.Standing()
+	standing := c.Raft.Standing()
 	leads := standing.Leads(now)
 	c.led = c.led || leads || standing.Leader != ""
 	switch {
@@ -332,7 +332,7 @@
 
 // leads reports whether the instance may give orders now.
 func (c *Coordinator) leads(now time.Time) bool {
-	standing := c.Keeper.Standing()
+	standing := c.Raft.Standing()
 	return c.term != 0 && c.term == standing.Term && standing.Leads(now)
 }
 
--- a/controller/curator/isolation.go
+++ b/controller/curator/isolation.go
@@ -26,7 +26,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), verdictTimeout)
 		defer cancel()
-		if _, err := c.Keeper.Propose(ctx, cmd); err != nil {
+		if _, err := c.Raft.Propose(ctx, cmd); err != nil {
 			c.Log.Warn("a verdict was not committed", "Change", fmt.Sprintf("%T", cmd.GetBody()), "Error", err.Error())
 		}
 	}()
--- a/controller/curator/mesh.go
+++ b/controller/curator/mesh.go
@@ -77,7 +77,7 @@
 // ListHeld returns the requests that are held back, after all changes that were acknowledged
 // before the call. An instance that does not lead asks the leader.
 func (m *Mesh) ListHeld(ctx context.Context, req *wire.ListHeldRequest) (*wire.ListHeldResponse, error) {
-	if !m.Curator.Keeper.Leads() {
+	if !m.Curator.Raft.Leads() {
 		if leader := m.Leader(); leader != "" {
 			return m.Client(leader).ListHeld(ctx, req)
 		}
@@ -97,7 +97,7 @@
 func (m *Mesh) commit(ctx context.Context, cmd *wire.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	_, err := m.Curator.Keeper.Propose(ctx, cmd)
+	_, err := m.Curator.Raft.Propose(ctx, cmd)
 	if errors.Is(err, keeper.ErrNotLeader) {
 		return errNotLeader
 	}
@@ -121,7 +121,7 @@
 }
 
 func (m *Mesh) atLeader(ctx context.Context, req *wire.PutRequest) error {
-	if m.Curator.Keeper.Leads() {
+	if m.Curator.Raft.Leads() {
 		_, err := m.Put(ctx, req)
 		return err
 	}
@@ -147,7 +147,7 @@
 }
 
 func (m *Mesh) readAtLeader(ctx context.Context) (*wire.ReadResponse, error) {
-	if m.Curator.Keeper.Leads() {
+	if m.Curator.Raft.Leads() {
 		return m.Read(ctx, &wire.ReadRequest{})
 	}
 	leader := m.Leader()
@@ -164,7 +164,7 @@
 	if err := m.Curator.Announce(ctx, []*wire.Announcement{a}, false); err != nil {
 		return err
 	}
-	if m.Leader() == "" && !m.Curator.Keeper.Leads() {
+	if m.Leader() == "" && !m.Curator.Raft.Leads() {
 		return twirp.NewError(twirp.Unavailable, "this instance knows no leader")
 	}
 	return nil
