--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -64,8 +64,8 @@
 	Clock clockwork.Clock
 	Log   *slog.Logger
 	Raft  Raft
-	// In brings committed entries.
-	In <-chan keeper.Item
+	// Committed brings committed entries.
+	Committed <-chan keeper.Item
 	// Carry takes orders to engines and reports each one's end. It must not block.
 	Carry func(order placer.Order, term uint64, done func(placer.Outcome, *placer.State))
 	// Relay passes announcements on to the other controllers. It must not block.
@@ -177,7 +177,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case item := <-c.In:
+		case item := <-c.Committed:
 			c.apply(item)
 		case call := <-c.calls.Calls():
 			call(c.Clock.Now())
