--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -171,7 +171,7 @@
 	r.keeper.Init(contents)
 	r.relays = &relays{log: r.Log, client: r.peers, self: self.GetAddress(), rings: map[string]chan []*wire.Announcement{}, ctx: ctx}
 	r.curator = &curator.Coordinator{
-		Clock: r.Clock, Log: r.Log, Raft: r.keeper, Committed: items, Carry: r.orders().carry,
+		Clock: r.Clock, Log: r.Log, Raft: r.keeper, Committed: items, SendOrder: r.orders().carry,
 		Relay: func(list []*wire.Announcement) { r.relays.send(r.addresses(), list) }, Controllers: r.addresses,
 		Limits: lender.Rule{Window: s.Limits.Window, Overage: s.Limits.Overage, Slack: s.Limits.Slack},
 		Policy: r.policy(), SilentAfter: silentAnnouncements * s.Timing.Announcements, HandOver: s.handOver(),
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -66,8 +66,8 @@
 	Raft  Raft
 	// Committed brings committed entries.
 	Committed <-chan keeper.Item
-	// Carry takes orders to engines and reports each one's end. It must not block.
-	Carry func(order placer.Order, term uint64, done func(placer.Outcome, *placer.State))
+	// SendOrder takes orders to engines and reports each one's end. It must not block.
+	SendOrder func(order placer.Order, term uint64, done func(placer.Outcome, *placer.State))
 	// Relay passes announcements on to the other controllers. It must not block.
 	Relay func(announcements []*wire.Announcement)
 	// Controllers returns the addresses of all controllers.
@@ -373,7 +373,7 @@
 
 func (c *Coordinator) carry(order placer.Order) {
 	term := c.term
-	c.Carry(order, term, func(outcome placer.Outcome, state *placer.State) {
+	c.SendOrder(order, term, func(outcome placer.Outcome, state *placer.State) {
 		c.calls.Post(func(now time.Time) {
 			if c.term == term && c.placer != nil {
 				c.placer.Done(now, order, outcome, state)
--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -63,7 +63,7 @@
 	k := &keeperFake{in: make(chan keeper.Item, 16)}
 	c := &Coordinator{
 		Clock: clockwork.NewFakeClock(), Log: slog.New(slog.DiscardHandler), Raft: k, Committed: k.in,
-		Carry: func(placer.Order, uint64, func(placer.Outcome, *placer.State)) {}, Relay: func([]*wire.Announcement) {},
+		SendOrder: func(placer.Order, uint64, func(placer.Outcome, *placer.State)) {}, Relay: func([]*wire.Announcement) {},
 		Controllers: func() []string { return nil }, Policy: placer.DefaultPolicy(), SilentAfter: 4 * time.Second,
 		SnapshotEvery: 1000, SnapshotBytes: 1 << 20,
 	}
