--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -82,9 +82,9 @@
 	// SilentAfter is the time without an announcement after which a backend server counts
 	// as silent.
 	SilentAfter time.Duration
-	// HandOver is how long a new leader gives no orders, so that those of the one before
+	// HandoverDelay is how long a new leader gives no orders, so that those of the one before
 	// it have ended.
-	HandOver time.Duration
+	HandoverDelay time.Duration
 	// SnapshotEvery is the number of entries, and SnapshotBytes their size, after which a
 	// snapshot replaces the log.
 	SnapshotEvery uint64
@@ -312,7 +312,7 @@
 
 func (c *Coordinator) begin(now time.Time, term uint64) {
 	c.term = term
-	c.ordersAfter = now.Add(c.HandOver)
+	c.ordersAfter = now.Add(c.HandoverDelay)
 	c.placer = placer.NewWith(c.knowledge)
 	c.placer.Begin(term)
 	c.holdings.Reset(c.placer.Revision())
