--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -175,7 +175,7 @@
 		Relay: func(list []*wire.Announcement) { r.relays.send(r.addresses(), list) }, Controllers: r.addresses,
 		Limits: lender.Rule{Window: s.Limits.Window, Overage: s.Limits.Overage, Slack: s.Limits.Slack},
 		Policy: r.policy(), SilentAfter: silentAnnouncements * s.Timing.Announcements, HandoverDelay: s.handOver(),
-		SnapshotEvery: uint64(s.Data.SnapshotEvery), SnapshotBytes: snapshotBytes,
+		SnapshotEntries: uint64(s.Data.SnapshotEvery), SnapshotBytes: snapshotBytes,
 	}
 	r.curator.CountHeld = func(change string) { r.meter.Count("held_requests", "change", change) }
 	r.curator.Init()
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -85,10 +85,10 @@
 	// HandoverDelay is how long a new leader gives no orders, so that those of the one before
 	// it have ended.
 	HandoverDelay time.Duration
-	// SnapshotEvery is the number of entries, and SnapshotBytes their size, after which a
+	// SnapshotEntries is the number of entries, and SnapshotBytes their size, after which a
 	// snapshot replaces the log.
-	SnapshotEvery uint64
-	SnapshotBytes int
+	SnapshotEntries uint64
+	SnapshotBytes   int
 
 	calls      *caller.Caller
 	epoch      uint64
@@ -209,7 +209,7 @@
 	}
 	c.versionsChanged()
 	c.arbiter.TakeState(c.Clock.Now())
-	if c.state.Applied() >= c.snapshot+c.SnapshotEvery || c.logBytes > c.SnapshotBytes {
+	if c.state.Applied() >= c.snapshot+c.SnapshotEntries || c.logBytes > c.SnapshotBytes {
 		c.compact()
 	}
 }
--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -65,7 +65,7 @@
 		Clock: clockwork.NewFakeClock(), Log: slog.New(slog.DiscardHandler), Raft: k, Committed: k.in,
 		SendOrder: func(placer.Order, uint64, func(placer.Outcome, *placer.State)) {}, Relay: func([]*wire.Announcement) {},
 		Controllers: func() []string { return nil }, Policy: placer.DefaultPolicy(), SilentAfter: 4 * time.Second,
-		SnapshotEvery: 1000, SnapshotBytes: 1 << 20,
+		SnapshotEntries: 1000, SnapshotBytes: 1 << 20,
 	}
 	c.Init()
 	return c, k
