--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -179,7 +179,7 @@
 	}
 	r.curator.CountHeld = func(change string) { r.meter.Count("held_requests", "change", change) }
 	r.curator.Init()
-	r.mesh = &curator.Mesh{Curator: r.curator, Leader: r.leader, Client: func(address string) wire.Mesh {
+	r.mesh = &curator.Mesh{Coordinator: r.curator, Leader: r.leader, Client: func(address string) wire.Mesh {
 		return wire.NewMeshProtobufClient("http://"+address, &connector.Client{Timeout: operatorTimeout, Transport: transport})
 	}}
 	r.servers = []*server.Server{
--- a/controller/curator/mesh.go
+++ b/controller/curator/mesh.go
@@ -20,7 +20,7 @@
 
 // Mesh serves wire.Mesh: calls of gateways and of other controllers.
 type Mesh struct {
-	Curator *Coordinator
+	Coordinator *Coordinator
 	// Leader returns the leader's address, or "".
 	Leader func() string
 	// Client returns a client of the controller at an address.
@@ -29,17 +29,17 @@
 
 // Sync returns news.
 func (m *Mesh) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncResponse, error) {
-	return m.Curator.Sync(ctx, req)
+	return m.Coordinator.Sync(ctx, req)
 }
 
 // Acquire asks for adapters.
 func (m *Mesh) Acquire(ctx context.Context, req *wire.AcquireRequest) (*wire.AcquireResponse, error) {
-	return &wire.AcquireResponse{}, m.Curator.Acquire(ctx, req)
+	return &wire.AcquireResponse{}, m.Coordinator.Acquire(ctx, req)
 }
 
 // Relay takes announcements that another controller heard.
 func (m *Mesh) Relay(ctx context.Context, req *wire.RelayRequest) (*wire.RelayResponse, error) {
-	return &wire.RelayResponse{}, m.Curator.Announce(ctx, req.GetAnnouncements(), true)
+	return &wire.RelayResponse{}, m.Coordinator.Announce(ctx, req.GetAnnouncements(), true)
 }
 
 // Put commits a change. Only a leader does.
@@ -52,7 +52,7 @@
 		cmd.Body = &wire.Command_PutAdapterVersion{PutAdapterVersion: change.Version}
 	case *wire.PutRequest_ReleaseHeld:
 		cmd.Body = &wire.Command_ReleaseHeld{ReleaseHeld: change.ReleaseHeld}
-		m.Curator.Log.Info("a request is held back no longer", "Fingerprint", change.ReleaseHeld.GetFingerprint(),
+		m.Coordinator.Log.Info("a request is held back no longer", "Fingerprint", change.ReleaseHeld.GetFingerprint(),
 			"Reason", change.ReleaseHeld.GetReason())
 	}
 	if err := m.commit(ctx, cmd); err != nil {
@@ -67,7 +67,7 @@
 	if err := m.commit(ctx, &wire.Command{}); err != nil {
 		return nil, err
 	}
-	table, err := m.Curator.Document(ctx)
+	table, err := m.Coordinator.Document(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -77,7 +77,7 @@
 // ListHeld returns the requests that are held back, after all changes that were acknowledged
 // before the call. An instance that does not lead asks the leader.
 func (m *Mesh) ListHeld(ctx context.Context, req *wire.ListHeldRequest) (*wire.ListHeldResponse, error) {
-	if !m.Curator.Raft.Leads() {
+	if !m.Coordinator.Raft.Leads() {
 		if leader := m.Leader(); leader != "" {
 			return m.Client(leader).ListHeld(ctx, req)
 		}
@@ -86,7 +86,7 @@
 	if err := m.commit(ctx, &wire.Command{}); err != nil {
 		return nil, err
 	}
-	return m.Curator.Held(ctx)
+	return m.Coordinator.Held(ctx)
 }
 
 // Release ends the hold of a request, here or at the leader.
@@ -97,7 +97,7 @@
 func (m *Mesh) commit(ctx context.Context, cmd *wire.Command) error {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	_, err := m.Curator.Raft.Propose(ctx, cmd)
+	_, err := m.Coordinator.Raft.Propose(ctx, cmd)
 	if errors.Is(err, keeper.ErrNotLeader) {
 		return errNotLeader
 	}
@@ -121,7 +121,7 @@
 }
 
 func (m *Mesh) atLeader(ctx context.Context, req *wire.PutRequest) error {
-	if m.Curator.Raft.Leads() {
+	if m.Coordinator.Raft.Leads() {
 		_, err := m.Put(ctx, req)
 		return err
 	}
@@ -147,7 +147,7 @@
 }
 
 func (m *Mesh) readAtLeader(ctx context.Context) (*wire.ReadResponse, error) {
-	if m.Curator.Raft.Leads() {
+	if m.Coordinator.Raft.Leads() {
 		return m.Read(ctx, &wire.ReadRequest{})
 	}
 	leader := m.Leader()
@@ -161,10 +161,10 @@
 // instance that is cut off would keep to itself what the others have to learn, and the
 // backend server would go on announcing itself here.
 func (m *Mesh) Heard(ctx context.Context, a *wire.Announcement) error {
-	if err := m.Curator.Announce(ctx, []*wire.Announcement{a}, false); err != nil {
+	if err := m.Coordinator.Announce(ctx, []*wire.Announcement{a}, false); err != nil {
 		return err
 	}
-	if m.Leader() == "" && !m.Curator.Raft.Leads() {
+	if m.Leader() == "" && !m.Coordinator.Raft.Leads() {
 		return twirp.NewError(twirp.Unavailable, "this instance knows no leader")
 	}
 	return nil
