--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -256,7 +256,7 @@
 		},
 		ReadTable:  r.mesh.Document,
 		PutVersion: r.mesh.PutVersion,
-		Announce:   r.mesh.Heard,
+		Announce:   r.mesh.ReceiveAnnouncement,
 		Unreadable: (&complainer{clock: r.Clock, log: r.Log}).unreadable,
 	}
 }
--- a/controller/curator/mesh.go
+++ b/controller/curator/mesh.go
@@ -157,10 +157,10 @@
 	return m.Client(leader).Read(ctx, &wire.ReadRequest{})
 }
 
-// Heard takes an announcement. It is acknowledged only while a leader is known: an
+// ReceiveAnnouncement takes an announcement. It is acknowledged only while a leader is known: an
 // instance that is cut off would keep to itself what the others have to learn, and the
 // backend server would go on announcing itself here.
-func (m *Mesh) Heard(ctx context.Context, a *wire.Announcement) error {
+func (m *Mesh) ReceiveAnnouncement(ctx context.Context, a *wire.Announcement) error {
 	if err := m.Coordinator.Announce(ctx, []*wire.Announcement{a}, false); err != nil {
 		return err
 	}
