--- a/controller/curator/mesh.go
+++ b/controller/curator/mesh.go
@@ -39,7 +39,7 @@
 
 // Relay takes announcements that another controller heard.
 func (m *Mesh) Relay(ctx context.Context, req *wire.RelayRequest) (*wire.RelayResponse, error) {
-	return &wire.RelayResponse{}, m.Coordinator.Announce(ctx, req.GetAnnouncements(), true)
+	return &wire.RelayResponse{}, m.Coordinator.ReceiveAnnouncements(ctx, req.GetAnnouncements(), true)
 }
 
 // Put commits a change. Only a leader does.
@@ -161,7 +161,7 @@
 // instance that is cut off would keep to itself what the others have to learn, and the
 // backend server would go on announcing itself here.
 func (m *Mesh) ReceiveAnnouncement(ctx context.Context, a *wire.Announcement) error {
-	if err := m.Coordinator.Announce(ctx, []*wire.Announcement{a}, false); err != nil {
+	if err := m.Coordinator.ReceiveAnnouncements(ctx, []*wire.Announcement{a}, false); err != nil {
 		return err
 	}
 	if m.Leader() == "" && !m.Coordinator.Raft.Leads() {
--- a/controller/curator/sync.go
+++ b/controller/curator/sync.go
@@ -260,8 +260,8 @@
 	return loads
 }
 
-// Announce takes what a backend server said of itself, here or to another controller.
-func (c *Coordinator) Announce(ctx context.Context, list []*wire.Announcement, relayed bool) error {
+// ReceiveAnnouncements takes what a backend server said of itself, here or to another controller.
+func (c *Coordinator) ReceiveAnnouncements(ctx context.Context, list []*wire.Announcement, relayed bool) error {
 	return c.Call(ctx, func(now time.Time) {
 		var news []*wire.Announcement
 		for _, a := range list {
