--- a/controller/app/standby.go
+++ b/controller/app/standby.go
@@ -49,7 +49,7 @@
 }
 
 func (s *standby) learn(ctx context.Context, leader wire.Mesh) error {
-	revision, err := s.curator.HeardRevision(ctx)
+	revision, err := s.curator.LeaderHoldingRevision(ctx)
 	if err != nil {
 		return err
 	}
--- a/controller/curator/learning.go
+++ b/controller/curator/learning.go
@@ -7,8 +7,8 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// HeardRevision returns up to which revision the leader's holdings were heard.
-func (c *Coordinator) HeardRevision(ctx context.Context) (uint64, error) {
+// LeaderHoldingRevision returns up to which revision the leader's holdings were heard.
+func (c *Coordinator) LeaderHoldingRevision(ctx context.Context) (uint64, error) {
 	// The call may still run after ctx has ended, and must not write what is read here.
 	revision := make(chan uint64, 1)
 	if err := c.Call(ctx, func(time.Time) { revision <- c.heard.Revision() }); err != nil {
--- a/controller/curator/learning_test.go
+++ b/controller/curator/learning_test.go
@@ -40,7 +40,7 @@
 	res := first.news(first.Clock.Now(), &wire.SyncRequest{Knowledge: true})
 	c.Check(res.GetHasLoads(), qt.IsFalse)
 	c.Assert(next.Learn(ctx, res), qt.IsNil)
-	revision, err := next.HeardRevision(ctx)
+	revision, err := next.LeaderHoldingRevision(ctx)
 	c.Assert(err, qt.IsNil)
 	c.Check(revision, qt.Equals, first.holdings.Revision())
 	c.Assert(next.Call(ctx, func(now time.Time) {
