--- a/controller/app/standby.go
+++ b/controller/app/standby.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	return s.curator.Learn(ctx, res)
+	return s.curator.ApplyLeaderState(ctx, res)
 }
 
 // note logs the first of several questions in a row that fail.
--- a/controller/curator/learning.go
+++ b/controller/curator/learning.go
@@ -17,9 +17,9 @@
 	return <-revision, nil
 }
 
-// Learn takes what the leader has learnt and what engines hold by its word, so that this
+// ApplyLeaderState takes what the leader has learnt and what engines hold by its word, so that this
 // instance can go on from there when it leads.
-func (c *Coordinator) Learn(ctx context.Context, res *wire.SyncResponse) error {
+func (c *Coordinator) ApplyLeaderState(ctx context.Context, res *wire.SyncResponse) error {
 	return c.Call(ctx, func(time.Time) {
 		if c.placer != nil || !res.GetLeads() {
 			return
