--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -18,10 +18,10 @@
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/keeper"
 	"bronzelead.example/pkg/caller"
+	"bronzelead.example/pkg/disseminator"
 	"bronzelead.example/pkg/lender"
 	"bronzelead.example/pkg/placer"
 	"bronzelead.example/pkg/recorder"
-	"bronzelead.example/pkg/spreader"
 	"bronzelead.example/pkg/throttler"
 	"bronzelead.example/pkg/tracker"
 	"bronzelead.example/pkg/wire"
@@ -107,16 +107,16 @@
 	waiters  []*waiter
 	// gateways are those that ask this controller, by name; loads is the sum of theirs.
 	gateways map[string]*gatewayState
-	loads    *spreader.LoadTotals
+	loads    *disseminator.LoadTotals
 	roster   roster
 	// holdings are what the placer has said that engines hold.
-	holdings *spreader.Holdings
+	holdings *disseminator.Holdings
 	arbiter  arbiter.Arbiter
 	// requestLimits are those that backend servers have named to any gateway.
 	requestLimits throttler.Book
 	// knowledge is what the leader has learnt, this one or another, whose holdings are heard.
 	knowledge *placer.Knowledge
-	heard     *spreader.Holdings
+	heard     *disseminator.Holdings
 	forgotten time.Time
 
 	term        uint64
@@ -162,11 +162,11 @@
 	c.tracker = &tracker.Tracker{SilentAfter: c.SilentAfter, ForgetAfter: forgetAfter}
 	c.gateways = map[string]*gatewayState{}
 	c.startedAt, c.met = c.Clock.Now(), map[string]time.Time{}
-	c.loads = spreader.NewLoadTotals()
-	c.holdings = spreader.NewHoldings()
+	c.loads = disseminator.NewLoadTotals()
+	c.holdings = disseminator.NewHoldings()
 	c.initArbiter()
 	c.knowledge = placer.NewKnowledge(c.Policy)
-	c.heard = spreader.NewHoldings()
+	c.heard = disseminator.NewHoldings()
 }
 
 // Run works until ctx ends.
--- a/controller/curator/roster.go
+++ b/controller/curator/roster.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bronzelead.example/pkg/spreader"
+	"bronzelead.example/pkg/disseminator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -40,7 +40,7 @@
 			byAddress[g.entry.GetAddress()] = g.entry
 		}
 	}
-	r.list = spreader.SortedGateways(byAddress)
-	r.revision = spreader.GatewaysRevision(r.list)
+	r.list = disseminator.SortedGateways(byAddress)
+	r.revision = disseminator.GatewaysRevision(r.list)
 	r.stale, r.madeAt = false, now
 }
--- a/controller/curator/sync.go
+++ b/controller/curator/sync.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 	"google.golang.org/protobuf/proto"
 
-	"bronzelead.example/pkg/spreader"
+	"bronzelead.example/pkg/disseminator"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -175,7 +175,7 @@
 	controllers := c.Controllers()
 	res := &wire.SyncResponse{
 		Epoch: c.epoch, AnnouncementRevision: c.tracker.Revision(), VersionRevision: c.versions,
-		HoldingRevision: req.GetHoldingRevision(), ControllersRevision: spreader.ListRevision(controllers),
+		HoldingRevision: req.GetHoldingRevision(), ControllersRevision: disseminator.ListRevision(controllers),
 		Gateways: c.roster.count(), GatewaysRevision: c.roster.revision, Leads: c.leads(now), Term: c.term,
 	}
 	if res.GetControllersRevision() != req.GetControllersRevision() {
--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -16,8 +16,8 @@
 	"github.com/twitchtv/twirp"
 
 	"bronzelead.example/gateway/granter"
+	"bronzelead.example/pkg/disseminator"
 	"bronzelead.example/pkg/meter"
-	"bronzelead.example/pkg/spreader"
 	"bronzelead.example/pkg/throttler"
 	"bronzelead.example/pkg/wire"
 )
@@ -51,7 +51,7 @@
 	RequestAdapters func(wants []*wire.Want)
 
 	mu       sync.Mutex
-	spreader *spreader.Disseminator
+	spreader *disseminator.Disseminator
 	waiters  []*waiter
 	// own are this gateway's loads as of the last look.
 	own []*wire.Load
@@ -71,7 +71,7 @@
 
 // Init prepares the relayer for calls before Run.
 func (r *Relayer) Init() {
-	r.spreader = &spreader.Disseminator{Self: r.Self, Epoch: rand.Uint64()}
+	r.spreader = &disseminator.Disseminator{Self: r.Self, Epoch: rand.Uint64()}
 	r.spreader.Init()
 }
 
--- a/pkg/spreader/spreader.go
+++ b/pkg/disseminator/spreader.go
@@ -5,7 +5,7 @@
 // Loads, demand and uses are added up on the way up, so that a controller hears of a zone
 // from a few gateways. On the way down only what has changed is told. The revisions are
 // those of the leader, so that a gateway may go on with any other one that knows as much.
-package spreader
+package disseminator
 
 import (
 	"hash/fnv"
--- a/pkg/spreader/spreader_test.go
+++ b/pkg/disseminator/spreader_test.go
@@ -1,4 +1,4 @@
-package spreader
+package disseminator
 
 import (
 	"fmt"
