--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -13,13 +13,13 @@
 
 	"bronzelead.example/gateway/borrower"
 	"bronzelead.example/gateway/doorkeeper"
-	"bronzelead.example/gateway/follower"
 	"bronzelead.example/gateway/forwarder"
 	"bronzelead.example/gateway/granter"
 	"bronzelead.example/gateway/isolator"
 	"bronzelead.example/gateway/regulator"
 	"bronzelead.example/gateway/relayer"
 	"bronzelead.example/gateway/sender"
+	"bronzelead.example/gateway/synchronizer"
 	"bronzelead.example/pkg/framer"
 	"bronzelead.example/pkg/meter"
 	"bronzelead.example/pkg/server"
@@ -54,7 +54,7 @@
 	stopping  atomic.Bool
 	door      *doorkeeper.Doorkeeper
 	forwarder *forwarder.Forwarder
-	follower  *follower.Synchronizer
+	follower  *synchronizer.Synchronizer
 	relayer   *relayer.Relayer
 	regulator *regulator.Regulator
 	granter   *granter.Granter
@@ -138,7 +138,7 @@
 	}
 	r.relayer.Init()
 	r.forwarder.NewsAge = r.relayer.LeaderAge
-	r.follower = &follower.Synchronizer{
+	r.follower = &synchronizer.Synchronizer{
 		Clock: r.Clock, Log: r.Log, Gateway: s.Instance.Name, Self: self, Seeds: func() []string { return *r.seeds.Load() },
 		Relayer: r.relayer, Demand: r.forwarder.Demand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
 		Granter: r.granter,
--- a/gateway/follower/acquire.go
+++ b/gateway/synchronizer/acquire.go
@@ -1,4 +1,4 @@
-package follower
+package synchronizer
 
 import (
 	"context"
--- a/gateway/follower/follower.go
+++ b/gateway/synchronizer/follower.go
@@ -1,7 +1,7 @@
 // Package follower keeps a gateway in step with the controllers. Few gateways of a zone
 // ask each of the controllers all the time, so that the loss of any one delays nothing; the
 // others ask one of these few, and the controllers when none of them answers.
-package follower
+package synchronizer
 
 import (
 	"context"
