--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -13,9 +13,9 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"bronzelead.example/controller/curator"
 	"bronzelead.example/controller/keeper"
 	"bronzelead.example/controller/responder"
+	"bronzelead.example/controller/routecoordinator"
 	"bronzelead.example/controller/transporter"
 	"bronzelead.example/pkg/ablator"
 	"bronzelead.example/pkg/connector"
@@ -58,9 +58,9 @@
 	id          string
 	storer      *storer.Storer
 	keeper      *keeper.Keeper
-	curator     *curator.Coordinator
+	curator     *routecoordinator.Coordinator
 	transporter *transporter.Transporter
-	mesh        *curator.Mesh
+	mesh        *routecoordinator.Mesh
 	peers       *connector.Client
 	relays      *relays
 	servers     []*server.Server
@@ -170,7 +170,7 @@
 	}
 	r.keeper.Init(contents)
 	r.relays = &relays{log: r.Log, client: r.peers, self: self.GetAddress(), rings: map[string]chan []*wire.Announcement{}, ctx: ctx}
-	r.curator = &curator.Coordinator{
+	r.curator = &routecoordinator.Coordinator{
 		Clock: r.Clock, Log: r.Log, Raft: r.keeper, Committed: items, SendOrder: r.orders().carry,
 		Relay: func(list []*wire.Announcement) { r.relays.send(r.addresses(), list) }, Controllers: r.addresses,
 		Limits: lender.Rule{Window: s.Limits.Window, Overage: s.Limits.Overage, Slack: s.Limits.Slack},
@@ -179,7 +179,7 @@
 	}
 	r.curator.CountHeld = func(change string) { r.meter.Count("held_requests", "change", change) }
 	r.curator.Init()
-	r.mesh = &curator.Mesh{Coordinator: r.curator, Leader: r.leader, Client: func(address string) wire.Mesh {
+	r.mesh = &routecoordinator.Mesh{Coordinator: r.curator, Leader: r.leader, Client: func(address string) wire.Mesh {
 		return wire.NewMeshProtobufClient("http://"+address, &connector.Client{Timeout: operatorTimeout, Transport: transport})
 	}}
 	r.servers = []*server.Server{
@@ -248,7 +248,7 @@
 				outcome = err.Error()
 			}
 			r.Log.Info("a table was sent", "Version", table.GetVersion(), "Outcome", outcome)
-			var invalid *curator.InvalidTableError
+			var invalid *routecoordinator.InvalidTableError
 			if errors.As(err, &invalid) {
 				return &platform.InvalidError{Reason: invalid.Error()}
 			}
--- a/controller/app/standby.go
+++ b/controller/app/standby.go
@@ -7,7 +7,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"bronzelead.example/controller/curator"
+	"bronzelead.example/controller/routecoordinator"
 	"bronzelead.example/pkg/connector"
 	"bronzelead.example/pkg/wire"
 )
@@ -25,7 +25,7 @@
 	clock   clockwork.Clock
 	log     *slog.Logger
 	name    string
-	curator *curator.Coordinator
+	curator *routecoordinator.Coordinator
 	// leader returns the leader's address, or "".
 	leader func() string
 	// failed is set while questions go unanswered.
--- a/controller/curator/curator.go
+++ b/controller/routecoordinator/curator.go
@@ -3,7 +3,7 @@
 // announce themselves; and, while the instance leads, the placement of adapters.
 //
 // One goroutine does all of it; calls from others come through a bounded ring.
-package curator
+package routecoordinator
 
 import (
 	"context"
--- a/controller/curator/learning_test.go
+++ b/controller/routecoordinator/learning_test.go
@@ -1,4 +1,4 @@
-package curator
+package routecoordinator
 
 import (
 	"context"
