--- a/controller/app/standby.go
+++ b/controller/app/standby.go
@@ -7,7 +7,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"bronzelead.example/controller/curator"
+	"bronzelead.example/controller/routecoordinator"
 	"bronzelead.example/pkg/connector"
 	"bronzelead.example/pkg/wire"
 )
@@ -25,7 +25,7 @@
 	clock   clockwork.Clock
 	log     *slog.Logger
 	name    string
-	curator *curator.Curator
+	curator *routecoordinator.Coordinator
 	// leader returns the leader's address, or "".
 	leader func() string
 	// failed is set while questions go unanswered.
@@ -49,7 +49,7 @@
 }
 
 func (s *standby) learn(ctx context.Context, leader wire.Mesh) error {
-	revision, err := s.curator.HeardRevision(ctx)
+	revision, err := s.curator.LeaderHoldingRevision(ctx)
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	if err != nil {
 		return err
 	}
-	return s.curator.Learn(ctx, res)
+	return s.curator.ApplyLeaderState(ctx, res)
 }
 
 // note logs the first of several questions in a row that fail.
--- a/controller/curator/curator.go
+++ b/controller/routecoordinator/curator.go
@@ -3,7 +3,7 @@
 // announce themselves; and, while the instance leads, the placement of adapters.
 //
 // One goroutine does all of it; calls from others come through a bounded ring.
-package curator
+package routecoordinator
 
 import (
 	"context"
@@ -18,10 +18,10 @@
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/keeper"
 	"bronzelead.example/pkg/caller"
+	"bronzelead.example/pkg/disseminator"
 	"bronzelead.example/pkg/placer"
 	"bronzelead.example/pkg/quotaallocator"
 	"bronzelead.example/pkg/recorder"
-	"bronzelead.example/pkg/spreader"
 	"bronzelead.example/pkg/throttler"
 	"bronzelead.example/pkg/tracker"
 	"bronzelead.example/pkg/wire"
@@ -51,23 +51,23 @@
 	forgetAfter = 60 * time.Second
 )
 
-// Keeper is what the curator uses of the replicated log.
-type Keeper interface {
+// Raft is what the curator uses of the replicated log.
+type Raft interface {
 	Standing() *keeper.Standing
 	Leads() bool
 	Propose(ctx context.Context, cmd *wire.Command) (recorder.Result, error)
 	Compact(index uint64, state []byte)
 }
 
-// Curator owns the state. Set the exported fields, call Init, then Run.
-type Curator struct {
-	Clock  clockwork.Clock
-	Log    *slog.Logger
-	Keeper Keeper
-	// In brings committed entries.
-	In <-chan keeper.Item
-	// Carry takes orders to engines and reports each one's end. It must not block.
-	Carry func(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState))
+// Coordinator owns the state. Set the exported fields, call Init, then Run.
+type Coordinator struct {
+	Clock clockwork.Clock
+	Log   *slog.Logger
+	Raft  Raft
+	// Committed brings committed entries.
+	Committed <-chan keeper.Item
+	// SendOrder takes orders to engines and reports each one's end. It must not block.
+	SendOrder func(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState))
 	// Relay passes announcements on to the other controllers. It must not block.
 	Relay func(announcements []*wire.Announcement)
 	// Controllers returns the addresses of all controllers.
@@ -82,13 +82,13 @@
 	// SilentAfter is the time without an announcement after which a backend server counts
 	// as silent.
 	SilentAfter time.Duration
-	// HandOver is how long a new leader gives no orders, so that those of the one before
+	// HandoverDelay is how long a new leader gives no orders, so that those of the one before
 	// it have ended.
-	HandOver time.Duration
-	// SnapshotEvery is the number of entries, and SnapshotBytes their size, after which a
+	HandoverDelay time.Duration
+	// SnapshotEntries is the number of entries, and SnapshotBytes their size, after which a
 	// snapshot replaces the log.
-	SnapshotEvery uint64
-	SnapshotBytes int
+	SnapshotEntries uint64
+	SnapshotBytes   int
 
 	calls      *caller.Caller
 	epoch      uint64
@@ -107,16 +107,16 @@
 	waiters  []*waiter
 	// gateways are those that ask this controller, by name; loads is the sum of theirs.
 	gateways map[string]*gatewayState
-	loads    *spreader.Sum
+	loads    *disseminator.LoadTotals
 	roster   roster
 	// holdings are what the placer has said that engines hold.
-	holdings *spreader.Holdings
+	holdings *disseminator.Holdings
 	arbiter  arbiter.Arbiter
 	// requestLimits are those that backend servers have named to any gateway.
 	requestLimits throttler.Registry
 	// knowledge is what the leader has learnt, this one or another, whose holdings are heard.
 	knowledge *placer.LearnedState
-	heard     *spreader.Holdings
+	heard     *disseminator.Holdings
 	forgotten time.Time
 
 	term        uint64
@@ -155,29 +155,29 @@
 const wantLease = 3 * time.Second
 
 // Init prepares the curator for calls before Run.
-func (c *Curator) Init() {
+func (c *Coordinator) Init() {
 	c.calls = caller.New(callRing)
 	c.epoch = rand.Uint64()
 	c.state = recorder.New()
 	c.tracker = &tracker.Tracker{SilentAfter: c.SilentAfter, ForgetAfter: forgetAfter}
 	c.gateways = map[string]*gatewayState{}
 	c.startedAt, c.met = c.Clock.Now(), map[string]time.Time{}
-	c.loads = spreader.NewSum()
-	c.holdings = spreader.NewHoldings()
+	c.loads = disseminator.NewLoadTotals()
+	c.holdings = disseminator.NewHoldings()
 	c.initArbiter()
 	c.knowledge = placer.NewLearnedState(c.Policy)
-	c.heard = spreader.NewHoldings()
+	c.heard = disseminator.NewHoldings()
 }
 
 // Run works until ctx ends.
-func (c *Curator) Run(ctx context.Context) {
+func (c *Coordinator) Run(ctx context.Context) {
 	ticker := c.Clock.NewTicker(tickEvery)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case item := <-c.In:
+		case item := <-c.Committed:
 			c.apply(item)
 		case call := <-c.calls.Calls():
 			call(c.Clock.Now())
@@ -188,11 +188,11 @@
 }
 
 // Call runs f in the curator's goroutine and waits for it.
-func (c *Curator) Call(ctx context.Context, f func(now time.Time)) error {
+func (c *Coordinator) Call(ctx context.Context, f func(now time.Time)) error {
 	return errors.Wrap(c.calls.Call(ctx, f), "curator")
 }
 
-func (c *Curator) apply(item keeper.Item) {
+func (c *Coordinator) apply(item keeper.Item) {
 	if item.Restore != nil {
 		c.restore(item.Restore)
 	}
@@ -209,12 +209,12 @@
 	}
 	c.versionsChanged()
 	c.arbiter.TakeState(c.Clock.Now())
-	if c.state.Applied() >= c.snapshot+c.SnapshotEvery || c.logBytes > c.SnapshotBytes {
+	if c.state.Applied() >= c.snapshot+c.SnapshotEntries || c.logBytes > c.SnapshotBytes {
 		c.compact()
 	}
 }
 
-func (c *Curator) tableChanged() {
+func (c *Coordinator) tableChanged() {
 	table := c.state.Table().GetTable()
 	c.Log.Info("a table is in force", "Version", table.GetVersion(), "Routes", len(table.GetRoutes()))
 	if c.lender != nil {
@@ -228,7 +228,7 @@
 	}
 }
 
-func (c *Curator) versionsChanged() {
+func (c *Coordinator) versionsChanged() {
 	sum := uint64(0)
 	for _, v := range c.state.AdapterVersions() {
 		sum += v.GetVersion()
@@ -239,7 +239,7 @@
 	c.versions = sum
 }
 
-func (c *Curator) restore(s *wire.Snapshot) {
+func (c *Coordinator) restore(s *wire.Snapshot) {
 	state, err := recorder.Restore(s.GetState())
 	if err != nil {
 		// The snapshot's checksum was right, so it was written by another version.
@@ -253,7 +253,7 @@
 	}
 }
 
-func (c *Curator) compact() {
+func (c *Coordinator) compact() {
 	if !c.compacting.CompareAndSwap(false, true) {
 		return
 	}
@@ -266,11 +266,11 @@
 			c.Log.Error("the state can't be encoded", "Error", err.Error())
 			return
 		}
-		c.Keeper.Compact(frozen.GetApplied(), data)
+		c.Raft.Compact(frozen.GetApplied(), data)
 	}()
 }
 
-func (c *Curator) tick(now time.Time) {
+func (c *Coordinator) tick(now time.Time) {
 	c.tracker.Tick(now)
 	c.takeChanges()
 	c.follow(now)
@@ -297,8 +297,8 @@
 
 // follow begins a term as leader, once all that was committed before has been applied,
 // and ends it.
-func (c *Curator) follow(now time.Time) {
-	standing := c.Keeper.Standing()
+func (c *Coordinator) follow(now time.Time) {
+	standing := c.Raft.Standing()
 	leads := standing.Leads(now)
 	c.led = c.led || leads || standing.Leader != ""
 	switch {
@@ -310,12 +310,12 @@
 	}
 }
 
-func (c *Curator) begin(now time.Time, term uint64) {
+func (c *Coordinator) begin(now time.Time, term uint64) {
 	c.term = term
-	c.ordersAfter = now.Add(c.HandOver)
+	c.ordersAfter = now.Add(c.HandoverDelay)
 	c.placer = placer.NewWith(c.knowledge)
 	c.placer.Begin(term)
-	c.holdings.Begin(c.placer.Revision())
+	c.holdings.Reset(c.placer.Revision())
 	c.arbiter.Begin()
 	c.placer.SetTable(c.state.Table().GetTable())
 	c.lender = &quotaallocator.Allocator{Rule: c.Limits, KnownGateways: c.knownGateways(now)}
@@ -331,12 +331,12 @@
 }
 
 // leads reports whether the instance may give orders now.
-func (c *Curator) leads(now time.Time) bool {
-	standing := c.Keeper.Standing()
+func (c *Coordinator) leads(now time.Time) bool {
+	standing := c.Raft.Standing()
 	return c.term != 0 && c.term == standing.Term && standing.Leads(now)
 }
 
-func (c *Curator) plan(now time.Time) {
+func (c *Coordinator) plan(now time.Time) {
 	if !c.leads(now) || now.Before(c.ordersAfter) {
 		return
 	}
@@ -355,14 +355,14 @@
 }
 
 // planSoon plans at once, unless that was done just now: then the next tick does.
-func (c *Curator) planSoon(now time.Time) {
+func (c *Coordinator) planSoon(now time.Time) {
 	if now.Sub(c.planned) >= planSpacing {
 		c.plan(now)
 	}
 }
 
 // giveNext gives an engine its next orders.
-func (c *Curator) giveNext(now time.Time, backend string) {
+func (c *Coordinator) giveNext(now time.Time, backend string) {
 	if !c.leads(now) || now.Before(c.ordersAfter) {
 		return
 	}
@@ -371,9 +371,9 @@
 	}
 }
 
-func (c *Curator) carry(order placer.Order) {
+func (c *Coordinator) carry(order placer.Order) {
 	term := c.term
-	c.Carry(order, term, func(outcome placer.Outcome, state *placer.EngineState) {
+	c.SendOrder(order, term, func(outcome placer.Outcome, state *placer.EngineState) {
 		c.calls.Post(func(now time.Time) {
 			if c.term == term && c.placer != nil {
 				c.placer.RecordOutcome(now, order, outcome, state)
@@ -385,7 +385,7 @@
 
 // wake marks the gateways whose requests wait for adapters that have come, or do not come
 // in time.
-func (c *Curator) wake(now time.Time) {
+func (c *Coordinator) wake(now time.Time) {
 	for _, adapter := range c.placer.TakeDeclined() {
 		for _, g := range c.gateways {
 			if _, ok := g.wants[adapter]; ok {
@@ -406,7 +406,7 @@
 }
 
 // uses returns what the gateways have at each backend server.
-func (c *Curator) uses() map[string]*placer.Usage {
+func (c *Coordinator) uses() map[string]*placer.Usage {
 	total := map[string]*placer.Usage{}
 	c.loads.Each(func(backend string, requests uint32, adapters map[string]int) {
 		use := &placer.Usage{Requests: float64(requests), Adapters: make(map[string]bool, len(adapters))}
--- a/controller/curator/learning_test.go
+++ b/controller/routecoordinator/learning_test.go
@@ -1,4 +1,4 @@
-package curator
+package routecoordinator
 
 import (
 	"context"
@@ -12,14 +12,14 @@
 )
 
 // run lets a curator take calls until the test ends.
-func run(t *testing.T, cu *Curator) {
+func run(t *testing.T, cu *Coordinator) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	go cu.Run(ctx)
 }
 
 // withEngine lets a leader know an engine that holds adapters.
-func withEngine(cu *Curator, adapters ...string) {
+func withEngine(cu *Coordinator, adapters ...string) {
 	now := cu.Clock.Now()
 	cu.placer.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{Name: "s", Engine: &wire.EngineLimits{AdapterSlots: 4, Models: []string{"m"}}}}})
 	cu.placer.SetEngine(&wire.Announcement{Id: "e", Service: "s", Slots: 4})
@@ -39,8 +39,8 @@
 	run(t, next)
 	res := first.news(first.Clock.Now(), &wire.SyncRequest{Knowledge: true})
 	c.Check(res.GetHasLoads(), qt.IsFalse)
-	c.Assert(next.Learn(ctx, res), qt.IsNil)
-	revision, err := next.HeardRevision(ctx)
+	c.Assert(next.ApplyLeaderState(ctx, res), qt.IsNil)
+	revision, err := next.LeaderHoldingRevision(ctx)
 	c.Assert(err, qt.IsNil)
 	c.Check(revision, qt.Equals, first.holdings.Revision())
 	c.Assert(next.Call(ctx, func(now time.Time) {
@@ -66,7 +66,7 @@
 			cu, _ := newCurator()
 			run(t, cu)
 			before := cu.knowledge.Learnt().String()
-			c.Assert(cu.Learn(context.Background(), res), qt.IsNil)
+			c.Assert(cu.ApplyLeaderState(context.Background(), res), qt.IsNil)
 			c.Check(cu.knowledge.HasCachedWeights("e", "m/x"), qt.IsFalse)
 			c.Check(cu.knowledge.Learnt().String(), qt.Equals, before)
 		})
--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -12,7 +12,6 @@
 	"github.com/pkg/errors"
 
 	"bronzelead.example/gateway/doorkeeper"
-	"bronzelead.example/gateway/follower"
 	"bronzelead.example/gateway/forwarder"
 	"bronzelead.example/gateway/granter"
 	"bronzelead.example/gateway/isolator"
@@ -20,6 +19,7 @@
 	"bronzelead.example/gateway/regulator"
 	"bronzelead.example/gateway/relayer"
 	"bronzelead.example/gateway/sender"
+	"bronzelead.example/gateway/synchronizer"
 	"bronzelead.example/pkg/framer"
 	"bronzelead.example/pkg/meter"
 	"bronzelead.example/pkg/server"
@@ -54,7 +54,7 @@
 	stopping  atomic.Bool
 	door      *doorkeeper.Doorkeeper
 	forwarder *forwarder.Forwarder
-	follower  *follower.Follower
+	follower  *synchronizer.Synchronizer
 	relayer   *relayer.Relayer
 	regulator *regulator.Regulator
 	granter   *granter.Granter
@@ -112,7 +112,7 @@
 	r.regulator.Init()
 	r.granter = &granter.Granter{Clock: r.Clock, Log: r.Log, Meter: r.meter, Self: s.meshAddress(), Ranked: r.regulator.RankedOwners}
 	r.granter.Init()
-	r.isolator = &isolator.Isolator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress(), WordAge: r.wordAge}
+	r.isolator = &isolator.Isolator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress(), LeaderAge: r.wordAge}
 	r.borrower = &quotaenforcer.Enforcer{
 		Clock: r.Clock, Log: r.Log, Meter: r.meter, Gateway: s.Instance.Name, Address: s.meshAddress(),
 		Upstream: func() string { return r.follower.Leader() }, Term: func() uint64 { return r.follower.Term() },
@@ -133,12 +133,12 @@
 	self := &wire.GatewayEntry{Address: s.meshAddress(), Zone: s.Instance.Zone}
 	r.relayer = &relayer.Relayer{
 		Clock: r.Clock, Log: r.Log, Meter: r.meter, Self: self, Apply: r.forwarder.Apply, Loads: r.forwarder.Loads,
-		AddDemand: r.forwarder.AddDemand, Want: r.want, HearRuns: r.isolator.Hear,
+		AddDemand: r.forwarder.AddDemand, RequestAdapters: r.want, ReceiveRunReports: r.isolator.ReceiveReports,
 		Granter: r.granter,
 	}
 	r.relayer.Init()
 	r.forwarder.NewsAge = r.relayer.LeaderAge
-	r.follower = &follower.Follower{
+	r.follower = &synchronizer.Synchronizer{
 		Clock: r.Clock, Log: r.Log, Gateway: s.Instance.Name, Self: self, Seeds: func() []string { return *r.seeds.Load() },
 		Relayer: r.relayer, Demand: r.forwarder.Demand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
 		Granter: r.granter,
--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -85,7 +85,7 @@
 		in.Close()
 		j.runs++
 		f.done(j, d.Backend.GetId(), balancer.Failed)
-		f.Isolator.Completed(j.prints, d.Backend.GetId())
+		f.Isolator.RecordCompletion(j.prints, d.Backend.GetId())
 		j.avoid = append(j.avoid, d.Backend.GetId())
 		f.event(j, d.Backend, "the backend server failed; sent again", in.Head.Status)
 		return true
@@ -146,7 +146,7 @@
 	}
 	if sender.KindOf(err) == sender.KindNotSent {
 		if sender.IsRefused(err) {
-			f.Isolator.Ended(backend.GetId())
+			f.Isolator.RecordExit(backend.GetId())
 		}
 		f.done(j, backend.GetId(), balancer.Unreachable)
 		j.avoid = append(j.avoid, backend.GetId())
--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -22,7 +22,7 @@
 // only if they are asked for.
 func (j *job) prints() []string {
 	if j.fingerprints == nil {
-		asked := isolator.Asked{
+		asked := isolator.Request{
 			Method: j.req.Head.Method, Host: j.req.Head.Header.Get("Host"), Target: j.req.Head.Target,
 			Body: j.req.Body, Caller: callerOf(j.req),
 		}
@@ -54,11 +54,11 @@
 	}
 	verdict := f.Isolator.Check(j.prints)
 	j.trial = verdict.Trial
-	if !verdict.Held {
+	if !verdict.Quarantined {
 		return false
 	}
 	f.Meter.Count("requests_held_back", "service", j.service)
-	f.giveUp(j, reasonHeld, verdict.Left)
+	f.giveUp(j, reasonHeld, verdict.Remaining)
 	return true
 }
 
@@ -71,7 +71,7 @@
 
 // lostRun tells of a run that ended without a whole answer.
 func (f *Forwarder) lostRun(j *job, backend *wire.Announcement) {
-	f.Isolator.Lost(j.prints, &wire.RunReport{
+	f.Isolator.RecordLoss(j.prints, &wire.RunReport{
 		Service: j.service, Model: j.about.Model, Place: j.place(), Caller: callerOf(j.req),
 		Backend: backend.GetId(), Begun: j.begunAt == j.sends && j.sends > 0, RanMs: uint32(f.Clock.Since(j.sentAt).Milliseconds()),
 	}, backend.GetAddress())
@@ -80,7 +80,7 @@
 // completedRun tells of a run that was answered whole.
 func (f *Forwarder) completedRun(j *job, backend *wire.Announcement) {
 	j.completed = true
-	f.Isolator.Completed(j.prints, backend.GetId())
+	f.Isolator.RecordCompletion(j.prints, backend.GetId())
 }
 
 // mayEndMore reports whether a request is better not sent again by the gateway itself: more
@@ -105,6 +105,6 @@
 	if f.Isolator == nil {
 		f.Isolator = &isolator.Isolator{Clock: f.Clock, Log: f.Log}
 	}
-	f.Isolator.Refuses = f.processEnded
+	f.Isolator.ConnectionRefused = f.processEnded
 	f.Isolator.Init()
 }
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -40,16 +40,16 @@
 	Log   *slog.Logger
 	// Self is where other gateways reach this one.
 	Self string
-	// WordAge returns how old the leader's word is; nil if nobody asks.
-	WordAge func() time.Duration
-	// Refuses reports whether nothing listens any more where a start of a backend server was.
-	Refuses func(ctx context.Context, backend, address string) bool
+	// LeaderAge returns how old the leader's word is; nil if nobody asks.
+	LeaderAge func() time.Duration
+	// ConnectionRefused reports whether nothing listens any more where a start of a backend server was.
+	ConnectionRefused func(ctx context.Context, backend, address string) bool
 
 	// active is set while any request is known here, so that all others cost nothing.
 	active atomic.Bool
 
 	mu      sync.Mutex
-	witness *quarantiner.Witness
+	witness *quarantiner.CrashReporter
 	// judge has the reports that pass here, up to fed.
 	judge *quarantiner.Quarantiner
 	fed   uint64
@@ -64,11 +64,11 @@
 	probing map[string]bool
 }
 
-// Verdict says what is to become of a request.
-type Verdict struct {
-	// Held is set if it must not be sent; Left is for how long.
-	Held bool
-	Left time.Duration
+// Decision says what is to become of a request.
+type Decision struct {
+	// Quarantined is set if it must not be sent; Left is for how long.
+	Quarantined bool
+	Remaining   time.Duration
 	// Trial is the fingerprint by which it is held, if it may be sent once to see whether it
 	// still ends what runs it. End the trial with EndTrial.
 	Trial string
@@ -76,7 +76,7 @@
 
 // Init prepares the isolator for use.
 func (i *Isolator) Init() {
-	i.witness, i.judge = quarantiner.NewWitness(), quarantiner.New()
+	i.witness, i.judge = quarantiner.NewCrashReporter(), quarantiner.New()
 	i.suspects, i.heldHere = map[string]*wire.Suspect{}, map[string]bool{}
 	i.trials, i.failed, i.probing = map[string]bool{}, map[string]time.Time{}, map[string]bool{}
 }
@@ -107,7 +107,7 @@
 		clear(i.heldHere)
 		return
 	}
-	for _, verdict := range i.judge.Judge(now) {
+	for _, verdict := range i.judge.Evaluate(now) {
 		if i.heldHere[verdict.GetFingerprint()] {
 			continue
 		}
@@ -118,23 +118,23 @@
 }
 
 // alone reports whether this gateway has to go by what it knows itself.
-func (i *Isolator) alone() bool { return i.WordAge != nil && i.WordAge() > staleWord }
+func (i *Isolator) alone() bool { return i.LeaderAge != nil && i.LeaderAge() > staleWord }
 
 // Check says what is to become of a request that is about to be sent. Its fingerprints are
 // asked for only while any request is known here.
-func (i *Isolator) Check(prints func() []string) Verdict {
+func (i *Isolator) Check(prints func() []string) Decision {
 	if !i.active.Load() {
-		return Verdict{}
+		return Decision{}
 	}
 	list := prints()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	verdict := Verdict{}
+	verdict := Decision{}
 	for _, fingerprint := range list {
-		if v := i.check(fingerprint); v.Held || v.Trial != "" {
+		if v := i.check(fingerprint); v.Quarantined || v.Trial != "" {
 			verdict = v
 		}
-		if verdict.Held {
+		if verdict.Quarantined {
 			return verdict
 		}
 	}
@@ -144,18 +144,18 @@
 	return verdict
 }
 
-func (i *Isolator) check(fingerprint string) Verdict {
+func (i *Isolator) check(fingerprint string) Decision {
 	if i.heldHere[fingerprint] && i.alone() {
-		return Verdict{Held: true, Left: heldHereFor}
+		return Decision{Quarantined: true, Remaining: heldHereFor}
 	}
 	s := i.suspects[fingerprint]
 	switch {
 	case !s.GetHeld():
-		return Verdict{}
+		return Decision{}
 	case s.GetTrialAt() == "" || s.GetTrialAt() != i.Self || i.trials[fingerprint] || i.failedLately(fingerprint):
-		return Verdict{Held: true, Left: time.Duration(s.GetLeftS()) * time.Second}
+		return Decision{Quarantined: true, Remaining: time.Duration(s.GetLeftS()) * time.Second}
 	}
-	return Verdict{Trial: fingerprint}
+	return Decision{Trial: fingerprint}
 }
 
 func (i *Isolator) failedLately(fingerprint string) bool {
@@ -181,13 +181,13 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return slices.ContainsFunc(list, func(fingerprint string) bool {
-		return i.suspects[fingerprint] != nil || i.judge.Ends(fingerprint) >= quarantiner.SuspectEnds
+		return i.suspects[fingerprint] != nil || i.judge.Crashes(fingerprint) >= quarantiner.SuspectThreshold
 	})
 }
 
-// Lost notes that a run was lost, and finds out whether the process has ended. The report
+// RecordLoss notes that a run was lost, and finds out whether the process has ended. The report
 // is of each of the request's fingerprints.
-func (i *Isolator) Lost(prints func() []string, report *wire.RunReport, address string) {
+func (i *Isolator) RecordLoss(prints func() []string, report *wire.RunReport, address string) {
 	list := prints()
 	backend := report.GetBackend()
 	now := i.Clock.Now()
@@ -197,10 +197,10 @@
 	for _, fingerprint := range list {
 		r := proto.CloneOf(report)
 		r.Fingerprint = fingerprint
-		i.witness.Lose(now, r)
+		i.witness.RecordLoss(now, r)
 	}
 	i.feed(now)
-	if !i.witness.Waits(backend) || i.probing[backend] {
+	if !i.witness.Unconfirmed(backend) || i.probing[backend] {
 		return
 	}
 	i.probing[backend] = true
@@ -209,24 +209,24 @@
 
 // probe asks the address of a start at which runs were lost, once for all of them.
 func (i *Isolator) probe(backend, address string) {
-	ended := i.Refuses(context.Background(), backend, address)
+	ended := i.ConnectionRefused(context.Background(), backend, address)
 	i.mu.Lock()
 	delete(i.probing, backend)
 	i.mu.Unlock()
 	if ended {
-		i.Ended(backend)
+		i.RecordExit(backend)
 	}
 }
 
-// Ended notes that the process of a start has ended without notice.
-func (i *Isolator) Ended(backend string) {
+// RecordExit notes that the process of a start has ended without notice.
+func (i *Isolator) RecordExit(backend string) {
 	if !i.active.Load() {
 		return
 	}
 	now := i.Clock.Now()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.witness.Ended(now, backend)
+	i.witness.RecordExit(now, backend)
 	i.feed(now)
 }
 
@@ -239,25 +239,25 @@
 		}
 		i.fed = last
 		for _, r := range reports {
-			i.judge.Note(now, r)
+			i.judge.Observe(now, r)
 		}
 	}
 }
 
-// Announced takes what a backend server or a controller says of a start.
-func (i *Isolator) Announced(a *wire.Announcement) {
+// ObserveAnnouncement takes what a backend server or a controller says of a start.
+func (i *Isolator) ObserveAnnouncement(a *wire.Announcement) {
 	switch {
 	case a.GetDraining():
 		i.mu.Lock()
-		i.witness.Leaves(i.Clock.Now(), a.GetId())
+		i.witness.RecordLeaving(i.Clock.Now(), a.GetId())
 		i.mu.Unlock()
 	case a.GetGone():
-		i.Ended(a.GetId())
+		i.RecordExit(a.GetId())
 	}
 }
 
-// Completed notes a run that was answered whole, if anything speaks against its request.
-func (i *Isolator) Completed(prints func() []string, backend string) {
+// RecordCompletion notes a run that was answered whole, if anything speaks against its request.
+func (i *Isolator) RecordCompletion(prints func() []string, backend string) {
 	if !i.active.Load() {
 		return
 	}
@@ -265,17 +265,17 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, fingerprint := range list {
-		if i.suspects[fingerprint] == nil && i.judge.Ends(fingerprint) == 0 {
+		if i.suspects[fingerprint] == nil && i.judge.Crashes(fingerprint) == 0 {
 			continue
 		}
 		delete(i.heldHere, fingerprint)
-		i.witness.Completed(now, &wire.RunReport{Fingerprint: fingerprint, Backend: backend})
+		i.witness.RecordCompletion(now, &wire.RunReport{Fingerprint: fingerprint, Backend: backend})
 	}
 	i.feed(now)
 }
 
-// Hear takes reports of gateways that follow this one.
-func (i *Isolator) Hear(reports []*wire.RunReport) {
+// ReceiveReports takes reports of gateways that follow this one.
+func (i *Isolator) ReceiveReports(reports []*wire.RunReport) {
 	if len(reports) == 0 {
 		return
 	}
@@ -283,7 +283,7 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.active.Store(true)
-	i.witness.Hear(now, reports)
+	i.witness.Receive(now, reports)
 	i.feed(now)
 }
 
@@ -299,11 +299,11 @@
 	return i.witness.Reports(now, after)
 }
 
-// Start names one start of a backend server that keeps its name.
-func Start(name, incarnation string) string { return name + "/" + incarnation }
+// IncarnationID names one start of a backend server that keeps its name.
+func IncarnationID(name, incarnation string) string { return name + "/" + incarnation }
 
-// Revision returns the number of the leader's list that is known, 0 for none.
-func (i *Isolator) Revision() uint64 {
+// SuspectsRevision returns the number of the leader's list that is known, 0 for none.
+func (i *Isolator) SuspectsRevision() uint64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.revision
--- a/gateway/isolator/isolator_test.go
+++ b/gateway/isolator/isolator_test.go
@@ -16,8 +16,8 @@
 func newIsolator(age *time.Duration, refuses bool) (*Isolator, *clockwork.FakeClock) {
 	clock := clockwork.NewFakeClock()
 	i := &Isolator{
-		Clock: clock, Log: slog.New(slog.DiscardHandler), Self: "here", WordAge: func() time.Duration { return *age },
-		Refuses: func(context.Context, string, string) bool { return refuses },
+		Clock: clock, Log: slog.New(slog.DiscardHandler), Self: "here", LeaderAge: func() time.Duration { return *age },
+		ConnectionRefused: func(context.Context, string, string) bool { return refuses },
 	}
 	i.Init()
 	return i, clock
@@ -32,8 +32,8 @@
 // lose lets a start end under a request, and waits until that is known.
 func lose(c *qt.C, i *Isolator, fingerprint, backend string) {
 	_, before := i.Reports(0)
-	i.Lost(prints(fingerprint), &wire.RunReport{Backend: backend, RanMs: 10}, "address")
-	i.Ended(backend)
+	i.RecordLoss(prints(fingerprint), &wire.RunReport{Backend: backend, RanMs: 10}, "address")
+	i.RecordExit(backend)
 	_, after := i.Reports(0)
 	c.Assert(after > before, qt.IsTrue)
 }
@@ -44,37 +44,37 @@
 	for name, test := range map[string]struct {
 		list    []*wire.Suspect
 		happens func(i *Isolator, clock *clockwork.FakeClock)
-		want    Verdict
+		want    Decision
 	}{
-		"nothing is known":          {nil, nil, Verdict{}},
-		"another is held":           {[]*wire.Suspect{held("g", "")}, nil, Verdict{}},
-		"it is held":                {[]*wire.Suspect{held("f", "")}, nil, Verdict{Held: true, Left: time.Minute}},
-		"its other name is held":    {[]*wire.Suspect{held("f2", "")}, nil, Verdict{Held: true, Left: time.Minute}},
-		"it is only suspected":      {[]*wire.Suspect{{Fingerprint: "f"}}, nil, Verdict{}},
-		"its trial is elsewhere":    {[]*wire.Suspect{held("f", "there")}, nil, Verdict{Held: true, Left: time.Minute}},
-		"its trial is here":         {[]*wire.Suspect{held("f", "here")}, nil, Verdict{Trial: "f"}},
-		"it is under trial already": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) { i.Check(prints("f")) }, Verdict{Held: true, Left: time.Minute}},
+		"nothing is known":          {nil, nil, Decision{}},
+		"another is held":           {[]*wire.Suspect{held("g", "")}, nil, Decision{}},
+		"it is held":                {[]*wire.Suspect{held("f", "")}, nil, Decision{Quarantined: true, Remaining: time.Minute}},
+		"its other name is held":    {[]*wire.Suspect{held("f2", "")}, nil, Decision{Quarantined: true, Remaining: time.Minute}},
+		"it is only suspected":      {[]*wire.Suspect{{Fingerprint: "f"}}, nil, Decision{}},
+		"its trial is elsewhere":    {[]*wire.Suspect{held("f", "there")}, nil, Decision{Quarantined: true, Remaining: time.Minute}},
+		"its trial is here":         {[]*wire.Suspect{held("f", "here")}, nil, Decision{Trial: "f"}},
+		"it is under trial already": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) { i.Check(prints("f")) }, Decision{Quarantined: true, Remaining: time.Minute}},
 		"its trial was lost": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", true)
-		}, Verdict{Held: true, Left: time.Minute}},
+		}, Decision{Quarantined: true, Remaining: time.Minute}},
 		"its trial was lost, and something else has changed": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", true)
 			i.SetSuspects(8, []*wire.Suspect{held("f", "here"), held("g", "")})
-		}, Verdict{Held: true, Left: time.Minute}},
+		}, Decision{Quarantined: true, Remaining: time.Minute}},
 		"its trial was lost some time ago": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, clock *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", true)
 			clock.Advance(trialAgainAfter)
 			i.tick()
-		}, Verdict{Trial: "f"}},
+		}, Decision{Trial: "f"}},
 		"its trial was not sent": {[]*wire.Suspect{held("f", "here")}, func(i *Isolator, _ *clockwork.FakeClock) {
 			i.Check(prints("f"))
 			i.EndTrial("f", false)
-		}, Verdict{Trial: "f"}},
-		"it was released":       {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(8, nil) }, Verdict{}},
-		"an older list is late": {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(6, nil) }, Verdict{Held: true, Left: time.Minute}},
+		}, Decision{Trial: "f"}},
+		"it was released":       {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(8, nil) }, Decision{}},
+		"an older list is late": {[]*wire.Suspect{held("f", "")}, func(i *Isolator, _ *clockwork.FakeClock) { i.SetSuspects(6, nil) }, Decision{Quarantined: true, Remaining: time.Minute}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			age := time.Duration(0)
@@ -99,13 +99,13 @@
 		clock.Advance(time.Second)
 	}
 	i.tick()
-	c.Check(i.Check(prints("f")).Held, qt.IsFalse)
+	c.Check(i.Check(prints("f")).Quarantined, qt.IsFalse)
 	age = time.Hour
 	i.tick()
-	c.Check(i.Check(prints("f")).Held, qt.IsTrue)
-	c.Check(i.Check(prints("g")).Held, qt.IsFalse)
+	c.Check(i.Check(prints("f")).Quarantined, qt.IsTrue)
+	c.Check(i.Check(prints("g")).Quarantined, qt.IsFalse)
 	age = 0
-	c.Check(i.Check(prints("f")).Held, qt.IsFalse)
+	c.Check(i.Check(prints("f")).Quarantined, qt.IsFalse)
 }
 
 // While nothing has ended no request is looked at, and so again once all of it is old.
@@ -118,7 +118,7 @@
 	look := func() {
 		i.Check(ask)
 		i.Suspected(ask)
-		i.Completed(ask, "a")
+		i.RecordCompletion(ask, "a")
 	}
 	look()
 	c.Check(asked, qt.Equals, 0)
@@ -141,13 +141,13 @@
 			i, _ := newIsolator(&age, refuses)
 			asked := make(chan struct{}, 3)
 			release := make(chan struct{})
-			i.Refuses = func(context.Context, string, string) bool {
+			i.ConnectionRefused = func(context.Context, string, string) bool {
 				asked <- struct{}{}
 				<-release
 				return refuses
 			}
 			for _, fingerprint := range []string{"f", "g"} {
-				i.Lost(prints(fingerprint), &wire.RunReport{Backend: "b"}, "address")
+				i.RecordLoss(prints(fingerprint), &wire.RunReport{Backend: "b"}, "address")
 			}
 			<-asked
 			i.probing["b"] = true
@@ -177,8 +177,8 @@
 		t.Run(name, func(t *testing.T) {
 			age := time.Duration(0)
 			i, _ := newIsolator(&age, false)
-			i.Lost(prints("f"), &wire.RunReport{Backend: "b"}, "address")
-			i.Announced(test.said)
+			i.RecordLoss(prints("f"), &wire.RunReport{Backend: "b"}, "address")
+			i.ObserveAnnouncement(test.said)
 			reports, _ := i.Reports(0)
 			qt.New(t).Check(reports, qt.HasLen, test.reports)
 		})
--- a/gateway/receiver/isolation.go
+++ b/gateway/receiver/isolation.go
@@ -13,7 +13,7 @@
 // prints returns the fingerprints of a request, which are worked out at most once.
 func (e *entry) prints() []string {
 	if e.fingerprints == nil {
-		asked := isolator.Asked{
+		asked := isolator.Request{
 			Method: e.http.Method, Target: e.http.URL.RequestURI(), Body: e.body, Caller: e.terms.Customer(),
 		}
 		e.fingerprints = asked.Fingerprints()
@@ -29,12 +29,12 @@
 	}
 	verdict := r.Isolator.Check(e.prints)
 	e.trial = verdict.Trial
-	if !verdict.Held {
+	if !verdict.Quarantined {
 		return nil
 	}
 	r.Meter.Count("requests_held_back", "customer", e.terms.Customer())
 	return &Problem{
-		Status: http.StatusServiceUnavailable, Kind: kindHeldBack, Ran: dispatcher.RanNo, RetryAfter: verdict.Left,
+		Status: http.StatusServiceUnavailable, Kind: kindHeldBack, Ran: dispatcher.RanNo, RetryAfter: verdict.Remaining,
 		Message: "backend servers end when they run this request; it is held back",
 	}
 }
@@ -48,7 +48,7 @@
 
 // lostRun tells of a run that ended without a whole answer; begun says that a part had come.
 func (r *Receiver) lostRun(e *entry, to *router.Candidate, begun bool) {
-	r.Isolator.Lost(e.prints, &wire.RunReport{
+	r.Isolator.RecordLoss(e.prints, &wire.RunReport{
 		Service: e.job.Want.Service, Model: e.job.Want.Adapter, Place: e.http.Method + " " + e.http.URL.Path,
 		Caller: e.terms.Customer(), Backend: startOf(to), Begun: begun,
 		RanMs: uint32(r.Clock.Since(e.sentAt).Milliseconds()),
@@ -58,11 +58,11 @@
 // completedRun tells of a run that was answered whole.
 func (r *Receiver) completedRun(e *entry, to *router.Candidate) {
 	e.completed = true
-	r.Isolator.Completed(e.prints, startOf(to))
+	r.Isolator.RecordCompletion(e.prints, startOf(to))
 }
 
 func startOf(to *router.Candidate) string {
-	return isolator.Start(to.Backend.GetName(), to.Backend.GetIncarnation())
+	return isolator.IncarnationID(to.Backend.GetName(), to.Backend.GetIncarnation())
 }
 
 // mayRunAgain reports whether the gateway may repeat by itself what may have run: not if more
--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -16,8 +16,8 @@
 	"github.com/twitchtv/twirp"
 
 	"bronzelead.example/gateway/granter"
+	"bronzelead.example/pkg/disseminator"
 	"bronzelead.example/pkg/meter"
-	"bronzelead.example/pkg/spreader"
 	"bronzelead.example/pkg/throttler"
 	"bronzelead.example/pkg/wire"
 )
@@ -43,15 +43,15 @@
 	Loads func() []*wire.Load
 	// AddDemand takes the requests that followers have taken.
 	AddDemand func(list []*wire.Demand)
-	// HearRuns takes the runs of followers' requests that ended.
-	HearRuns func(reports []*wire.RunReport)
+	// ReceiveRunReports takes the runs of followers' requests that ended.
+	ReceiveRunReports func(reports []*wire.RunReport)
 	// Granter knows the request limits of backend servers.
 	Granter *granter.Granter
-	// Want asks the leader for adapters. It must not block.
-	Want func(wants []*wire.Want)
+	// RequestAdapters asks the leader for adapters. It must not block.
+	RequestAdapters func(wants []*wire.Want)
 
 	mu       sync.Mutex
-	spreader *spreader.Spreader
+	spreader *disseminator.Disseminator
 	waiters  []*waiter
 	// own are this gateway's loads as of the last look.
 	own []*wire.Load
@@ -71,7 +71,7 @@
 
 // Init prepares the relayer for calls before Run.
 func (r *Relayer) Init() {
-	r.spreader = &spreader.Spreader{Self: r.Self, Epoch: rand.Uint64()}
+	r.spreader = &disseminator.Disseminator{Self: r.Self, Epoch: rand.Uint64()}
 	r.spreader.Init()
 }
 
@@ -100,13 +100,13 @@
 	}
 }
 
-// Hear takes an answer of a controller or of another gateway. It reports false if that
+// Receive takes an answer of a controller or of another gateway. It reports false if that
 // was a difference from what is not known here, so that all has to be asked for.
-func (r *Relayer) Hear(source string, res *wire.SyncResponse) bool {
+func (r *Relayer) Receive(source string, res *wire.SyncResponse) bool {
 	now := r.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news, whole := r.spreader.Hear(now, res)
+	news, whole := r.spreader.Receive(now, res)
 	if !whole {
 		r.Log.Warn("a difference has a gap before it; all is asked for", "Source", source,
 			"Since", res.GetHoldingsSince(), "Known", r.spreader.HoldingRevision())
@@ -125,7 +125,7 @@
 		r.AddDemand(req.GetDemand())
 	}
 	if len(req.GetRunReports()) > 0 {
-		r.HearRuns(req.GetRunReports())
+		r.ReceiveRunReports(req.GetRunReports())
 	}
 	if len(req.GetRequestLimits()) > 0 {
 		r.Granter.ReceiveLimits(req.GetRequestLimits(), throttler.Follower)
@@ -154,7 +154,7 @@
 	if len(r.waiters) >= maxWaiters {
 		return nil, twirp.NewError(twirp.ResourceExhausted, "too many gateways ask this one")
 	}
-	r.spreader.Ask(now, req)
+	r.spreader.ObserveFollower(now, req)
 	if r.isDue(now, w) {
 		r.answer(now, w)
 	} else {
@@ -213,9 +213,9 @@
 // Acquire passes a follower's request for adapters on to the leader.
 func (r *Relayer) Acquire(_ context.Context, req *wire.AcquireRequest) (*wire.AcquireResponse, error) {
 	r.mu.Lock()
-	r.spreader.Want(r.Clock.Now(), req.GetGateway(), req.GetWants())
+	r.spreader.ObserveWants(r.Clock.Now(), req.GetGateway(), req.GetWants())
 	r.mu.Unlock()
-	r.Want(req.GetWants())
+	r.RequestAdapters(req.GetWants())
 	return &wire.AcquireResponse{}, nil
 }
 
--- a/gateway/renewer/isolation.go
+++ b/gateway/renewer/isolation.go
@@ -23,7 +23,7 @@
 // the number of the last report in it.
 func (r *Renewer) report(req *wire.RenewRequest) uint64 {
 	reports, last := r.Isolator.Reports(r.reported)
-	req.RunReports, req.SuspectsRevision = reports, r.Isolator.Revision()
+	req.RunReports, req.SuspectsRevision = reports, r.Isolator.SuspectsRevision()
 	return last
 }
 
@@ -51,10 +51,10 @@
 	}
 	before := r.starts[b.GetName()]
 	if before != "" && before != b.GetIncarnation() {
-		r.Isolator.Announced(&wire.Announcement{Id: isolator.Start(b.GetName(), before), Gone: true})
+		r.Isolator.ObserveAnnouncement(&wire.Announcement{Id: isolator.IncarnationID(b.GetName(), before), Gone: true})
 	}
 	r.starts[b.GetName()] = b.GetIncarnation()
 	if b.GetLeaving() {
-		r.Isolator.Announced(&wire.Announcement{Id: isolator.Start(b.GetName(), b.GetIncarnation()), Draining: true})
+		r.Isolator.ObserveAnnouncement(&wire.Announcement{Id: isolator.IncarnationID(b.GetName(), b.GetIncarnation()), Draining: true})
 	}
 }
--- a/pkg/spreader/holdings.go
+++ b/pkg/disseminator/holdings.go
@@ -1,4 +1,4 @@
-package spreader
+package disseminator
 
 import (
 	"bronzelead.example/pkg/wire"
@@ -40,8 +40,8 @@
 // Term returns the term of the leader whose word the holdings are.
 func (h *Holdings) Term() uint64 { return h.revision >> termShift }
 
-// Begin forgets everything: a leader begins at a revision.
-func (h *Holdings) Begin(revision uint64) {
+// Reset forgets everything: a leader begins at a revision.
+func (h *Holdings) Reset(revision uint64) {
 	clear(h.engines)
 	h.log, h.revision, h.since = nil, revision, revision
 }
@@ -137,17 +137,17 @@
 	return list
 }
 
-// Take takes what another instance has told, up to a revision and as a difference from
+// Apply takes what another instance has told, up to a revision and as a difference from
 // another one, and returns the engines of which something is new. What is not newer than
 // what is known changes nothing. It reports false for a difference from more than is
 // known, which leaves a gap: then all has to be asked for.
-func (h *Holdings) Take(revision, from uint64, list []*wire.Holding) (changed []string, ok bool) {
+func (h *Holdings) Apply(revision, from uint64, list []*wire.Holding) (changed []string, ok bool) {
 	if revision <= h.revision {
 		return nil, true
 	}
 	switch {
 	case from == 0:
-		h.Begin(revision)
+		h.Reset(revision)
 	case from > h.revision || from < h.since&^(1<<termShift-1):
 		return nil, false
 	}
--- a/pkg/spreader/spreader_test.go
+++ b/pkg/disseminator/spreader_test.go
@@ -1,4 +1,4 @@
-package spreader
+package disseminator
 
 import (
 	"fmt"
@@ -13,8 +13,8 @@
 
 func begin() time.Time { return time.Unix(1000, 0) }
 
-func newSpreader() *Spreader {
-	s := &Spreader{Self: &wire.GatewayEntry{Address: "relay", Zone: "z"}, Epoch: 7}
+func newSpreader() *Disseminator {
+	s := &Disseminator{Self: &wire.GatewayEntry{Address: "relay", Zone: "z"}, Epoch: 7}
 	s.Init()
 	return s
 }
@@ -41,9 +41,9 @@
 	s := newSpreader()
 	heard := fromLeader(0)
 	heard.Loads = []*wire.Load{load("e", 10)}
-	s.Hear(begin(), heard)
-	s.Ask(begin(), call("a", load("e", 1), load("f", 2)))
-	s.Ask(begin(), call("b", load("e", 3)))
+	s.Receive(begin(), heard)
+	s.ObserveFollower(begin(), call("a", load("e", 1), load("f", 2)))
+	s.ObserveFollower(begin(), call("b", load("e", 3)))
 	own := []*wire.Load{load("e", 100)}
 	for name, want := range map[string]map[string]uint32{
 		"a": {"e": 113}, "b": {"e": 111, "f": 2},
@@ -66,9 +66,9 @@
 func TestUsesAreAddedUp(t *testing.T) {
 	c := qt.New(t)
 	s := newSpreader()
-	s.Ask(begin(), call("a", load("e", 1, "m/x", "m/y")))
-	s.Ask(begin(), call("b", load("e", 1, "m/x")))
-	s.Ask(begin(), call("b"))
+	s.ObserveFollower(begin(), call("a", load("e", 1, "m/x", "m/y")))
+	s.ObserveFollower(begin(), call("b", load("e", 1, "m/x")))
+	s.ObserveFollower(begin(), call("b"))
 	c.Assert(s.Loads(nil), qt.HasLen, 1)
 	c.Check(s.Loads(nil)[0].GetAdapters(), qt.ContentEquals, []string{"m/x", "m/y"})
 	s.Tick(begin().Add(FollowerLease + time.Millisecond))
@@ -96,13 +96,13 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			s := newSpreader()
-			s.Hear(begin(), fromLeader(1))
-			s.Ask(begin(), call("a"))
+			s.Receive(begin(), fromLeader(1))
+			s.ObserveFollower(begin(), call("a"))
 			told := s.Answer(begin(), call("a"), nil)
 			for _, adapter := range test.wants {
-				s.Want(begin(), "a", []*wire.Want{{Adapter: adapter}})
+				s.ObserveWants(begin(), "a", []*wire.Want{{Adapter: adapter}})
 			}
-			s.Hear(begin(), test.news)
+			s.Receive(begin(), test.news)
 			req := call("a")
 			req.HoldingRevision, req.AnnouncementRevision = told.GetHoldingRevision(), told.GetAnnouncementRevision()
 			c.Check(s.Due(begin().Add(test.after), req), qt.Equals, test.due)
@@ -115,13 +115,13 @@
 func TestTheAgeOfNewsGrowsOnTheWay(t *testing.T) {
 	c := qt.New(t)
 	a, b := newSpreader(), newSpreader()
-	a.Hear(begin(), fromLeader(1))
+	a.Receive(begin(), fromLeader(1))
 	now := begin()
 	for range 5 {
 		now = now.Add(100 * time.Millisecond)
-		b.Hear(now, a.Answer(now, call("b"), nil))
+		b.Receive(now, a.Answer(now, call("b"), nil))
 		now = now.Add(100 * time.Millisecond)
-		a.Hear(now, b.Answer(now, call("a"), nil))
+		a.Receive(now, b.Answer(now, call("a"), nil))
 	}
 	c.Check(a.ContactAge(now), qt.Equals, time.Second)
 	c.Check(b.LeaderAge(now), qt.Equals, time.Second)
@@ -133,8 +133,8 @@
 func TestHoldingsOfAnEngineThatIsToldOfLater(t *testing.T) {
 	c := qt.New(t)
 	s := newSpreader()
-	s.Hear(begin(), fromLeader(1, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}}))
-	news, _ := s.Hear(begin(), &wire.SyncResponse{Announcements: []*wire.Announcement{{Id: "e"}}})
+	s.Receive(begin(), fromLeader(1, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}}))
+	news, _ := s.Receive(begin(), &wire.SyncResponse{Announcements: []*wire.Announcement{{Id: "e"}}})
 	c.Assert(news.GetHoldings(), qt.HasLen, 1)
 	c.Check(news.GetHoldings()[0].GetAdapters(), qt.DeepEquals, []string{"m/x@0"})
 	c.Check(news.GetTerm(), qt.Equals, uint64(1))
@@ -146,8 +146,8 @@
 	s := newSpreader()
 	later := fromLeader(0, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}})
 	later.Term, later.HoldingRevision, later.Loads = 2, 2*term1+1, []*wire.Load{load("e", 5)}
-	s.Hear(begin(), later)
-	news, ok := s.Hear(begin(), fromLeader(9, &wire.Holding{Backend: "e"}))
+	s.Receive(begin(), later)
+	news, ok := s.Receive(begin(), fromLeader(9, &wire.Holding{Backend: "e"}))
 	c.Check(ok, qt.IsTrue)
 	c.Check(news.GetLeads(), qt.IsFalse)
 	c.Check(news.GetHoldings(), qt.HasLen, 0)
@@ -161,8 +161,8 @@
 	req := call("a")
 	req.Members = []*wire.GatewayEntry{{Address: "b", Zone: "z"}, {Address: "c", Zone: "z"}, {Address: "relay", Zone: "z"}}
 	req.MembersRevision = 5
-	s.Ask(begin(), req)
-	s.Ask(begin(), call("b"))
+	s.ObserveFollower(begin(), req)
+	s.ObserveFollower(begin(), call("b"))
 	members, revision := s.Members()
 	c.Check(fmt.Sprint(members), qt.Equals, fmt.Sprint([]*wire.GatewayEntry{
 		{Address: "a", Zone: "z"}, {Address: "b", Zone: "z"}, {Address: "c", Zone: "z"},
@@ -171,7 +171,7 @@
 	// The list is not sent again as long as it stands.
 	again := call("a")
 	again.MembersRevision = 5
-	s.Ask(begin(), again)
+	s.ObserveFollower(begin(), again)
 	members, _ = s.Members()
 	c.Check(members, qt.HasLen, 3)
 }
@@ -195,9 +195,9 @@
 			return
 		}
 		s := newSpreader()
-		s.Hear(begin(), fromLeader(1, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}}))
+		s.Receive(begin(), fromLeader(1, &wire.Holding{Backend: "e", Adapters: []string{"m/x@0"}}))
 		before := s.HoldingRevision()
-		s.Hear(begin(), res)
+		s.Receive(begin(), res)
 		if s.HoldingRevision() < before {
 			t.Fatalf("the holdings go back from %d to %d", before, s.HoldingRevision())
 		}
@@ -209,15 +209,15 @@
 func TestDeclinedAdaptersAreToldToWhoAsked(t *testing.T) {
 	c := qt.New(t)
 	s := newSpreader()
-	s.Hear(begin(), fromLeader(1))
+	s.Receive(begin(), fromLeader(1))
 	for _, name := range []string{"a", "b"} {
-		s.Ask(begin(), call(name))
+		s.ObserveFollower(begin(), call(name))
 	}
-	s.Want(begin(), "a", []*wire.Want{{Adapter: "m/x"}})
-	s.Want(begin(), "b", []*wire.Want{{Adapter: "m/y"}})
+	s.ObserveWants(begin(), "a", []*wire.Want{{Adapter: "m/x"}})
+	s.ObserveWants(begin(), "b", []*wire.Want{{Adapter: "m/y"}})
 	res := fromLeader(1)
 	res.Declined = []string{"m/x"}
-	news, _ := s.Hear(begin(), res)
+	news, _ := s.Receive(begin(), res)
 	c.Check(news.GetDeclined(), qt.DeepEquals, []string{"m/x"})
 	known := call("a")
 	known.HoldingRevision = term1 + 1
@@ -235,7 +235,7 @@
 	asks := func(known uint64) *wire.SyncRequest {
 		req := call("a")
 		req.SuspectsRevision = known
-		s.Ask(begin(), req)
+		s.ObserveFollower(begin(), req)
 		return req
 	}
 	c.Check(s.hasUrgentNews(asks(0)), qt.IsFalse)
@@ -245,7 +245,7 @@
 		for _, name := range names {
 			heard.Suspects = append(heard.Suspects, &wire.Suspect{Fingerprint: name, Held: true})
 		}
-		s.Hear(begin(), heard)
+		s.Receive(begin(), heard)
 	}
 	hear(5, "f", "g")
 	c.Check(s.hasUrgentNews(asks(0)), qt.IsTrue)
--- a/pkg/spreader/sum_test.go
+++ b/pkg/disseminator/sum_test.go
@@ -1,4 +1,4 @@
-package spreader
+package disseminator
 
 import (
 	"fmt"
@@ -15,7 +15,7 @@
 // all have gone.
 func TestSumsFollowTheLatestWords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewSum()
+		s := NewLoadTotals()
 		latest := map[int][]*wire.Load{}
 		for range rapid.IntRange(0, 30).Draw(t, "words") {
 			gateway := rapid.IntRange(0, 3).Draw(t, "gateway")
@@ -43,7 +43,7 @@
 }
 
 // check compares a sum with one that is made anew.
-func check(t *rapid.T, s *Sum, latest map[int][]*wire.Load) {
+func check(t *rapid.T, s *LoadTotals, latest map[int][]*wire.Load) {
 	requests, adapters := map[string]uint32{}, map[string]map[string]int{}
 	for _, loads := range latest {
 		for _, l := range loads {
@@ -72,7 +72,7 @@
 // A gateway's loads on top of the followers' are told without changing the sum.
 func TestOwnLoadsLeaveTheSumAlone(t *testing.T) {
 	c := qt.New(t)
-	s := NewSum()
+	s := NewLoadTotals()
 	s.Add([]*wire.Load{load("e", 2, "m/x")})
 	c.Check(s.With([]*wire.Load{load("e", 1, "m/y"), load("f", 1)}), qt.HasLen, 2)
 	c.Check(s.With(nil), qt.HasLen, 1)
--- a/pkg/quarantiner/quarantiner.go
+++ b/pkg/quarantiner/quarantiner.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	// EnoughEnds is how many starts must have ended under a request. Two happen to a
+	// QuarantineThreshold is how many starts must have ended under a request. Two happen to a
 	// request that is repeated while backend servers fail for other reasons; each further
 	// one costs the streams of all callers there.
-	EnoughEnds = 3
-	// SuspectEnds is from how many on a request counts as suspect: it is not repeated
+	QuarantineThreshold = 3
+	// SuspectThreshold is from how many on a request counts as suspect: it is not repeated
 	// without need, and runs that it completes are told of.
-	SuspectEnds = 2
+	SuspectThreshold = 2
 	// settle is how long reports of the other gateways are waited for, which tell what else
 	// ran there: they come with the next call, some 150 ms later.
 	settle = 400 * time.Millisecond
@@ -97,8 +97,8 @@
 	}
 }
 
-// Note takes a report. Reports that come twice, or late, count once.
-func (q *Quarantiner) Note(now time.Time, r *wire.RunReport) {
+// Observe takes a report. Reports that come twice, or late, count once.
+func (q *Quarantiner) Observe(now time.Time, r *wire.RunReport) {
 	switch {
 	case r.GetFingerprint() == "" || r.GetBackend() == "":
 	case r.GetCompleted():
@@ -272,8 +272,8 @@
 	return list
 }
 
-// Ends returns how many ends of starts speak against a request.
-func (q *Quarantiner) Ends(fingerprint string) int {
+// Crashes returns how many ends of starts speak against a request.
+func (q *Quarantiner) Crashes(fingerprint string) int {
 	known := q.runs[fingerprint]
 	if known == nil {
 		return 0
@@ -286,7 +286,7 @@
 func (q *Quarantiner) Suspects() []string {
 	var list []string
 	for _, fingerprint := range slices.Sorted(maps.Keys(q.runs)) {
-		if len(q.runs[fingerprint].ends) >= SuspectEnds && q.Ends(fingerprint) >= SuspectEnds {
+		if len(q.runs[fingerprint].ends) >= SuspectThreshold && q.Crashes(fingerprint) >= SuspectThreshold {
 			list = append(list, fingerprint)
 		}
 	}
--- a/pkg/quarantiner/quarantiner_test.go
+++ b/pkg/quarantiner/quarantiner_test.go
@@ -22,19 +22,19 @@
 func (s *story) lost(backend string, fingerprints ...string) {
 	s.now = s.now.Add(time.Second)
 	for _, fingerprint := range fingerprints {
-		s.Note(s.now, lostAt(fingerprint, backend))
+		s.Observe(s.now, lostAt(fingerprint, backend))
 	}
 }
 
 func (s *story) completed(fingerprint string) {
-	s.Note(s.now, &wire.RunReport{Fingerprint: fingerprint, Backend: "x", Completed: true})
+	s.Observe(s.now, &wire.RunReport{Fingerprint: fingerprint, Backend: "x", Completed: true})
 }
 
 // verdicts lets enough time pass, and returns what is to be held.
 func (s *story) verdicts() []string {
 	s.now = s.now.Add(settleTogether)
 	var list []string
-	for _, h := range s.Judge(s.now) {
+	for _, h := range s.Evaluate(s.now) {
 		list = append(list, h.GetFingerprint())
 	}
 	return list
@@ -50,7 +50,7 @@
 
 func TestVerdicts(t *testing.T) {
 	three := func(s *story, with ...string) {
-		for i := range EnoughEnds {
+		for i := range QuarantineThreshold {
 			s.lost(fmt.Sprint(i), append(with, fmt.Sprint("other ", i))...)
 		}
 	}
@@ -68,11 +68,11 @@
 			s.lost("d", "f")
 		}, []string{"f"}},
 		"as much speaks against both": {func(s *story) { three(s, "f", "g") }, []string{"f", "g"}},
-		"a run from before the trial": {func(s *story) { s.held(true, "f"); s.Note(s.now, lostAt("f", "a")) }, nil},
+		"a run from before the trial": {func(s *story) { s.held(true, "f"); s.Observe(s.now, lostAt("f", "a")) }, nil},
 		"one had begun to answer": {func(s *story) {
-			for i := range EnoughEnds {
+			for i := range QuarantineThreshold {
 				s.lost(fmt.Sprint(i), "f")
-				s.Note(s.now, &wire.RunReport{Fingerprint: "g", Backend: fmt.Sprint(i), Begun: true})
+				s.Observe(s.now, &wire.RunReport{Fingerprint: "g", Backend: fmt.Sprint(i), Begun: true})
 			}
 		}, []string{"f"}},
 		"what is held explains the others": {func(s *story) {
@@ -109,7 +109,7 @@
 func TestVerdictsAreGivenAgain(t *testing.T) {
 	c := qt.New(t)
 	s := newStory()
-	for i := range EnoughEnds {
+	for i := range QuarantineThreshold {
 		s.lost(fmt.Sprint(i), "f")
 	}
 	c.Assert(s.verdicts(), qt.DeepEquals, []string{"f"})
@@ -147,17 +147,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newStory()
-			for i := range EnoughEnds {
+			for i := range QuarantineThreshold {
 				s.lost(fmt.Sprint(i), "f")
 			}
-			s.Note(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: uint32(test.ago.Milliseconds())})
+			s.Observe(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: uint32(test.ago.Milliseconds())})
 			qt.New(t).Check(s.verdicts(), qt.HasLen, test.want)
 		})
 	}
 	c := qt.New(t)
 	s := newStory()
 	s.held(false, "f")
-	s.Note(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: 60_000})
+	s.Observe(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: 60_000})
 	c.Check(s.TakeCleared(), qt.HasLen, 0)
 	// What another leader has released is not released again once it is held anew.
 	s.completed("f")
@@ -180,11 +180,11 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			q, now := New(), begin()
-			for i := range EnoughEnds {
+			for i := range QuarantineThreshold {
 				now = now.Add(test.apart)
-				q.Note(now, &wire.RunReport{Fingerprint: "f", Backend: fmt.Sprint(i), RanMs: 300})
+				q.Observe(now, &wire.RunReport{Fingerprint: "f", Backend: fmt.Sprint(i), RanMs: 300})
 			}
-			qt.New(t).Check(q.Judge(now.Add(test.wait)), qt.HasLen, test.held)
+			qt.New(t).Check(q.Evaluate(now.Add(test.wait)), qt.HasLen, test.held)
 		})
 	}
 }
@@ -194,7 +194,7 @@
 	c := qt.New(t)
 	q := New()
 	for i := range maxEnds + 50 {
-		q.Note(begin(), lostAt(fmt.Sprint("f", i), fmt.Sprint(i)))
+		q.Observe(begin(), lostAt(fmt.Sprint("f", i), fmt.Sprint(i)))
 	}
 	c.Check(len(q.ends), qt.Equals, maxEnds)
 	c.Check(len(q.runs), qt.Equals, maxEnds)
--- a/pkg/quarantiner/schedule_test.go
+++ b/pkg/quarantiner/schedule_test.go
@@ -186,7 +186,7 @@
 			e.runs = slices.Delete(e.runs, i, i+1)
 			i--
 			m.busy[r.fp] = false
-			if m.judges[m.leader].Ends(r.fp) > 0 {
+			if m.judges[m.leader].Crashes(r.fp) > 0 {
 				m.report(&wire.RunReport{Fingerprint: r.fp, Backend: e.id, Completed: true})
 			}
 		}
@@ -241,13 +241,13 @@
 		if m.now.Before(l.at) {
 			return false
 		}
-		m.judges[l.to].Note(m.now, l.data)
+		m.judges[l.to].Observe(m.now, l.data)
 		return true
 	})
 }
 
 func (m *model) judge() {
-	for _, verdict := range m.judges[m.leader].Judge(m.now) {
+	for _, verdict := range m.judges[m.leader].Evaluate(m.now) {
 		m.held[verdict.GetFingerprint()] = verdict
 		m.heldFrom[verdict.GetFingerprint()] = m.now.Add(m.late())
 		if !strings.HasPrefix(verdict.GetFingerprint(), "culprit") {
@@ -268,10 +268,10 @@
 
 // retries counts the sends of a culprit later than contact after it ended its third start.
 func (m *model) retries(fp string) int {
-	if len(m.ended[fp]) < EnoughEnds {
+	if len(m.ended[fp]) < QuarantineThreshold {
 		return 0
 	}
-	from := m.ended[fp][EnoughEnds-1].Add(contact)
+	from := m.ended[fp][QuarantineThreshold-1].Add(contact)
 	count := 0
 	for _, at := range m.sent[fp] {
 		if at.After(from) {
--- a/pkg/quarantiner/witness_test.go
+++ b/pkg/quarantiner/witness_test.go
@@ -19,50 +19,65 @@
 // Only a process that has ended without notice is reported, and each run there once.
 func TestWhatIsReported(t *testing.T) {
 	for name, test := range map[string]struct {
-		happens func(w *Witness)
+		happens func(w *CrashReporter)
 		reports int
 	}{
-		"a lost answer alone": {func(w *Witness) { w.Lose(begin(), lostAt("f", "b")) }, 0},
-		"an end alone":        {func(w *Witness) { w.Ended(begin(), "b") }, 0},
-		"two runs and the end": {func(w *Witness) {
-			w.Lose(begin(), lostAt("f", "b"))
-			w.Lose(begin(), lostAt("g", "b"))
-			w.Ended(begin(), "b")
+		"a lost answer alone": {func(w *CrashReporter) { w.RecordLoss(begin(), lostAt("f", "b")) }, 0},
+		"an end alone":        {func(w *CrashReporter) { w.RecordExit(begin(), "b") }, 0},
+		"two runs and the end": {func(w *CrashReporter) {
+			w.RecordLoss(begin(), lostAt("f", "b"))
+			w.RecordLoss(begin(), lostAt("g", "b"))
+			w.RecordExit(begin(), "b")
 		}, 2},
-		"the end of another start": {func(w *Witness) { w.Lose(begin(), lostAt("f", "b")); w.Ended(begin(), "c") }, 0},
-		"the end is told twice":    {func(w *Witness) { w.Lose(begin(), lostAt("f", "b")); w.Ended(begin(), "b"); w.Ended(begin(), "b") }, 1},
-		"a run is lost twice": {func(w *Witness) {
-			w.Lose(begin(), lostAt("f", "b"))
-			w.Lose(begin(), lostAt("f", "b"))
-			w.Ended(begin(), "b")
+		"the end of another start": {func(w *CrashReporter) { w.RecordLoss(begin(), lostAt("f", "b")); w.RecordExit(begin(), "c") }, 0},
+		"the end is told twice": {func(w *CrashReporter) {
+			w.RecordLoss(begin(), lostAt("f", "b"))
+			w.RecordExit(begin(), "b")
+			w.RecordExit(begin(), "b")
 		}, 1},
-		"a loss is noticed late": {func(w *Witness) {
-			w.Lose(begin(), lostAt("f", "b"))
-			w.Ended(begin(), "b")
-			w.Lose(begin(), lostAt("g", "b"))
+		"a run is lost twice": {func(w *CrashReporter) {
+			w.RecordLoss(begin(), lostAt("f", "b"))
+			w.RecordLoss(begin(), lostAt("f", "b"))
+			w.RecordExit(begin(), "b")
+		}, 1},
+		"a loss is noticed late": {func(w *CrashReporter) {
+			w.RecordLoss(begin(), lostAt("f", "b"))
+			w.RecordExit(begin(), "b")
+			w.RecordLoss(begin(), lostAt("g", "b"))
 		}, 2},
-		"it had said that it leaves": {func(w *Witness) { w.Leaves(begin(), "b"); w.Lose(begin(), lostAt("f", "b")); w.Ended(begin(), "b") }, 0},
-		"it says so after the loss":  {func(w *Witness) { w.Lose(begin(), lostAt("f", "b")); w.Leaves(begin(), "b"); w.Ended(begin(), "b") }, 0},
-		"the end is known long after the loss": {func(w *Witness) {
-			w.Lose(begin(), lostAt("f", "b"))
+		"it had said that it leaves": {func(w *CrashReporter) {
+			w.RecordLeaving(begin(), "b")
+			w.RecordLoss(begin(), lostAt("f", "b"))
+			w.RecordExit(begin(), "b")
+		}, 0},
+		"it says so after the loss": {func(w *CrashReporter) {
+			w.RecordLoss(begin(), lostAt("f", "b"))
+			w.RecordLeaving(begin(), "b")
+			w.RecordExit(begin(), "b")
+		}, 0},
+		"the end is known long after the loss": {func(w *CrashReporter) {
+			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.Tick(begin().Add(time.Minute))
-			w.Ended(begin(), "b")
+			w.RecordExit(begin(), "b")
 		}, 0},
-		"a follower tells the same": {func(w *Witness) {
-			w.Lose(begin(), lostAt("f", "b"))
-			w.Ended(begin(), "b")
-			w.Hear(begin(), []*wire.RunReport{lostAt("f", "b")})
+		"a follower tells the same": {func(w *CrashReporter) {
+			w.RecordLoss(begin(), lostAt("f", "b"))
+			w.RecordExit(begin(), "b")
+			w.Receive(begin(), []*wire.RunReport{lostAt("f", "b")})
+		}, 1},
+		"a run is completed again and again": {func(w *CrashReporter) {
+			w.RecordCompletion(begin(), lostAt("f", "b"))
+			w.RecordCompletion(begin(), lostAt("f", "b"))
 		}, 1},
-		"a run is completed again and again": {func(w *Witness) { w.Completed(begin(), lostAt("f", "b")); w.Completed(begin(), lostAt("f", "b")) }, 1},
-		"all of it is old": {func(w *Witness) {
-			w.Lose(begin(), lostAt("f", "b"))
-			w.Ended(begin(), "b")
+		"all of it is old": {func(w *CrashReporter) {
+			w.RecordLoss(begin(), lostAt("f", "b"))
+			w.RecordExit(begin(), "b")
 			w.Tick(begin().Add(time.Hour))
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			w := NewWitness()
+			w := NewCrashReporter()
 			test.happens(w)
 			reports, last := w.Reports(begin(), 0)
 			c.Check(reports, qt.HasLen, test.reports)
@@ -78,11 +93,11 @@
 	for name, n := range map[string]int{"few": 3, "more than a call carries": maxTold + 7, "more than are kept": maxReports + 100} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			w := NewWitness()
-			w.Lose(begin(), lostAt("first", "b"))
-			w.Ended(begin(), "b")
+			w := NewCrashReporter()
+			w.RecordLoss(begin(), lostAt("first", "b"))
+			w.RecordExit(begin(), "b")
 			for i := range n - 1 {
-				w.Lose(begin(), lostAt(fmt.Sprint(i), "b"))
+				w.RecordLoss(begin(), lostAt(fmt.Sprint(i), "b"))
 			}
 			known, seen := uint64(0), 0
 			for {
