--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -165,7 +165,7 @@
 		Clock: r.Clock, Log: r.Log, Storer: r.storer, Send: r.transporter.Send, Out: items,
 		OpenMembership: true, MaxVoters: s.Members.MaxVoters, SilentAfter: s.Timing.SilentMember,
 		Replicator: &replicator.Replicator{
-			ID: r.id, Heartbeat: s.Timing.Heartbeat, ElectionTimeout: s.Timing.ElectionTimeout, StartQuiet: r.startQuiet(), Random: mathrand.Int64N,
+			ID: r.id, Heartbeat: s.Timing.Heartbeat, ElectionTimeout: s.Timing.ElectionTimeout, StartupVoteDelay: r.startQuiet(), Random: mathrand.Int64N,
 		},
 	}
 	r.keeper.Init(contents)
--- a/pkg/replicator/cluster_test.go
+++ b/pkg/replicator/cluster_test.go
@@ -91,7 +91,7 @@
 // start begins a member from its disk.
 func (c *cluster) start(m *member) {
 	m.core = &replicator.Replicator{
-		ID: m.id, Heartbeat: heartbeat, ElectionTimeout: timeout, StartQuiet: c.startQuiet, Random: c.random.Int64N, MaxEntries: 8,
+		ID: m.id, Heartbeat: heartbeat, ElectionTimeout: timeout, StartupVoteDelay: c.startQuiet, Random: c.random.Int64N, MaxEntries: 8,
 	}
 	m.state = recorder.New()
 	if m.disk.snapshot != nil {
--- a/pkg/replicator/election.go
+++ b/pkg/replicator/election.go
@@ -44,7 +44,7 @@
 func (r *Replicator) resetElection(now time.Time) {
 	least, spread := r.ElectionTimeout, r.ElectionTimeout
 	if !r.leaderMet {
-		least, spread = r.StartQuiet, max(r.StartQuiet, r.ElectionTimeout/startSpread)
+		least, spread = r.StartupVoteDelay, max(r.StartupVoteDelay, r.ElectionTimeout/startSpread)
 	}
 	r.electionAt = now.Add(least + time.Duration(r.Random(int64(spread))))
 }
--- a/pkg/replicator/replicator.go
+++ b/pkg/replicator/replicator.go
@@ -82,11 +82,11 @@
 	// ElectionTimeout is the least time without a leader before an election. A
 	// member waits between one and two of them.
 	ElectionTimeout time.Duration
-	// StartQuiet is how long after its start a member gives no vote, since a leader may
+	// StartupVoteDelay is how long after its start a member gives no vote, since a leader may
 	// still hold a lease on what it said before. 0 is ElectionTimeout. Where nothing
 	// dangerous rests on a leader's lease, less of it lets a group that has restarted as a
 	// whole elect sooner.
-	StartQuiet time.Duration
+	StartupVoteDelay time.Duration
 	// Random returns a number in [0, n).
 	Random func(n int64) int64
 	// MaxEntries bounds the entries of one message.
@@ -161,7 +161,7 @@
 	r.rebuildConfigs()
 	r.becomeFollower(now, r.term, "")
 	// Votes are refused as if a leader had been heard StartQuiet before their time.
-	r.lastContact = now.Add(r.StartQuiet - r.ElectionTimeout)
+	r.lastContact = now.Add(r.StartupVoteDelay - r.ElectionTimeout)
 }
 
 func (r *Replicator) setDefaults() {
@@ -171,8 +171,8 @@
 	if r.ElectionTimeout == 0 {
 		r.ElectionTimeout = defaultElectionTimeout
 	}
-	if r.StartQuiet == 0 {
-		r.StartQuiet = r.ElectionTimeout
+	if r.StartupVoteDelay == 0 {
+		r.StartupVoteDelay = r.ElectionTimeout
 	}
 	if r.MaxEntries == 0 {
 		r.MaxEntries = defaultMaxEntries
