--- a/controller/keeper/keeper.go
+++ b/controller/keeper/keeper.go
@@ -121,7 +121,7 @@
 	k.ended = make(chan struct{})
 	k.waiting = map[uint64]proposal{}
 	k.joined = map[string]joinedMember{}
-	k.Replicator.Start(k.Clock.Now(), replicator.Stored{
+	k.Replicator.Start(k.Clock.Now(), replicator.PersistedState{
 		HardState: stored.HardState, Snapshot: stored.Snapshot, Entries: stored.Entries,
 	})
 	if stored.Snapshot != nil {
--- a/pkg/replicator/cluster_test.go
+++ b/pkg/replicator/cluster_test.go
@@ -97,7 +97,7 @@
 	if m.disk.snapshot != nil {
 		m.state, _ = recorder.Restore(m.disk.snapshot.GetState())
 	}
-	stored := replicator.Stored{HardState: m.disk.hard, Entries: slices.Clone(m.disk.entries)}
+	stored := replicator.PersistedState{HardState: m.disk.hard, Entries: slices.Clone(m.disk.entries)}
 	if m.disk.snapshot != nil {
 		stored.Snapshot = proto.CloneOf(m.disk.snapshot)
 	}
--- a/pkg/replicator/replicator.go
+++ b/pkg/replicator/replicator.go
@@ -42,8 +42,8 @@
 	defaultElectionTimeout = 600 * time.Millisecond
 )
 
-// Stored is what a member's disk held when it started.
-type Stored struct {
+// PersistedState is what a member's disk held when it started.
+type PersistedState struct {
 	HardState *wire.HardState
 	// Snapshot may be nil.
 	Snapshot *wire.Snapshot
@@ -143,7 +143,7 @@
 
 // Start sets the member up from its disk. It begins as a follower that has just
 // heard from a leader, so that a restart can't shorten a leader's lease.
-func (r *Replicator) Start(now time.Time, stored Stored) {
+func (r *Replicator) Start(now time.Time, stored PersistedState) {
 	r.setDefaults()
 	r.base = stored.Snapshot
 	if r.base == nil {
--- a/pkg/replicator/replicator_test.go
+++ b/pkg/replicator/replicator_test.go
@@ -275,7 +275,7 @@
 	now := time.Unix(0, 0)
 	config := &wire.Configuration{Voters: []*wire.Member{{Id: "a"}, {Id: "b"}, {Id: "c"}}}
 	r := &replicator.Replicator{ID: "a", Random: func(int64) int64 { return 0 }}
-	r.Start(now, replicator.Stored{
+	r.Start(now, replicator.PersistedState{
 		HardState: &wire.HardState{Term: 3},
 		Snapshot:  &wire.Snapshot{Index: 1, Term: 1, Configuration: config},
 		Entries:   []*wire.Entry{{Index: 2, Term: 2}},
