--- a/controller/keeper/compaction.go
+++ b/controller/keeper/compaction.go
@@ -39,7 +39,7 @@
 			pending.Drop()
 			return
 		}
-		err := k.Storer.CommitSnapshot(pending, k.Replicator.Stored())
+		err := k.Storer.CommitSnapshot(pending, k.Replicator.StoredEntries())
 		if storer.IsFull(err) {
 			// The old log still holds all that follows the snapshot.
 			k.Log.Warn("there is no room for a new log beside the snapshot", "Error", err.Error())
--- a/pkg/replicator/cluster_test.go
+++ b/pkg/replicator/cluster_test.go
@@ -222,7 +222,7 @@
 		state, _ := m.state.Snapshot()
 		s := &wire.Snapshot{Index: e.GetIndex(), State: state}
 		if m.core.Compact(s) == nil {
-			m.disk.snapshot, m.disk.entries = proto.CloneOf(s), slices.Clone(m.core.Stored())
+			m.disk.snapshot, m.disk.entries = proto.CloneOf(s), slices.Clone(m.core.StoredEntries())
 		}
 	}
 }
--- a/pkg/replicator/replicator.go
+++ b/pkg/replicator/replicator.go
@@ -232,8 +232,8 @@
 	return nil
 }
 
-// Stored returns the entries behind the snapshot that were handed out to be synced.
-func (r *Replicator) Stored() []*wire.Entry { return r.slice(r.base.GetIndex()+1, r.unstable) }
+// StoredEntries returns the entries behind the snapshot that were handed out to be synced.
+func (r *Replicator) StoredEntries() []*wire.Entry { return r.slice(r.base.GetIndex()+1, r.unstable) }
 
 // Role returns what the member is now.
 func (r *Replicator) Role() Role { return r.role }
