--- a/controller/keeper/storing.go
+++ b/controller/keeper/storing.go
@@ -35,7 +35,7 @@
 		k.held = nil
 		return rd
 	}
-	rd := k.Replicator.Take()
+	rd := k.Replicator.TakeReady()
 	return &rd
 }
 
--- a/pkg/replicator/cluster_test.go
+++ b/pkg/replicator/cluster_test.go
@@ -176,7 +176,7 @@
 // carryOut does what a member asks for, as a controller would.
 func (c *cluster) carryOut(m *member) {
 	for {
-		rd := m.core.Take()
+		rd := m.core.TakeReady()
 		if rd.Empty() {
 			return
 		}
--- a/pkg/replicator/replicator.go
+++ b/pkg/replicator/replicator.go
@@ -179,9 +179,9 @@
 	}
 }
 
-// Take returns what has accumulated since the last call. The caller carries it
+// TakeReady returns what has accumulated since the last call. The caller carries it
 // out and then calls Synced.
-func (r *Replicator) Take() Ready {
+func (r *Replicator) TakeReady() Ready {
 	rd := Ready{Messages: r.outbox, Snapshot: r.install}
 	r.outbox, r.install = nil, nil
 	if r.hardDirty {
--- a/pkg/replicator/replicator_test.go
+++ b/pkg/replicator/replicator_test.go
@@ -283,7 +283,7 @@
 	r.Tick(now.Add(time.Minute))
 	answer := func(kind wire.MessageKind, term, index uint64) {
 		r.Step(now.Add(time.Minute), &wire.Message{Kind: kind, From: "b", To: "a", Term: term, LogIndex: index, Round: 1})
-		rd := r.Take()
+		rd := r.TakeReady()
 		if n := len(rd.Entries); n > 0 {
 			r.Synced(rd.Entries[n-1].GetIndex())
 		}
