--- a/controller/keeper/compaction.go
+++ b/controller/keeper/compaction.go
@@ -15,7 +15,7 @@
 func (k *Keeper) Compact(index uint64, state []byte) {
 	s := &wire.Snapshot{Index: index, State: state}
 	described := make(chan bool, 1)
-	k.request(func(time.Time) { described <- k.Replicator.Describe(s) })
+	k.request(func(time.Time) { described <- k.Replicator.FillMetadata(s) })
 	select {
 	case ok := <-described:
 		if !ok {
--- a/pkg/replicator/replicator.go
+++ b/pkg/replicator/replicator.go
@@ -208,9 +208,9 @@
 	}
 }
 
-// Describe fills in the term and the configuration of a snapshot of applied state. It
+// FillMetadata fills in the term and the configuration of a snapshot of applied state. It
 // reports false when the log has no place for it any more.
-func (r *Replicator) Describe(s *wire.Snapshot) bool {
+func (r *Replicator) FillMetadata(s *wire.Snapshot) bool {
 	if s.GetIndex() <= r.base.GetIndex() || s.GetIndex() > r.emitted {
 		return false
 	}
@@ -222,7 +222,7 @@
 // Compact replaces the log up to the snapshot's index by the snapshot, which must be
 // of applied state.
 func (r *Replicator) Compact(s *wire.Snapshot) error {
-	if !r.Describe(s) {
+	if !r.FillMetadata(s) {
 		return fail("Compact", KindIndex, "index %d is not between %d and %d", s.GetIndex(), r.base.GetIndex(), r.emitted)
 	}
 	rest := r.slice(s.GetIndex()+1, r.lastIndex()+1)
