--- a/controller/keeper/members.go
+++ b/controller/keeper/members.go
@@ -44,7 +44,7 @@
 		MaxVoters:     k.MaxVoters,
 	}
 	if k.SilentAfter > 0 {
-		facts.Silent = func(id string) bool { return now.Sub(k.Replicator.LastHeard(id)) > k.SilentAfter }
+		facts.Silent = func(id string) bool { return now.Sub(k.Replicator.LastContact(id)) > k.SilentAfter }
 	}
 	next := recruiter.Next(facts)
 	if next == nil {
--- a/pkg/replicator/members.go
+++ b/pkg/replicator/members.go
@@ -106,9 +106,9 @@
 	return config
 }
 
-// LastHeard returns when the latest message was sent that a member has answered, as a
+// LastContact returns when the latest message was sent that a member has answered, as a
 // leader knows it; the start of the term if it has answered none.
-func (r *Replicator) LastHeard(id string) time.Time {
+func (r *Replicator) LastContact(id string) time.Time {
 	p := r.progress[id]
 	if p == nil || p.ackedAt.Before(r.leaderSince) {
 		return r.leaderSince
