--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -71,7 +71,7 @@
 	compacting atomic.Bool
 
 	term     uint64
-	leaser   *leaser.Leaser
+	leaser   *leaser.Tracker
 	limiter  *limiter.Limiter
 	planner  *planner.Planner
 	services map[string]*service
@@ -195,7 +195,7 @@
 // begin starts a term: the sessions are known from the log, what they hold is not.
 func (c *Coordinator) begin(now time.Time, term uint64) {
 	c.term = term
-	c.leaser = &leaser.Leaser{Lease: c.Lease, LongestRequest: c.LongestRequest}
+	c.leaser = &leaser.Tracker{Lease: c.Lease, LongestRequest: c.LongestRequest}
 	c.limiter = &limiter.Limiter{}
 	c.planner = &planner.Planner{Policy: c.Policy}
 	c.planner.Start(now, term)
--- a/pkg/leaser/leaser.go
+++ b/pkg/leaser/leaser.go
@@ -36,8 +36,8 @@
 	closing time.Time
 }
 
-// Leaser holds the sessions. Set the exported fields before use.
-type Leaser struct {
+// Tracker holds the sessions. Set the exported fields before use.
+type Tracker struct {
 	// Lease is how long a session lives after its last renewal.
 	Lease time.Duration
 	// LongestRequest is how long a request may run after its dispatch.
@@ -71,7 +71,7 @@
 
 // Open adds a session with its ID and origin set. With adopted set it was opened
 // under an earlier leader, and what it holds is unknown.
-func (l *Leaser) Open(now time.Time, s Session, adopted bool) {
+func (l *Tracker) Open(now time.Time, s Session, adopted bool) {
 	l.init()
 	if l.sessions[s.ID] != nil {
 		return
@@ -82,12 +82,12 @@
 
 // AdoptEnded notes a session that ended under an earlier leader, without handing
 // back what it held.
-func (l *Leaser) AdoptEnded(now time.Time, id SessionID) {
+func (l *Tracker) AdoptEnded(now time.Time, id SessionID) {
 	l.init()
 	l.ended[id] = endedSession{until: now.Add(l.LongestRequest)}
 }
 
-func (l *Leaser) init() {
+func (l *Tracker) init() {
 	if l.sessions == nil {
 		l.sessions = map[SessionID]*Session{}
 		l.ended = map[SessionID]endedSession{}
@@ -96,7 +96,7 @@
 
 // Renew takes a renewal. Only a full one is accepted from a session that has not
 // reported yet.
-func (l *Leaser) Renew(now time.Time, id SessionID, sequence, revision uint64, full bool) Verdict {
+func (l *Tracker) Renew(now time.Time, id SessionID, sequence, revision uint64, full bool) Verdict {
 	s := l.sessions[id]
 	switch {
 	case s == nil || !s.closing.IsZero():
@@ -117,7 +117,7 @@
 // Expired returns sessions whose lease has run out and whose end the caller has to
 // put into the log. One whose end has not come there within a lease is returned
 // again: the proposal may have been lost.
-func (l *Leaser) Expired(now time.Time) []SessionID {
+func (l *Tracker) Expired(now time.Time) []SessionID {
 	var expired []SessionID
 	for id, s := range l.sessions {
 		if now.Sub(s.Renewed) > l.Lease && now.Sub(s.closing) > l.Lease {
@@ -131,7 +131,7 @@
 
 // Closed notes that a session's end is in the log. A graceful end has handed
 // everything back and frees it at once.
-func (l *Leaser) Closed(now time.Time, id SessionID, graceful bool) {
+func (l *Tracker) Closed(now time.Time, id SessionID, graceful bool) {
 	s := l.sessions[id]
 	if s == nil {
 		return
@@ -145,7 +145,7 @@
 }
 
 // Freed returns ended sessions under which nothing can run any more, once each.
-func (l *Leaser) Freed(now time.Time) []SessionID {
+func (l *Tracker) Freed(now time.Time) []SessionID {
 	var freed []SessionID
 	for id, e := range l.ended {
 		if !now.Before(e.until) {
@@ -159,7 +159,7 @@
 
 // Settled reports whether this leader knows what every session holds that may have
 // a request running. Before that nothing may be evicted.
-func (l *Leaser) Settled() bool {
+func (l *Tracker) Settled() bool {
 	for _, s := range l.sessions {
 		if !s.Reported {
 			return false
@@ -174,7 +174,7 @@
 }
 
 // Lagging returns the live sessions that have not applied a revision.
-func (l *Leaser) Lagging(revision uint64) []*Session {
+func (l *Tracker) Lagging(revision uint64) []*Session {
 	var lagging []*Session
 	for _, s := range l.All() {
 		if s.Revision < revision {
@@ -185,10 +185,10 @@
 }
 
 // Get returns a live session, or nil.
-func (l *Leaser) Get(id SessionID) *Session { return l.sessions[id] }
+func (l *Tracker) Get(id SessionID) *Session { return l.sessions[id] }
 
 // All returns the live sessions by id.
-func (l *Leaser) All() []*Session {
+func (l *Tracker) All() []*Session {
 	all := make([]*Session, 0, len(l.sessions))
 	for _, s := range l.sessions {
 		all = append(all, s)
