--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -195,7 +195,7 @@
 // begin starts a term: the sessions are known from the log, what they hold is not.
 func (c *Coordinator) begin(now time.Time, term uint64) {
 	c.term = term
-	c.leaser = &leaser.Tracker{Lease: c.Lease, LongestRequest: c.LongestRequest}
+	c.leaser = &leaser.Tracker{Lease: c.Lease, MaxRequestDuration: c.LongestRequest}
 	c.limiter = &limiter.Limiter{}
 	c.planner = &planner.Planner{Policy: c.Policy}
 	c.planner.Start(now, term)
--- a/pkg/leaser/leaser.go
+++ b/pkg/leaser/leaser.go
@@ -40,8 +40,8 @@
 type Tracker struct {
 	// Lease is how long a session lives after its last renewal.
 	Lease time.Duration
-	// LongestRequest is how long a request may run after its dispatch.
-	LongestRequest time.Duration
+	// MaxRequestDuration is how long a request may run after its dispatch.
+	MaxRequestDuration time.Duration
 
 	sessions map[SessionID]*Session
 	ended    map[SessionID]endedSession
@@ -84,7 +84,7 @@
 // back what it held.
 func (l *Tracker) AdoptEnded(now time.Time, id SessionID) {
 	l.init()
-	l.ended[id] = endedSession{until: now.Add(l.LongestRequest)}
+	l.ended[id] = endedSession{until: now.Add(l.MaxRequestDuration)}
 }
 
 func (l *Tracker) init() {
@@ -139,7 +139,7 @@
 	delete(l.sessions, id)
 	until := now
 	if !graceful {
-		until = now.Add(l.LongestRequest)
+		until = now.Add(l.MaxRequestDuration)
 	}
 	l.ended[id] = endedSession{until: until, known: s.Reported || graceful}
 }
--- a/pkg/leaser/leaser_test.go
+++ b/pkg/leaser/leaser_test.go
@@ -14,7 +14,7 @@
 func start() time.Time { return time.Unix(1000, 0) }
 
 func newLeaser(adopted bool) *leaser.Tracker {
-	l := &leaser.Tracker{Lease: lease, LongestRequest: time.Minute}
+	l := &leaser.Tracker{Lease: lease, MaxRequestDuration: time.Minute}
 	l.Open(start(), leaser.Session{ID: 1, Instance: "entry-1"}, adopted)
 	return l
 }
