--- a/pkg/leaser/leaser.go
+++ b/pkg/leaser/leaser.go
@@ -54,13 +54,13 @@
 	known bool
 }
 
-// Verdict is what a renewal led to.
-type Verdict int
+// RenewResult is what a renewal led to.
+type RenewResult int
 
 // The verdicts on a renewal.
 const (
 	// Renewed means that the session lives on.
-	Renewed Verdict = iota
+	Renewed RenewResult = iota
 	// Ended means that the session is over; the gateway must open a new one.
 	Ended
 	// Stale means that a later renewal of the session was seen before.
@@ -96,7 +96,7 @@
 
 // Renew takes a renewal. Only a full one is accepted from a session that has not
 // reported yet.
-func (l *Tracker) Renew(now time.Time, id SessionID, sequence, revision uint64, full bool) Verdict {
+func (l *Tracker) Renew(now time.Time, id SessionID, sequence, revision uint64, full bool) RenewResult {
 	s := l.sessions[id]
 	switch {
 	case s == nil || !s.closing.IsZero():
--- a/pkg/leaser/leaser_test.go
+++ b/pkg/leaser/leaser_test.go
@@ -25,7 +25,7 @@
 		id       leaser.SessionID
 		sequence uint64
 		full     bool
-		want     leaser.Verdict
+		want     leaser.RenewResult
 	}{
 		"a session of this leader":                {id: 1, sequence: 1, want: leaser.Renewed},
 		"an unknown session":                      {id: 2, sequence: 1, want: leaser.Ended},
