--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -117,6 +117,6 @@
 func sessionStatus(now time.Time, s *leaser.Session) *wire.SessionStatus {
 	return &wire.SessionStatus{
 		Session: uint64(s.ID), Instance: s.Instance, Zone: s.Zone, Address: s.Address,
-		Revision: s.Revision, SilentNs: int64(now.Sub(s.Renewed)),
+		Revision: s.Revision, SilentNs: int64(now.Sub(s.RenewedAt)),
 	}
 }
--- a/pkg/leaser/leaser.go
+++ b/pkg/leaser/leaser.go
@@ -24,8 +24,8 @@
 	Instance string
 	Zone     string
 	Address  string
-	// Renewed is when the leader last received a renewal.
-	Renewed time.Time
+	// RenewedAt is when the leader last received a renewal.
+	RenewedAt time.Time
 	// Sequence is the number of that renewal.
 	Sequence uint64
 	// Revision is the last change of contracts that the gateway has applied.
@@ -76,7 +76,7 @@
 	if l.sessions[s.ID] != nil {
 		return
 	}
-	s.Renewed, s.Reported = now, !adopted
+	s.RenewedAt, s.Reported = now, !adopted
 	l.sessions[s.ID] = &s
 }
 
@@ -105,7 +105,7 @@
 		return Stale
 	}
 	s.Sequence = sequence
-	s.Renewed = now
+	s.RenewedAt = now
 	s.Revision = max(s.Revision, revision)
 	if !s.Reported && !full {
 		return NeedFull
@@ -120,7 +120,7 @@
 func (l *Tracker) Expired(now time.Time) []SessionID {
 	var expired []SessionID
 	for id, s := range l.sessions {
-		if now.Sub(s.Renewed) > l.Lease && now.Sub(s.closing) > l.Lease {
+		if now.Sub(s.RenewedAt) > l.Lease && now.Sub(s.closing) > l.Lease {
 			s.closing = now
 			expired = append(expired, id)
 		}
