--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -240,7 +240,7 @@
 	}
 	if closed := result.Closed; closed != nil {
 		id := leaser.SessionID(closed.GetSession())
-		c.leaser.Closed(c.Clock.Now(), id, closed.GetGraceful())
+		c.leaser.RecordClosed(c.Clock.Now(), id, closed.GetGraceful())
 		c.planner.ForgetDemand(id)
 	}
 	if a := result.Apply; a != nil && a.GetContract() != nil {
--- a/pkg/leaser/leaser.go
+++ b/pkg/leaser/leaser.go
@@ -129,9 +129,9 @@
 	return expired
 }
 
-// Closed notes that a session's end is in the log. A graceful end has handed
+// RecordClosed notes that a session's end is in the log. A graceful end has handed
 // everything back and frees it at once.
-func (l *Tracker) Closed(now time.Time, id SessionID, graceful bool) {
+func (l *Tracker) RecordClosed(now time.Time, id SessionID, graceful bool) {
 	s := l.sessions[id]
 	if s == nil {
 		return
--- a/pkg/leaser/leaser_test.go
+++ b/pkg/leaser/leaser_test.go
@@ -55,7 +55,7 @@
 	c.Assert(l.Renew(late, 1, 1, 0, true), qt.Equals, leaser.Ended)
 	again := late.Add(lease + time.Millisecond)
 	c.Assert(l.Expired(again), qt.DeepEquals, []leaser.SessionID{1})
-	l.Closed(again, 1, false)
+	l.RecordClosed(again, 1, false)
 	c.Assert(l.Expired(again.Add(time.Hour)), qt.HasLen, 0)
 	// What it held comes back only when nothing of it can run any more.
 	c.Assert(l.Freed(again.Add(time.Minute-time.Millisecond)), qt.HasLen, 0)
