--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -280,7 +280,7 @@
 		// Engines and leases are still being reported.
 		return
 	}
-	c.planner.SetSettled(c.leaser.Settled())
+	c.planner.SetSettled(c.leaser.HoldingsKnown())
 	for _, order := range c.planner.Plan(now) {
 		c.carry(order)
 	}
--- a/pkg/leaser/leaser.go
+++ b/pkg/leaser/leaser.go
@@ -157,9 +157,9 @@
 	return freed
 }
 
-// Settled reports whether this leader knows what every session holds that may have
+// HoldingsKnown reports whether this leader knows what every session holds that may have
 // a request running. Before that nothing may be evicted.
-func (l *Tracker) Settled() bool {
+func (l *Tracker) HoldingsKnown() bool {
 	for _, s := range l.sessions {
 		if !s.Reported {
 			return false
--- a/pkg/leaser/leaser_test.go
+++ b/pkg/leaser/leaser_test.go
@@ -38,7 +38,7 @@
 			c := qt.New(t)
 			l := newLeaser(tc.adopted)
 			c.Assert(l.Renew(start(), tc.id, tc.sequence, 0, tc.full), qt.Equals, tc.want)
-			c.Assert(l.Settled(), qt.Equals, !tc.adopted || tc.full)
+			c.Assert(l.HoldingsKnown(), qt.Equals, !tc.adopted || tc.full)
 		})
 	}
 }
@@ -66,9 +66,9 @@
 	c := qt.New(t)
 	l := newLeaser(true)
 	l.AdoptEnded(start(), 9)
-	c.Assert(l.Settled(), qt.IsFalse)
+	c.Assert(l.HoldingsKnown(), qt.IsFalse)
 	l.Renew(start(), 1, 1, 0, true)
-	c.Assert(l.Settled(), qt.IsFalse, qt.Commentf("requests of the ended session may still run"))
+	c.Assert(l.HoldingsKnown(), qt.IsFalse, qt.Commentf("requests of the ended session may still run"))
 	c.Assert(l.Freed(start().Add(time.Minute)), qt.DeepEquals, []leaser.SessionID{9})
-	c.Assert(l.Settled(), qt.IsTrue)
+	c.Assert(l.HoldingsKnown(), qt.IsTrue)
 }
