--- a/pkg/storer/storer.go
+++ b/pkg/storer/storer.go
@@ -34,8 +34,8 @@
 	HardState *wire.HardState
 	Snapshot  *wire.Snapshot
 	Entries   []*wire.Entry
-	// Cut is the number of bytes of a torn tail that were dropped.
-	Cut int
+	// TornBytes is the number of bytes of a torn tail that were dropped.
+	TornBytes int
 }
 
 // Storer writes to one data folder. Set Folder, then call Open.
@@ -279,11 +279,11 @@
 	if err := c.replay(records); err != nil {
 		return err
 	}
-	c.Cut = len(buf) - good
+	c.TornBytes = len(buf) - good
 	if err := s.openLog(); err != nil {
 		return err
 	}
-	if c.Cut == 0 {
+	if c.TornBytes == 0 {
 		return s.syncFolder()
 	}
 	if err := s.log.Truncate(int64(good)); err != nil {
--- a/pkg/storer/storer_test.go
+++ b/pkg/storer/storer_test.go
@@ -202,7 +202,7 @@
 		c.Assert(s.Close(), qt.IsNil)
 		again, err := (&storer.Storer{Folder: folder}).Open()
 		c.Assert(err, qt.IsNil)
-		c.Assert(again.Cut, qt.Equals, 0)
+		c.Assert(again.TornBytes, qt.Equals, 0)
 		c.Assert(proto.Equal(again.HardState, got.HardState), qt.IsTrue)
 		c.Assert(again.Entries, qt.HasLen, len(got.Entries))
 	})
@@ -235,7 +235,7 @@
 	c.Assert(s.Close(), qt.IsNil)
 	contents, err := (&storer.Storer{Folder: folder}).Open()
 	c.Assert(err, qt.IsNil)
-	c.Check(contents.Cut, qt.Equals, 0)
+	c.Check(contents.TornBytes, qt.Equals, 0)
 	c.Check(contents.Entries, qt.HasLen, 2)
 	c.Check(contents.HardState.GetTerm(), qt.Equals, uint64(1))
 }
