--- a/controller/keeper/compaction.go
+++ b/controller/keeper/compaction.go
@@ -36,7 +36,7 @@
 	k.request(func(time.Time) {
 		if err := k.Replicator.Compact(s); err != nil {
 			// A leader's snapshot came first.
-			pending.Drop()
+			pending.Discard()
 			return
 		}
 		err := k.Storer.CommitSnapshot(pending, k.Replicator.StoredEntries())
--- a/pkg/storer/storer.go
+++ b/pkg/storer/storer.go
@@ -161,8 +161,8 @@
 	file *renameio.PendingFile
 }
 
-// Drop forgets a snapshot that came too late.
-func (p *PendingSnapshot) Drop() { _ = p.file.Cleanup() }
+// Discard forgets a snapshot that came too late.
+func (p *PendingSnapshot) Discard() { _ = p.file.Cleanup() }
 
 // PrepareSnapshot writes and syncs a snapshot that CommitSnapshot puts into force. It
 // may run beside the other methods.
@@ -180,11 +180,11 @@
 	}
 	pending := &PendingSnapshot{file: file}
 	if _, err := file.Write(appendRecord(nil, recordSnapshot, payload)); err != nil {
-		pending.Drop()
+		pending.Discard()
 		return nil, diskFault("PrepareSnapshot", err)
 	}
 	if err := file.Sync(); err != nil {
-		pending.Drop()
+		pending.Discard()
 		return nil, diskFault("PrepareSnapshot", err)
 	}
 	return pending, nil
--- a/pkg/storer/storer_test.go
+++ b/pkg/storer/storer_test.go
@@ -166,7 +166,7 @@
 	c.Assert(err, qt.IsNil)
 	// A leader's newer one comes first.
 	c.Assert(s.SaveSnapshot(&wire.Snapshot{Index: 15, Term: 1}, nil), qt.IsNil)
-	pending.Drop()
+	pending.Discard()
 	c.Assert(s.Close(), qt.IsNil)
 	got, err := (&storer.Storer{Folder: folder}).Open()
 	c.Assert(err, qt.IsNil)
