--- a/controller/app/folder.go
+++ b/controller/app/folder.go
@@ -26,7 +26,7 @@
 		_, _, err = f.storer.Identity()
 	}
 	if storer.IsDamaged(err) {
-		aside, moveErr := f.storer.SetAside(clock.Now())
+		aside, moveErr := f.storer.MoveDamagedFiles(clock.Now())
 		if moveErr != nil {
 			return nil, errors.Wrap(moveErr, "app")
 		}
--- a/pkg/storer/storer.go
+++ b/pkg/storer/storer.go
@@ -226,9 +226,9 @@
 	return s.openLog()
 }
 
-// SetAside moves the files of a damaged folder away, so that the instance can
+// MoveDamagedFiles moves the files of a damaged folder away, so that the instance can
 // join again with an empty one. Nothing is deleted.
-func (s *Storer) SetAside(now time.Time) (string, error) {
+func (s *Storer) MoveDamagedFiles(now time.Time) (string, error) {
 	aside := s.path("Damaged-" + strconv.FormatInt(now.UnixNano(), 10))
 	if err := os.MkdirAll(aside, folderPerm); err != nil {
 		return "", diskFault("SetAside", err)
--- a/pkg/storer/storer_test.go
+++ b/pkg/storer/storer_test.go
@@ -116,7 +116,7 @@
 
 // rejoinsEmpty checks that a damaged disk has no identity, and so no vote, any more.
 func rejoinsEmpty(c *qt.C, s *storer.Storer) {
-	aside, err := s.SetAside(time.Unix(1, 0))
+	aside, err := s.MoveDamagedFiles(time.Unix(1, 0))
 	c.Assert(err, qt.IsNil)
 	_, err = os.Stat(filepath.Join(aside, "Identity"))
 	c.Assert(err, qt.IsNil)
