--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -27,7 +27,7 @@
 type Arbiter struct {
 	Log *slog.Logger
 	// State returns the replicated state.
-	State func() *recorder.Recorder
+	State func() *recorder.StateMachine
 	// Propose commits a change in the background.
 	Propose func(cmd *wire.Command)
 	// Gateways returns where all gateways are reached.
@@ -37,7 +37,7 @@
 
 	judge *quarantiner.Quarantiner
 	// known is the state that the judge knows, as of heldRevision. A snapshot brings another.
-	known        *recorder.Recorder
+	known        *recorder.StateMachine
 	heldRevision uint64
 	// dropped is how many that state has let go for want of room.
 	dropped int
@@ -105,7 +105,7 @@
 }
 
 // countDropped counts the requests that have made room for others.
-func (a *Arbiter) countDropped(state *recorder.Recorder) {
+func (a *Arbiter) countDropped(state *recorder.StateMachine) {
 	if state != a.known {
 		a.dropped = 0
 	}
--- a/controller/arbiter/arbiter_test.go
+++ b/controller/arbiter/arbiter_test.go
@@ -17,7 +17,7 @@
 // court is an arbiter whose log commits each change at once.
 type court struct {
 	*Arbiter
-	state *recorder.Recorder
+	state *recorder.StateMachine
 	index uint64
 	now   time.Time
 	// counted are the changes that were counted.
@@ -27,7 +27,7 @@
 func newCourt() *court {
 	t := &court{Arbiter: &Arbiter{}, state: recorder.New(), now: time.Unix(1000, 0), counted: map[string]int{}}
 	t.Log = slog.New(slog.DiscardHandler)
-	t.State = func() *recorder.Recorder { return t.state }
+	t.State = func() *recorder.StateMachine { return t.state }
 	t.Propose = t.commit
 	t.Gateways = func() []string { return []string{"a:1", "b:1", "c:1"} }
 	t.Count = func(change string) { t.counted[change]++ }
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -65,7 +65,7 @@
 	arbiter  arbiter.Arbiter
 	calls    *caller.Caller
 	admitted atomic.Pointer[keeper.Admission]
-	state    *recorder.Recorder
+	state    *recorder.StateMachine
 	snapshot uint64
 	// compacting is set while a snapshot is being made.
 	compacting atomic.Bool
--- a/controller/coordinator/isolation.go
+++ b/controller/coordinator/isolation.go
@@ -9,7 +9,7 @@
 
 func (c *Coordinator) initArbiter() {
 	c.arbiter.Log = c.Log
-	c.arbiter.State = func() *recorder.Recorder { return c.state }
+	c.arbiter.State = func() *recorder.StateMachine { return c.state }
 	c.arbiter.Propose = c.propose
 	c.arbiter.Gateways = c.gatewayAddresses
 	c.arbiter.Count = c.CountHeld
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -92,7 +92,7 @@
 
 	calls      *caller.Caller
 	epoch      uint64
-	state      *recorder.Recorder
+	state      *recorder.StateMachine
 	snapshot   uint64
 	logBytes   int
 	compacting atomic.Bool
--- a/pkg/recorder/claims.go
+++ b/pkg/recorder/claims.go
@@ -6,7 +6,7 @@
 
 // claim gives a key to the first request that asks for it. Everybody later gets
 // the claim as it stands; only the owner's own repeat is granted again.
-func (r *Recorder) claim(cmd *wire.ClaimCommand) *wire.ClaimResponse {
+func (r *StateMachine) claim(cmd *wire.ClaimCommand) *wire.ClaimResponse {
 	key := ClaimKey{Customer: cmd.GetCustomer(), Key: cmd.GetKey()}
 	if c := r.claims[key]; c != nil {
 		own := c.GetState() == wire.ClaimState_CLAIM_STATE_RUNNING && !c.GetOrphaned() &&
@@ -29,7 +29,7 @@
 	return &wire.ClaimResponse{Granted: true, Claim: c}
 }
 
-func (r *Recorder) own(key ClaimKey, c *wire.Claim) {
+func (r *StateMachine) own(key ClaimKey, c *wire.Claim) {
 	session := c.GetCommand().GetSession()
 	if r.owned[session] == nil {
 		r.owned[session] = map[ClaimKey]bool{}
@@ -38,7 +38,7 @@
 }
 
 // running returns the claim if the request still holds it.
-func (r *Recorder) running(key ClaimKey, requestID string) *wire.Claim {
+func (r *StateMachine) running(key ClaimKey, requestID string) *wire.Claim {
 	c := r.claims[key]
 	if c.GetCommand().GetRequestId() != requestID || c.GetState() != wire.ClaimState_CLAIM_STATE_RUNNING {
 		return nil
@@ -47,7 +47,7 @@
 }
 
 // finish stores the outcome of a request. The first outcome stands.
-func (r *Recorder) finish(cmd *wire.FinishCommand) *wire.Outcome {
+func (r *StateMachine) finish(cmd *wire.FinishCommand) *wire.Outcome {
 	key := ClaimKey{Customer: cmd.GetCustomer(), Key: cmd.GetKey()}
 	if c := r.running(key, cmd.GetRequestId()); c != nil {
 		// A claim is replaced, never changed: a snapshot may be encoding it.
@@ -62,7 +62,7 @@
 
 // release takes a claim back whose request is known not to have run. A claim that
 // has not come into the log yet is kept out of it.
-func (r *Recorder) release(cmd *wire.ReleaseCommand) {
+func (r *StateMachine) release(cmd *wire.ReleaseCommand) {
 	key := ClaimKey{Customer: cmd.GetCustomer(), Key: cmd.GetKey()}
 	if r.running(key, cmd.GetRequestId()) != nil {
 		r.dropClaim(key)
@@ -73,12 +73,12 @@
 	}
 }
 
-func (r *Recorder) dropClaim(key ClaimKey) {
+func (r *StateMachine) dropClaim(key ClaimKey) {
 	r.disown(key, r.claims[key])
 	delete(r.claims, key)
 }
 
-func (r *Recorder) disown(key ClaimKey, c *wire.Claim) {
+func (r *StateMachine) disown(key ClaimKey, c *wire.Claim) {
 	session := c.GetCommand().GetSession()
 	delete(r.owned[session], key)
 	if len(r.owned[session]) == 0 {
--- a/pkg/recorder/contracts.go
+++ b/pkg/recorder/contracts.go
@@ -15,7 +15,7 @@
 // applyContract takes a change if it was made from the contract's present
 // version. Of several changes made from equal versions exactly one wins. A change
 // id that was seen before gets its first outcome again.
-func (r *Recorder) applyContract(cmd *wire.ApplyContract) *wire.ApplyResponse {
+func (r *StateMachine) applyContract(cmd *wire.ApplyContract) *wire.ApplyResponse {
 	customer := cmd.GetContract().GetCustomer()
 	digest := changeDigest(cmd)
 	if first := r.outcomes[cmd.GetChangeId()]; first != nil {
@@ -36,7 +36,7 @@
 	return r.response(customer, outcome)
 }
 
-func (r *Recorder) store(cmd *wire.ApplyContract) {
+func (r *StateMachine) store(cmd *wire.ApplyContract) {
 	contract := proto.CloneOf(cmd.GetContract())
 	contract.Version = cmd.GetBaseVersion() + 1
 	r.revision = r.applied
@@ -52,7 +52,7 @@
 	}
 }
 
-func (r *Recorder) response(customer string, outcome *wire.ChangeOutcome) *wire.ApplyResponse {
+func (r *StateMachine) response(customer string, outcome *wire.ChangeOutcome) *wire.ApplyResponse {
 	res := &wire.ApplyResponse{
 		Conflict: outcome.GetConflict(), Revision: outcome.GetRevision(), Contract: r.Contract(customer),
 	}
@@ -77,10 +77,12 @@
 }
 
 // Contract returns a customer's present contract, or nil.
-func (r *Recorder) Contract(customer string) *wire.Contract { return r.latest[customer].GetContract() }
+func (r *StateMachine) Contract(customer string) *wire.Contract {
+	return r.latest[customer].GetContract()
+}
 
 // Contracts returns all present contracts by customer.
-func (r *Recorder) Contracts() []*wire.Contract {
+func (r *StateMachine) Contracts() []*wire.Contract {
 	var all []*wire.Contract
 	for _, customer := range slices.Sorted(maps.Keys(r.latest)) {
 		all = append(all, r.latest[customer].GetContract())
@@ -89,7 +91,7 @@
 }
 
 // ChangedSince returns the contracts that changed after a revision.
-func (r *Recorder) ChangedSince(revision uint64) []*wire.Contract {
+func (r *StateMachine) ChangedSince(revision uint64) []*wire.Contract {
 	if revision >= r.revision {
 		return nil
 	}
@@ -110,10 +112,10 @@
 }
 
 // History returns the kept changes of a customer's contract, oldest first.
-func (r *Recorder) History(customer string) []*wire.ChangeRecord { return r.history[customer] }
+func (r *StateMachine) History(customer string) []*wire.ChangeRecord { return r.history[customer] }
 
 // Drained returns the names of backend servers that get no new work.
-func (r *Recorder) Drained() []string { return slices.Sorted(maps.Keys(r.drained)) }
+func (r *StateMachine) Drained() []string { return slices.Sorted(maps.Keys(r.drained)) }
 
 // AdmittedMembers returns the names of instances that may become members.
-func (r *Recorder) AdmittedMembers() []string { return slices.Sorted(maps.Keys(r.admitted)) }
+func (r *StateMachine) AdmittedMembers() []string { return slices.Sorted(maps.Keys(r.admitted)) }
--- a/pkg/recorder/held.go
+++ b/pkg/recorder/held.go
@@ -26,7 +26,7 @@
 )
 
 // hold takes up a request that is refused from here on.
-func (r *Recorder) hold(h *wire.HeldRequest) {
+func (r *StateMachine) hold(h *wire.HeldRequest) {
 	if h.GetFingerprint() == "" {
 		return
 	}
@@ -41,10 +41,10 @@
 }
 
 // HeldDropped returns how many requests have made room for others in this process.
-func (r *Recorder) HeldDropped() int { return r.heldDropped }
+func (r *StateMachine) HeldDropped() int { return r.heldDropped }
 
 // tryHeldAgain lets requests be tried again whose adapter or model has a new version.
-func (r *Recorder) tryHeldAgain(v *wire.AdapterVersion) {
+func (r *StateMachine) tryHeldAgain(v *wire.AdapterVersion) {
 	for fingerprint, h := range r.held {
 		if isOf(h.GetModel(), v) && !h.GetOnTrial() {
 			r.setOnTrial(fingerprint, h)
@@ -62,7 +62,7 @@
 	return model == v.GetModel()+"/"+v.GetAdapter()
 }
 
-func (r *Recorder) setOnTrial(fingerprint string, h *wire.HeldRequest) {
+func (r *StateMachine) setOnTrial(fingerprint string, h *wire.HeldRequest) {
 	h = proto.CloneOf(h)
 	h.OnTrial = true
 	r.heldRevision++
@@ -71,7 +71,7 @@
 
 // expireHeld lets requests be tried again that were held for long, and forgets older ones. It
 // looks at them only when the time of one has come, since it is called for each entry.
-func (r *Recorder) expireHeld() {
+func (r *StateMachine) expireHeld() {
 	if r.dueRevision != r.heldRevision {
 		r.heldDue, r.dueRevision = r.nextHeldDue(), r.heldRevision
 	}
@@ -89,7 +89,7 @@
 }
 
 // nextHeldDue returns when the time of the next request comes, 0 if there is none.
-func (r *Recorder) nextHeldDue() int64 {
+func (r *StateMachine) nextHeldDue() int64 {
 	next := int64(0)
 	for _, h := range r.held {
 		if due := heldDue(h); next == 0 || due < next {
@@ -107,7 +107,7 @@
 	return h.GetHeldAtNs() + int64(HoldFor)
 }
 
-func (r *Recorder) releaseHeld(fingerprint string) {
+func (r *StateMachine) releaseHeld(fingerprint string) {
 	if r.held[fingerprint] != nil {
 		delete(r.held, fingerprint)
 		r.heldRevision++
@@ -115,10 +115,10 @@
 }
 
 // HeldRevision changes in this process with each change of the requests that are held back.
-func (r *Recorder) HeldRevision() uint64 { return r.heldRevision }
+func (r *StateMachine) HeldRevision() uint64 { return r.heldRevision }
 
 // Held returns the requests that are held back, those first that were held first.
-func (r *Recorder) Held() []*wire.HeldRequest {
+func (r *StateMachine) Held() []*wire.HeldRequest {
 	return slices.SortedFunc(maps.Values(r.held), func(a, b *wire.HeldRequest) int {
 		return cmp.Or(cmp.Compare(a.GetHeldAtNs(), b.GetHeldAtNs()), cmp.Compare(a.GetFingerprint(), b.GetFingerprint()))
 	})
--- a/pkg/recorder/held_test.go
+++ b/pkg/recorder/held_test.go
@@ -54,7 +54,7 @@
 			c.Assert(err, qt.IsNil)
 			restored, err := recorder.Restore(data)
 			c.Assert(err, qt.IsNil)
-			for _, state := range []*recorder.Recorder{l.state, restored} {
+			for _, state := range []*recorder.StateMachine{l.state, restored} {
 				onTrial := 0
 				for _, h := range state.Held() {
 					if h.GetOnTrial() {
--- a/pkg/recorder/recorder.go
+++ b/pkg/recorder/recorder.go
@@ -41,8 +41,8 @@
 	Closed *wire.CloseSession
 }
 
-// Recorder holds the state. Call Restore or New first.
-type Recorder struct {
+// StateMachine holds the state. Call Restore or New first.
+type StateMachine struct {
 	now      int64
 	applied  uint64
 	revision uint64
@@ -74,8 +74,8 @@
 }
 
 // New returns an empty state.
-func New() *Recorder {
-	return &Recorder{
+func New() *StateMachine {
+	return &StateMachine{
 		latest:   map[string]*wire.ChangeRecord{},
 		history:  map[string][]*wire.ChangeRecord{},
 		outcomes: map[string]*wire.ChangeOutcome{},
@@ -92,7 +92,7 @@
 
 // Apply carries out a committed entry. An entry that can't be decoded changes
 // nothing, equally on each member.
-func (r *Recorder) Apply(e *wire.Entry) Result {
+func (r *StateMachine) Apply(e *wire.Entry) Result {
 	r.applied = e.GetIndex()
 	if e.GetKind() != wire.EntryKind_ENTRY_KIND_COMMAND || len(e.GetData()) == 0 {
 		return Result{}
@@ -106,7 +106,7 @@
 	return r.carryOut(e.GetIndex(), cmd)
 }
 
-func (r *Recorder) carryOut(index uint64, cmd *wire.Command) Result {
+func (r *StateMachine) carryOut(index uint64, cmd *wire.Command) Result {
 	switch body := cmd.GetBody().(type) {
 	case *wire.Command_ApplyContract:
 		return Result{Apply: r.applyContract(body.ApplyContract)}
@@ -138,7 +138,7 @@
 }
 
 // admitMember keeps at least one member: operators may race each other.
-func (r *Recorder) admitMember(cmd *wire.AdmitMember) {
+func (r *StateMachine) admitMember(cmd *wire.AdmitMember) {
 	last := len(r.admitted) == 1 && r.admitted[cmd.GetName()]
 	if cmd.GetRemoved() && last {
 		return
@@ -154,7 +154,7 @@
 	delete(set, name)
 }
 
-func (r *Recorder) openSession(index uint64, cmd *wire.OpenSession) *wire.Session {
+func (r *StateMachine) openSession(index uint64, cmd *wire.OpenSession) *wire.Session {
 	for _, s := range r.sessions {
 		if s.GetNonce() == cmd.GetNonce() {
 			return s
@@ -168,7 +168,7 @@
 	return s
 }
 
-func (r *Recorder) closeSession(cmd *wire.CloseSession) *wire.CloseSession {
+func (r *StateMachine) closeSession(cmd *wire.CloseSession) *wire.CloseSession {
 	id := cmd.GetSession()
 	s := r.sessions[id]
 	if s == nil {
@@ -191,7 +191,7 @@
 	return cmd
 }
 
-func (r *Recorder) expire() {
+func (r *StateMachine) expire() {
 	r.expireHeld()
 	for {
 		key, at, ok := r.expiry.first()
@@ -217,22 +217,22 @@
 }
 
 // Applied returns the index of the last applied entry.
-func (r *Recorder) Applied() uint64 { return r.applied }
+func (r *StateMachine) Applied() uint64 { return r.applied }
 
 // Revision returns the index of the last change of a contract.
-func (r *Recorder) Revision() uint64 { return r.revision }
+func (r *StateMachine) Revision() uint64 { return r.revision }
 
 // Claims returns the number of claims that are kept.
-func (r *Recorder) Claims() int { return len(r.claims) }
+func (r *StateMachine) Claims() int { return len(r.claims) }
 
 // ClaimOf returns a claim, or nil.
-func (r *Recorder) ClaimOf(key ClaimKey) *wire.Claim { return r.claims[key] }
+func (r *StateMachine) ClaimOf(key ClaimKey) *wire.Claim { return r.claims[key] }
 
 // Sessions returns the open sessions by id. The caller must not change the map.
-func (r *Recorder) Sessions() map[uint64]*wire.Session { return r.sessions }
+func (r *StateMachine) Sessions() map[uint64]*wire.Session { return r.sessions }
 
 // Ended returns sessions that ended lately without handing back what they held.
-func (r *Recorder) Ended() []*wire.Session { return r.ended }
+func (r *StateMachine) Ended() []*wire.Session { return r.ended }
 
 // Admitted reports whether an instance of this name may become a member.
-func (r *Recorder) Admitted(name string) bool { return r.admitted[name] }
+func (r *StateMachine) Admitted(name string) bool { return r.admitted[name] }
--- a/pkg/recorder/recorder_test.go
+++ b/pkg/recorder/recorder_test.go
@@ -15,7 +15,7 @@
 
 // log applies commands one after the other.
 type log struct {
-	state *recorder.Recorder
+	state *recorder.StateMachine
 	index uint64
 	now   time.Time
 }
--- a/pkg/recorder/snapshot.go
+++ b/pkg/recorder/snapshot.go
@@ -11,7 +11,7 @@
 )
 
 // Snapshot encodes the whole state.
-func (r *Recorder) Snapshot() ([]byte, error) { return Encode(r.Freeze()) }
+func (r *StateMachine) Snapshot() ([]byte, error) { return Encode(r.Freeze()) }
 
 // Encode encodes a frozen state.
 func Encode(s *wire.State) ([]byte, error) {
@@ -21,7 +21,7 @@
 
 // Freeze returns the state as it is now. What it holds is never changed, only
 // replaced, so it may be encoded by another goroutine while the state goes on.
-func (r *Recorder) Freeze() *wire.State {
+func (r *StateMachine) Freeze() *wire.State {
 	s := &wire.State{
 		NowNs: r.now, Applied: r.applied, Revision: r.revision,
 		AdmittedMembers: r.AdmittedMembers(), DrainedBackends: r.Drained(),
@@ -41,7 +41,7 @@
 }
 
 // Restore decodes a state that Snapshot encoded.
-func Restore(data []byte) (*Recorder, error) {
+func Restore(data []byte) (*StateMachine, error) {
 	s := &wire.State{}
 	if err := proto.Unmarshal(data, s); err != nil {
 		return nil, errors.Wrap(err, "recorder: Restore")
@@ -87,7 +87,7 @@
 	return r, nil
 }
 
-func (r *Recorder) restoreClaim(c *wire.Claim) {
+func (r *StateMachine) restoreClaim(c *wire.Claim) {
 	cmd := c.GetCommand()
 	key := ClaimKey{Customer: cmd.GetCustomer(), Key: cmd.GetKey()}
 	r.claims[key] = c
--- a/pkg/replicator/cluster_test.go
+++ b/pkg/replicator/cluster_test.go
@@ -48,7 +48,7 @@
 type member struct {
 	id, name string
 	core     *replicator.Replicator
-	state    *recorder.Recorder
+	state    *recorder.StateMachine
 	up       bool
 	disk     disk
 }
