--- a/controller/app/settings.go
+++ b/controller/app/settings.go
@@ -80,7 +80,7 @@
 		Data: DataSettings{SnapshotEvery: 20_000},
 		Timing: TimingSettings{
 			Heartbeat: 100 * time.Millisecond, ElectionTimeout: 600 * time.Millisecond,
-			SessionLease: 3 * time.Second, LongestRequest: recorder.LongestDeadline,
+			SessionLease: 3 * time.Second, LongestRequest: recorder.MaxDeadline,
 			PeerTimeout: 500 * time.Millisecond,
 		},
 		Engines: EngineSettings{
--- a/pkg/recorder/recorder.go
+++ b/pkg/recorder/recorder.go
@@ -19,11 +19,11 @@
 	// A resent change finds its first outcome for this long.
 	keepOutcomes = 7 * 24 * time.Hour
 	// An ended session is remembered for longer than any request may run.
-	keepEnded = 2 * LongestDeadline
+	keepEnded = 2 * MaxDeadline
 )
 
-// LongestDeadline bounds the deadline that a contract may give to a request.
-const LongestDeadline = 10 * time.Minute
+// MaxDeadline bounds the deadline that a contract may give to a request.
+const MaxDeadline = 10 * time.Minute
 
 // ClaimKey names a claim.
 type ClaimKey struct {
