--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -96,7 +96,7 @@
 	}
 	err := c.Read(ctx, func(now time.Time) {
 		res.Applied, res.Revision = c.state.Applied(), c.state.Revision()
-		res.Claims = uint64(c.state.Claims())
+		res.Claims = uint64(c.state.ClaimCount())
 		res.Drained = c.state.Drained()
 		for _, s := range c.leaser.All() {
 			res.Sessions = append(res.Sessions, sessionStatus(now, s))
--- a/pkg/recorder/recorder.go
+++ b/pkg/recorder/recorder.go
@@ -222,8 +222,8 @@
 // Revision returns the index of the last change of a contract.
 func (r *StateMachine) Revision() uint64 { return r.revision }
 
-// Claims returns the number of claims that are kept.
-func (r *StateMachine) Claims() int { return len(r.claims) }
+// ClaimCount returns the number of claims that are kept.
+func (r *StateMachine) ClaimCount() int { return len(r.claims) }
 
 // ClaimOf returns a claim, or nil.
 func (r *StateMachine) ClaimOf(key ClaimKey) *wire.Claim { return r.claims[key] }
