--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -208,7 +208,7 @@
 		c.leaser.Open(now, sessionOf(s), true)
 		c.limiter.Expect(leaser.SessionID(id))
 	}
-	for _, s := range c.state.Ended() {
+	for _, s := range c.state.EndedSessions() {
 		c.leaser.AdoptEnded(now, leaser.SessionID(s.GetId()))
 		c.limiter.Expect(leaser.SessionID(s.GetId()))
 	}
--- a/pkg/recorder/recorder.go
+++ b/pkg/recorder/recorder.go
@@ -231,8 +231,8 @@
 // Sessions returns the open sessions by id. The caller must not change the map.
 func (r *StateMachine) Sessions() map[uint64]*wire.Session { return r.sessions }
 
-// Ended returns sessions that ended lately without handing back what they held.
-func (r *StateMachine) Ended() []*wire.Session { return r.ended }
+// EndedSessions returns sessions that ended lately without handing back what they held.
+func (r *StateMachine) EndedSessions() []*wire.Session { return r.ended }
 
 // Admitted reports whether an instance of this name may become a member.
 func (r *StateMachine) Admitted(name string) bool { return r.admitted[name] }
