--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -111,7 +111,7 @@
 	}
 	for ; a.dropped < state.HeldDropped(); a.dropped++ {
 		a.count("MadeRoom")
-		a.Log.Warn("a request is held back no longer: too many are", "Most", recorder.MaxHeld)
+		a.Log.Warn("a request is held back no longer: too many are", "Most", recorder.MaxQuarantined)
 	}
 }
 
--- a/controller/arbiter/arbiter_test.go
+++ b/controller/arbiter/arbiter_test.go
@@ -114,7 +114,7 @@
 func TestWhatMakesRoomIsCounted(t *testing.T) {
 	c := qt.New(t)
 	court := newCourt()
-	for i := range recorder.MaxHeld + 3 {
+	for i := range recorder.MaxQuarantined + 3 {
 		court.commit(&wire.Command{Body: &wire.Command_HoldRequest{HoldRequest: &wire.HeldRequest{Fingerprint: fmt.Sprint(i)}}})
 	}
 	c.Check(court.counted["MadeRoom"], qt.Equals, 3)
--- a/pkg/recorder/held.go
+++ b/pkg/recorder/held.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// MaxHeld bounds the requests that are held back, and with them the state and what each
+	// MaxQuarantined bounds the requests that are held back, and with them the state and what each
 	// gateway keeps. Each has cost some backend servers, so that there are few; of more the
 	// one that was held first gives way.
-	MaxHeld = 1024
+	MaxQuarantined = 1024
 	// HoldFor is how long a request is refused that ends what runs it: those who look after
 	// the models see it on the next working day.
 	HoldFor = 24 * time.Hour
@@ -34,7 +34,7 @@
 	h.HeldAtNs, h.OnTrial = r.now, false
 	r.heldRevision++
 	r.held[h.GetFingerprint()] = h
-	for len(r.held) > MaxHeld {
+	for len(r.held) > MaxQuarantined {
 		delete(r.held, r.Held()[0].GetFingerprint())
 		r.heldDropped++
 	}
--- a/pkg/recorder/held_test.go
+++ b/pkg/recorder/held_test.go
@@ -72,13 +72,13 @@
 func TestHeldRequestsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	l := newLog()
-	for i := range recorder.MaxHeld + 10 {
+	for i := range recorder.MaxQuarantined + 10 {
 		l.now = l.now.Add(time.Second)
 		before := l.state.HeldRevision()
 		l.hold(fmt.Sprint(i))
 		c.Assert(l.state.HeldRevision() > before, qt.IsTrue)
 	}
-	c.Assert(l.state.Held(), qt.HasLen, recorder.MaxHeld)
+	c.Assert(l.state.Held(), qt.HasLen, recorder.MaxQuarantined)
 	c.Check(l.state.Held()[0].GetFingerprint(), qt.Equals, "10")
 	c.Check(l.state.HeldDropped(), qt.Equals, 10)
 }
