--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -173,7 +173,7 @@
 	for _, h := range a.State().Held() {
 		held[h.GetFingerprint()] = true
 		age := max(0, now.Sub(time.Unix(0, h.GetHeldAtNs())))
-		s := &wire.Suspect{Fingerprint: h.GetFingerprint(), Held: true, LeftS: uint32(max(1, (recorder.HoldFor - age).Seconds()))}
+		s := &wire.Suspect{Fingerprint: h.GetFingerprint(), Held: true, LeftS: uint32(max(1, (recorder.QuarantinePeriod - age).Seconds()))}
 		if h.GetOnTrial() {
 			s.TrialAt = a.trialAt(h.GetPlace())
 		}
--- a/pkg/recorder/held.go
+++ b/pkg/recorder/held.go
@@ -17,9 +17,9 @@
 	// gateway keeps. Each has cost some backend servers, so that there are few; of more the
 	// one that was held first gives way.
 	MaxQuarantined = 1024
-	// HoldFor is how long a request is refused that ends what runs it: those who look after
+	// QuarantinePeriod is how long a request is refused that ends what runs it: those who look after
 	// the models see it on the next working day.
-	HoldFor = 24 * time.Hour
+	QuarantinePeriod = 24 * time.Hour
 	// forgetHeldAfter is how long a request that was held may wait for its trial: callers
 	// that come back after a week are taken for new ones.
 	forgetHeldAfter = 7 * 24 * time.Hour
@@ -82,7 +82,7 @@
 		switch age := time.Duration(r.now - h.GetHeldAtNs()); {
 		case age >= forgetHeldAfter:
 			r.releaseHeld(fingerprint)
-		case age >= HoldFor && !h.GetOnTrial():
+		case age >= QuarantinePeriod && !h.GetOnTrial():
 			r.setOnTrial(fingerprint, h)
 		}
 	}
@@ -104,7 +104,7 @@
 	if h.GetOnTrial() {
 		return h.GetHeldAtNs() + int64(forgetHeldAfter)
 	}
-	return h.GetHeldAtNs() + int64(HoldFor)
+	return h.GetHeldAtNs() + int64(QuarantinePeriod)
 }
 
 func (r *StateMachine) releaseHeld(fingerprint string) {
--- a/pkg/recorder/held_test.go
+++ b/pkg/recorder/held_test.go
@@ -42,8 +42,8 @@
 		"a version of its model":   {func(l *log) { l.version("m", "", 2) }, 1, 1},
 		"a version of another":     {func(l *log) { l.version("m", "b", 2) }, 1, 0},
 		"held after its trial":     {func(l *log) { l.version("m", "a", 2); l.hold("f") }, 1, 0},
-		"a day later":              {func(l *log) { l.now = l.now.Add(recorder.HoldFor + time.Minute); l.version("x", "y", 1) }, 1, 1},
-		"weeks later":              {func(l *log) { l.now = l.now.Add(30 * recorder.HoldFor); l.version("x", "y", 1) }, 0, 0},
+		"a day later":              {func(l *log) { l.now = l.now.Add(recorder.QuarantinePeriod + time.Minute); l.version("x", "y", 1) }, 1, 1},
+		"weeks later":              {func(l *log) { l.now = l.now.Add(30 * recorder.QuarantinePeriod); l.version("x", "y", 1) }, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
