--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -109,7 +109,7 @@
 	if state != a.known {
 		a.dropped = 0
 	}
-	for ; a.dropped < state.HeldDropped(); a.dropped++ {
+	for ; a.dropped < state.QuarantineEvictions(); a.dropped++ {
 		a.count("MadeRoom")
 		a.Log.Warn("a request is held back no longer: too many are", "Most", recorder.MaxQuarantined)
 	}
--- a/pkg/recorder/held.go
+++ b/pkg/recorder/held.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// HeldDropped returns how many requests have made room for others in this process.
-func (r *StateMachine) HeldDropped() int { return r.heldDropped }
+// QuarantineEvictions returns how many requests have made room for others in this process.
+func (r *StateMachine) QuarantineEvictions() int { return r.heldDropped }
 
 // tryHeldAgain lets requests be tried again whose adapter or model has a new version.
 func (r *StateMachine) tryHeldAgain(v *wire.AdapterVersion) {
--- a/pkg/recorder/held_test.go
+++ b/pkg/recorder/held_test.go
@@ -80,5 +80,5 @@
 	}
 	c.Assert(l.state.Held(), qt.HasLen, recorder.MaxQuarantined)
 	c.Check(l.state.Held()[0].GetFingerprint(), qt.Equals, "10")
-	c.Check(l.state.HeldDropped(), qt.Equals, 10)
+	c.Check(l.state.QuarantineEvictions(), qt.Equals, 10)
 }
