--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -90,12 +90,12 @@
 // TakeState lets the judge know what is held in the replicated state.
 func (a *Arbiter) TakeState(now time.Time) {
 	state := a.State()
-	if state == a.known && state.HeldRevision() == a.heldRevision {
+	if state == a.known && state.QuarantineRevision() == a.heldRevision {
 		return
 	}
 	first := a.known == nil
 	a.countDropped(state)
-	a.known, a.heldRevision = state, state.HeldRevision()
+	a.known, a.heldRevision = state, state.QuarantineRevision()
 	held := state.Held()
 	a.judge.SetHeld(now, held)
 	a.stale = true
--- a/pkg/recorder/held.go
+++ b/pkg/recorder/held.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// HeldRevision changes in this process with each change of the requests that are held back.
-func (r *StateMachine) HeldRevision() uint64 { return r.heldRevision }
+// QuarantineRevision changes in this process with each change of the requests that are held back.
+func (r *StateMachine) QuarantineRevision() uint64 { return r.heldRevision }
 
 // Held returns the requests that are held back, those first that were held first.
 func (r *StateMachine) Held() []*wire.HeldRequest {
--- a/pkg/recorder/held_test.go
+++ b/pkg/recorder/held_test.go
@@ -74,9 +74,9 @@
 	l := newLog()
 	for i := range recorder.MaxQuarantined + 10 {
 		l.now = l.now.Add(time.Second)
-		before := l.state.HeldRevision()
+		before := l.state.QuarantineRevision()
 		l.hold(fmt.Sprint(i))
-		c.Assert(l.state.HeldRevision() > before, qt.IsTrue)
+		c.Assert(l.state.QuarantineRevision() > before, qt.IsTrue)
 	}
 	c.Assert(l.state.Held(), qt.HasLen, recorder.MaxQuarantined)
 	c.Check(l.state.Held()[0].GetFingerprint(), qt.Equals, "10")
