--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -96,7 +96,7 @@
 	first := a.known == nil
 	a.countDropped(state)
 	a.known, a.heldRevision = state, state.QuarantineRevision()
-	held := state.Held()
+	held := state.Quarantined()
 	a.judge.SetHeld(now, held)
 	a.stale = true
 	if !first || len(held) > 0 {
@@ -170,7 +170,7 @@
 func (a *Arbiter) suspects(now time.Time) []*wire.Suspect {
 	var list []*wire.Suspect
 	held := map[string]bool{}
-	for _, h := range a.State().Held() {
+	for _, h := range a.State().Quarantined() {
 		held[h.GetFingerprint()] = true
 		age := max(0, now.Sub(time.Unix(0, h.GetHeldAtNs())))
 		s := &wire.Suspect{Fingerprint: h.GetFingerprint(), Held: true, LeftS: uint32(max(1, (recorder.QuarantinePeriod - age).Seconds()))}
--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -68,7 +68,7 @@
 
 // Held returns the requests that are held back.
 func (c *Coordinator) Held(ctx context.Context) ([]*wire.HeldRequest, error) {
-	return readValue(ctx, c, c.state.Held)
+	return readValue(ctx, c, c.state.Quarantined)
 }
 
 // InForce tells whether every live session has applied a revision.
--- a/controller/curator/isolation.go
+++ b/controller/curator/isolation.go
@@ -44,7 +44,7 @@
 func (c *Curator) Held(ctx context.Context) (*wire.ListHeldResponse, error) {
 	// The call may still run after ctx has ended, and must not write what is read here.
 	held := make(chan []*wire.HeldRequest, 1)
-	if err := c.Call(ctx, func(time.Time) { held <- c.state.Held() }); err != nil {
+	if err := c.Call(ctx, func(time.Time) { held <- c.state.Quarantined() }); err != nil {
 		return nil, err
 	}
 	return &wire.ListHeldResponse{Held: <-held}, nil
--- a/controller/curator/isolation_test.go
+++ b/controller/curator/isolation_test.go
@@ -29,7 +29,7 @@
 	cu.tick(cu.Clock.Now())
 	cu.apply(<-k.in)
 	cu.tick(cu.Clock.Now())
-	c.Assert(cu.state.Held(), qt.HasLen, 1)
+	c.Assert(cu.state.Quarantined(), qt.HasLen, 1)
 }
 
 // told is what a gateway that knows a list is told, and whether its call is answered at once.
@@ -89,7 +89,7 @@
 	lead(cu, k)
 	reports(cu, "f", "a", "b", "c")
 	settleVerdicts(c, cu, k)
-	held := cu.state.Held()[0]
+	held := cu.state.Quarantined()[0]
 	cu.apply(k.item(&wire.Command{Body: &wire.Command_HoldRequest{HoldRequest: &wire.HeldRequest{
 		Fingerprint: "f", Model: "m/a", Place: held.GetPlace(),
 	}}}))
@@ -106,5 +106,5 @@
 	cu.hear(cu.Clock.Now(), &wire.SyncRequest{Gateway: "0", RunReports: []*wire.RunReport{{Fingerprint: "f", Backend: "d", Completed: true}}})
 	cu.tick(cu.Clock.Now())
 	cu.apply(<-k.in)
-	c.Check(cu.state.Held(), qt.HasLen, 0)
+	c.Check(cu.state.Quarantined(), qt.HasLen, 0)
 }
--- a/pkg/recorder/held.go
+++ b/pkg/recorder/held.go
@@ -35,7 +35,7 @@
 	r.heldRevision++
 	r.held[h.GetFingerprint()] = h
 	for len(r.held) > MaxQuarantined {
-		delete(r.held, r.Held()[0].GetFingerprint())
+		delete(r.held, r.Quarantined()[0].GetFingerprint())
 		r.heldDropped++
 	}
 }
@@ -117,8 +117,8 @@
 // QuarantineRevision changes in this process with each change of the requests that are held back.
 func (r *StateMachine) QuarantineRevision() uint64 { return r.heldRevision }
 
-// Held returns the requests that are held back, those first that were held first.
-func (r *StateMachine) Held() []*wire.HeldRequest {
+// Quarantined returns the requests that are held back, those first that were held first.
+func (r *StateMachine) Quarantined() []*wire.HeldRequest {
 	return slices.SortedFunc(maps.Values(r.held), func(a, b *wire.HeldRequest) int {
 		return cmp.Or(cmp.Compare(a.GetHeldAtNs(), b.GetHeldAtNs()), cmp.Compare(a.GetFingerprint(), b.GetFingerprint()))
 	})
--- a/pkg/recorder/held_test.go
+++ b/pkg/recorder/held_test.go
@@ -56,12 +56,12 @@
 			c.Assert(err, qt.IsNil)
 			for _, state := range []*recorder.StateMachine{l.state, restored} {
 				onTrial := 0
-				for _, h := range state.Held() {
+				for _, h := range state.Quarantined() {
 					if h.GetOnTrial() {
 						onTrial++
 					}
 				}
-				c.Check(state.Held(), qt.HasLen, test.held)
+				c.Check(state.Quarantined(), qt.HasLen, test.held)
 				c.Check(onTrial, qt.Equals, test.onTrial)
 			}
 		})
@@ -78,7 +78,7 @@
 		l.hold(fmt.Sprint(i))
 		c.Assert(l.state.QuarantineRevision() > before, qt.IsTrue)
 	}
-	c.Assert(l.state.Held(), qt.HasLen, recorder.MaxQuarantined)
-	c.Check(l.state.Held()[0].GetFingerprint(), qt.Equals, "10")
+	c.Assert(l.state.Quarantined(), qt.HasLen, recorder.MaxQuarantined)
+	c.Check(l.state.Quarantined()[0].GetFingerprint(), qt.Equals, "10")
 	c.Check(l.state.QuarantineEvictions(), qt.Equals, 10)
 }
--- a/pkg/recorder/snapshot.go
+++ b/pkg/recorder/snapshot.go
@@ -27,7 +27,7 @@
 		AdmittedMembers: r.AdmittedMembers(), DrainedBackends: r.Drained(),
 		Outcomes: slices.Clone(r.aging), EndedSessions: slices.Clone(r.ended),
 		Released: slices.Clone(r.releasedOrder),
-		Table:    r.table, AdapterVersions: r.AdapterVersions(), HeldRequests: r.Held(),
+		Table:    r.table, AdapterVersions: r.AdapterVersions(), HeldRequests: r.Quarantined(),
 	}
 	for _, customer := range slices.Sorted(maps.Keys(r.latest)) {
 		s.Latest = append(s.Latest, r.latest[customer])
