--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -125,7 +125,7 @@
 	if err != nil || id != "" || contents.Snapshot != nil {
 		return nil
 	}
-	state, err := recorder.First(nil)
+	state, err := recorder.InitialState(nil)
 	if err != nil {
 		return errors.Wrap(err, "app")
 	}
--- a/pkg/recorder/snapshot.go
+++ b/pkg/recorder/snapshot.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// First encodes the state of a new cluster, in which only members are admitted.
-func First(members []string) ([]byte, error) {
+// InitialState encodes the state of a new cluster, in which only members are admitted.
+func InitialState(members []string) ([]byte, error) {
 	r := New()
 	r.applied = 1
 	for _, name := range members {
--- a/pkg/replicator/cluster_test.go
+++ b/pkg/replicator/cluster_test.go
@@ -69,7 +69,7 @@
 	for _, name := range names {
 		config.Voters = append(config.Voters, &wire.Member{Id: name + "/1", Name: name})
 	}
-	state, err := recorder.First(names)
+	state, err := recorder.InitialState(names)
 	if err != nil {
 		panic(err)
 	}
