--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -55,7 +55,7 @@
 	clusterKey  string
 	operators   authenticator.Ring
 	storer      *storer.Storer
-	keeper      *keeper.Keeper
+	keeper      *keeper.Driver
 	coordinator *coordinator.Coordinator
 	transporter *transporter.Transporter
 	responder   *responder.Responder
@@ -142,7 +142,7 @@
 		LongestRequest: s.Timing.LongestRequest, SnapshotEvery: uint64(s.Data.SnapshotEvery),
 		ObserveBatchFill: a.meter.BatchFill, ObserveInForce: func(d time.Duration) { a.meter.Took("in_force", d) },
 	}
-	a.keeper = &keeper.Keeper{
+	a.keeper = &keeper.Driver{
 		Clock: a.Clock, Log: a.Log, Storer: a.storer, Send: a.transporter.Send, Out: items,
 		Admission: a.coordinator.Admission,
 		Replicator: &replicator.Replicator{
@@ -227,7 +227,7 @@
 }
 
 // handOver lets another controller lead, if this one does.
-func handOver(ctx context.Context, clock clockwork.Clock, k *keeper.Keeper) {
+func handOver(ctx context.Context, clock clockwork.Clock, k *keeper.Driver) {
 	if !k.Leads() {
 		return
 	}
--- a/controller/app/joiner.go
+++ b/controller/app/joiner.go
@@ -25,7 +25,7 @@
 	log       *slog.Logger
 	peers     *connector.Client
 	self      *wire.Member
-	keeper    *keeper.Keeper
+	keeper    *keeper.Driver
 	storer    *storer.Storer
 	cluster   *atomic.Pointer[string]
 	addresses func() []string
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -57,7 +57,7 @@
 	met         acquaintances
 	id          string
 	storer      *storer.Storer
-	keeper      *keeper.Keeper
+	keeper      *keeper.Driver
 	curator     *curator.Curator
 	transporter *transporter.Transporter
 	mesh        *curator.Mesh
@@ -161,7 +161,7 @@
 	self := &wire.Member{Id: r.id, Name: s.Instance.IP, Address: s.meshAddress(s.Instance.IP), Zone: s.Instance.Zone}
 	r.transporter = &transporter.Transporter{Log: r.Log, Client: r.peers, Bulk: bulk, Cluster: r.clusterID, Self: self}
 	r.transporter.Start(ctx)
-	r.keeper = &keeper.Keeper{
+	r.keeper = &keeper.Driver{
 		Clock: r.Clock, Log: r.Log, Storer: r.storer, Send: r.transporter.Send, Out: items,
 		OpenMembership: true, MaxVoters: s.Members.MaxVoters, SilentAfter: s.Timing.SilentMember,
 		Replicator: &replicator.Replicator{
--- a/controller/keeper/compaction.go
+++ b/controller/keeper/compaction.go
@@ -12,7 +12,7 @@
 // Compact replaces the log up to an index by a snapshot of the state there. The
 // snapshot is written by the caller's goroutine, since a large one would hold up
 // heartbeats; only the renaming and the new log are the keeper's.
-func (k *Keeper) Compact(index uint64, state []byte) {
+func (k *Driver) Compact(index uint64, state []byte) {
 	s := &wire.Snapshot{Index: index, State: state}
 	described := make(chan bool, 1)
 	k.request(func(time.Time) { described <- k.Replicator.FillMetadata(s) })
--- a/controller/keeper/keeper.go
+++ b/controller/keeper/keeper.go
@@ -70,8 +70,8 @@
 	Applied uint64
 }
 
-// Keeper runs the replicated log. Set the exported fields, then call Run.
-type Keeper struct {
+// Driver runs the replicated log. Set the exported fields, then call Run.
+type Driver struct {
 	Clock      clockwork.Clock
 	Log        *slog.Logger
 	Storer     *storer.Storer
@@ -114,7 +114,7 @@
 }
 
 // Init prepares the keeper for calls before Run.
-func (k *Keeper) Init(stored *storer.Contents) {
+func (k *Driver) Init(stored *storer.Contents) {
 	k.messages = make(chan []*wire.Message, ringSize)
 	k.proposals = make(chan proposal, ringSize)
 	k.requests = make(chan func(time.Time), ringSize)
@@ -132,7 +132,7 @@
 
 // Run works until ctx ends. An error means that the disk failed; the process must
 // end, since what it holds is unknown.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Driver) Run(ctx context.Context) error {
 	defer close(k.ended)
 	ticker := k.Clock.NewTicker(tickEvery)
 	defer ticker.Stop()
@@ -172,7 +172,7 @@
 	}
 }
 
-func (k *Keeper) tick() {
+func (k *Driver) tick() {
 	if k.held != nil {
 		return
 	}
@@ -181,7 +181,7 @@
 }
 
 // drain takes in what else waits, so that one sync serves many.
-func (k *Keeper) drain() {
+func (k *Driver) drain() {
 	for range maxBatch {
 		select {
 		case messages := <-k.messages:
@@ -196,7 +196,7 @@
 	k.Replicator.Flush(k.Clock.Now())
 }
 
-func (k *Keeper) step(messages []*wire.Message) {
+func (k *Driver) step(messages []*wire.Message) {
 	if k.held != nil {
 		return
 	}
@@ -205,7 +205,7 @@
 	}
 }
 
-func (k *Keeper) publish() {
+func (k *Driver) publish() {
 	r := k.Replicator
 	if k.held != nil {
 		// A leader that waits must not lead by a lease that it can't renew.
@@ -220,14 +220,14 @@
 }
 
 // Standing returns what the instance is at the moment.
-func (k *Keeper) Standing() *Standing { return k.standing.Load() }
+func (k *Driver) Standing() *Standing { return k.standing.Load() }
 
 // Leads reports whether this instance may answer and give orders now.
-func (k *Keeper) Leads() bool { return k.Standing().Leads(k.Clock.Now()) }
+func (k *Driver) Leads() bool { return k.Standing().Leads(k.Clock.Now()) }
 
 // Deliver takes messages from other members. They are dropped when too many wait,
 // as a network would.
-func (k *Keeper) Deliver(messages []*wire.Message) {
+func (k *Driver) Deliver(messages []*wire.Message) {
 	select {
 	case k.messages <- messages:
 	default:
@@ -235,7 +235,7 @@
 }
 
 // Transfer hands leadership over, before a planned stop.
-func (k *Keeper) Transfer() {
+func (k *Driver) Transfer() {
 	k.request(func(now time.Time) {
 		if err := k.Replicator.Transfer(now); err != nil {
 			k.Log.Info("leadership is not handed over", "Reason", err.Error())
@@ -245,7 +245,7 @@
 
 // request hands a request over. It waits while the ring is full, and gives up when
 // the keeper has ended.
-func (k *Keeper) request(f func(now time.Time)) {
+func (k *Driver) request(f func(now time.Time)) {
 	select {
 	case k.requests <- f:
 	case <-k.ended:
--- a/controller/keeper/members.go
+++ b/controller/keeper/members.go
@@ -11,14 +11,14 @@
 )
 
 // Join notes a member that asks to take part.
-func (k *Keeper) Join(m *wire.Member) {
+func (k *Driver) Join(m *wire.Member) {
 	k.request(func(now time.Time) {
 		k.joined[m.GetName()] = joinedMember{member: m, at: now}
 	})
 }
 
 // recruit proposes the next change of members, if this instance leads.
-func (k *Keeper) recruit() {
+func (k *Driver) recruit() {
 	if k.Replicator.Role() != replicator.Leader {
 		return
 	}
@@ -56,7 +56,7 @@
 }
 
 // admitted returns who may be a member, or false while that is not known.
-func (k *Keeper) admitted() (func(name string) bool, bool) {
+func (k *Driver) admitted() (func(name string) bool, bool) {
 	if k.OpenMembership {
 		return func(string) bool { return true }, true
 	}
@@ -69,7 +69,7 @@
 }
 
 // joining returns the members that have lately asked to take part.
-func (k *Keeper) joining(now time.Time) []*wire.Member {
+func (k *Driver) joining(now time.Time) []*wire.Member {
 	var joining []*wire.Member
 	for name, j := range k.joined {
 		if now.Sub(j.at) > joinRemember {
--- a/controller/keeper/proposals.go
+++ b/controller/keeper/proposals.go
@@ -18,7 +18,7 @@
 }
 
 // Start proposes a command and calls done, once, with what it led to.
-func (k *Keeper) Start(cmd *wire.Command, done func(recorder.Result, error)) {
+func (k *Driver) Start(cmd *wire.Command, done func(recorder.Result, error)) {
 	cmd.AtNs = k.Clock.Now().UnixNano()
 	data, err := proto.Marshal(cmd)
 	if err != nil {
@@ -33,7 +33,7 @@
 }
 
 // Propose proposes a command and waits for what it led to.
-func (k *Keeper) Propose(ctx context.Context, cmd *wire.Command) (recorder.Result, error) {
+func (k *Driver) Propose(ctx context.Context, cmd *wire.Command) (recorder.Result, error) {
 	type answer struct {
 		result recorder.Result
 		err    error
@@ -48,7 +48,7 @@
 	}
 }
 
-func (k *Keeper) propose(p proposal) {
+func (k *Driver) propose(p proposal) {
 	if k.held != nil {
 		p.done(recorder.Result{}, ErrNotLeader)
 		return
@@ -64,7 +64,7 @@
 
 // replyTo finds who waits for an entry. An entry of another term in the same place
 // means that the proposal was lost.
-func (k *Keeper) replyTo(e *wire.Entry) func(recorder.Result) {
+func (k *Driver) replyTo(e *wire.Entry) func(recorder.Result) {
 	p, ok := k.waiting[e.GetIndex()]
 	if !ok {
 		return nil
@@ -77,7 +77,7 @@
 	return func(result recorder.Result) { p.done(result, nil) }
 }
 
-func (k *Keeper) failWaiting() {
+func (k *Driver) failWaiting() {
 	for index, p := range k.waiting {
 		p.done(recorder.Result{}, ErrUnknown)
 		delete(k.waiting, index)
--- a/controller/keeper/storing.go
+++ b/controller/keeper/storing.go
@@ -10,7 +10,7 @@
 )
 
 // carryOut does what the replicator asks for until it asks for nothing more.
-func (k *Keeper) carryOut() error {
+func (k *Driver) carryOut() error {
 	for {
 		rd := k.take()
 		if rd.Empty() {
@@ -30,7 +30,7 @@
 }
 
 // take returns what is to be done next: what was held first.
-func (k *Keeper) take() *replicator.Ready {
+func (k *Driver) take() *replicator.Ready {
 	if rd := k.held; rd != nil {
 		k.held = nil
 		return rd
@@ -42,7 +42,7 @@
 // heldEvery is the time between two tries to store while the disk is full.
 const heldEvery = 200 * time.Millisecond
 
-func (k *Keeper) hold(rd *replicator.Ready, err error) {
+func (k *Driver) hold(rd *replicator.Ready, err error) {
 	if k.heldAgain.IsZero() {
 		k.Log.Error("the disk is full; this member waits", "Error", err.Error())
 	}
@@ -51,7 +51,7 @@
 	k.failWaiting()
 }
 
-func (k *Keeper) persist(rd *replicator.Ready) error {
+func (k *Driver) persist(rd *replicator.Ready) error {
 	if rd.Snapshot != nil {
 		if err := k.Storer.SaveSnapshot(rd.Snapshot, nil); err != nil {
 			return errors.Wrap(err, "keeper")
@@ -70,7 +70,7 @@
 	return nil
 }
 
-func (k *Keeper) passOn(rd *replicator.Ready) {
+func (k *Driver) passOn(rd *replicator.Ready) {
 	if rd.Snapshot != nil {
 		k.backlog = append(k.backlog, Item{Restore: rd.Snapshot})
 	}
--- a/controller/responder/peer.go
+++ b/controller/responder/peer.go
@@ -11,7 +11,7 @@
 
 // Peer serves wire.Peer: messages from other controllers and requests to join.
 type Peer struct {
-	Keeper *keeper.Keeper
+	Keeper *keeper.Driver
 	// Cluster returns the cluster that this instance belongs to.
 	Cluster func() string
 	// Client returns a client of the controller at an address.
--- a/controller/responder/responder.go
+++ b/controller/responder/responder.go
@@ -23,7 +23,7 @@
 // use.
 type Responder struct {
 	Log         *slog.Logger
-	Keeper      *keeper.Keeper
+	Keeper      *keeper.Driver
 	Coordinator *coordinator.Coordinator
 	// Peer is the client for passing calls on.
 	Peer *connector.Client
