--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -31,7 +31,7 @@
 
 // Keeper is what the coordinator uses of the replicated log.
 type Keeper interface {
-	Standing() *keeper.Standing
+	Standing() *keeper.Status
 	Start(cmd *wire.Command, done func(recorder.Result, error))
 	// Compact may take long, and may be called from any goroutine.
 	Compact(index uint64, state []byte)
--- a/controller/coordinator/coordinator_bench_test.go
+++ b/controller/coordinator/coordinator_bench_test.go
@@ -19,8 +19,8 @@
 // leading is a log that always leads.
 type leading struct{ until time.Time }
 
-func (l *leading) Standing() *keeper.Standing {
-	return &keeper.Standing{Term: 1, LeaseUntil: l.until}
+func (l *leading) Standing() *keeper.Status {
+	return &keeper.Status{Term: 1, LeaseUntil: l.until}
 }
 
 func (l *leading) Start(*wire.Command, func(recorder.Result, error)) {}
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -53,7 +53,7 @@
 
 // Keeper is what the curator uses of the replicated log.
 type Keeper interface {
-	Standing() *keeper.Standing
+	Standing() *keeper.Status
 	Leads() bool
 	Propose(ctx context.Context, cmd *wire.Command) (recorder.Result, error)
 	Compact(index uint64, state []byte)
--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -20,15 +20,15 @@
 
 // keeperFake is a log that applies each command at once.
 type keeperFake struct {
-	standing keeper.Standing
+	standing keeper.Status
 	index    uint64
 	in       chan keeper.Item
 	mu       sync.Mutex
 }
 
-func (k *keeperFake) Standing() *keeper.Standing { return &k.standing }
-func (k *keeperFake) Leads() bool                { return k.standing.Role != 0 }
-func (k *keeperFake) Compact(uint64, []byte)     {}
+func (k *keeperFake) Standing() *keeper.Status { return &k.standing }
+func (k *keeperFake) Leads() bool              { return k.standing.Role != 0 }
+func (k *keeperFake) Compact(uint64, []byte)   {}
 
 func (k *keeperFake) Propose(_ context.Context, cmd *wire.Command) (recorder.Result, error) {
 	k.in <- k.item(cmd)
@@ -72,7 +72,7 @@
 }
 
 func lead(c *Curator, k *keeperFake) {
-	k.standing = keeper.Standing{Role: 3, Term: 2, Leader: "a", LeaseUntil: c.Clock.Now().Add(time.Hour)}
+	k.standing = keeper.Status{Role: 3, Term: 2, Leader: "a", LeaseUntil: c.Clock.Now().Add(time.Hour)}
 	c.tick(c.Clock.Now())
 }
 
--- a/controller/curator/limits_test.go
+++ b/controller/curator/limits_test.go
@@ -62,7 +62,7 @@
 	}
 	standings := cu.lender.Standings(cu.Clock.Now(), true)
 	c.Check(standings[0].GetShares()[0].GetGateway(), qt.Equals, "g")
-	k.standing = keeper.Standing{}
+	k.standing = keeper.Status{}
 	cu.tick(cu.Clock.Now())
 	_, err = borrow(cu, 1)
 	c.Check(err, qt.Equals, errNotLeader)
--- a/controller/keeper/keeper.go
+++ b/controller/keeper/keeper.go
@@ -48,8 +48,8 @@
 	Applied []Applied
 }
 
-// Standing is what the instance is at the moment.
-type Standing struct {
+// Status is what the instance is at the moment.
+type Status struct {
 	Role          replicator.Role
 	Term          uint64
 	TermStart     uint64
@@ -62,7 +62,7 @@
 }
 
 // Leads reports whether the instance may answer and give orders at now.
-func (s *Standing) Leads(now time.Time) bool { return now.Before(s.LeaseUntil) }
+func (s *Status) Leads(now time.Time) bool { return now.Before(s.LeaseUntil) }
 
 // Admission is which instances may be members, as of an applied entry.
 type Admission struct {
@@ -96,7 +96,7 @@
 	requests  chan func(now time.Time)
 	// ended is closed when Run has returned.
 	ended    chan struct{}
-	standing atomic.Pointer[Standing]
+	standing atomic.Pointer[Status]
 	waiting  map[uint64]proposal
 	backlog  []Item
 	joined   map[string]joinedMember
@@ -209,10 +209,10 @@
 	r := k.Replicator
 	if k.held != nil {
 		// A leader that waits must not lead by a lease that it can't renew.
-		k.standing.Store(&Standing{Role: replicator.Follower, Term: r.Term(), Configuration: r.Configuration()})
+		k.standing.Store(&Status{Role: replicator.Follower, Term: r.Term(), Configuration: r.Configuration()})
 		return
 	}
-	k.standing.Store(&Standing{
+	k.standing.Store(&Status{
 		Role: r.Role(), Term: r.Term(), TermStart: r.TermStart(), Leader: r.LeaderID(),
 		LeaseUntil: r.LeaseUntil(k.Clock.Now()), Commit: r.Commit(), Last: r.LastIndex(),
 		First: r.FirstIndex(), Configuration: r.Configuration(),
@@ -220,7 +220,7 @@
 }
 
 // Standing returns what the instance is at the moment.
-func (k *Driver) Standing() *Standing { return k.standing.Load() }
+func (k *Driver) Standing() *Status { return k.standing.Load() }
 
 // Leads reports whether this instance may answer and give orders now.
 func (k *Driver) Leads() bool { return k.Standing().Leads(k.Clock.Now()) }
