--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -129,7 +129,7 @@
 func (a *App) build(contents *storer.Contents, id string) {
 	s := a.Settings
 	a.meter = meter.New("controller", s.Instance.Name, s.Instance.Zone)
-	items := make(chan keeper.Item, itemRing)
+	items := make(chan keeper.CommittedBatch, itemRing)
 	a.peers = &connector.Client{
 		Timeout: s.Timing.PeerTimeout, Key: a.clusterKey, Transport: connector.NewTransport(nil),
 	}
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -154,7 +154,7 @@
 func (r *Routed) build(ctx context.Context, contents *storer.Contents) {
 	s := r.Settings
 	r.meter = meter.New("controller", s.Instance.Name, s.Instance.Zone)
-	items := make(chan keeper.Item, itemRing)
+	items := make(chan keeper.CommittedBatch, itemRing)
 	transport := connector.NewTransport(nil)
 	r.peers = &connector.Client{Timeout: s.Timing.PeerTimeout, Transport: transport}
 	bulk := &connector.Client{Timeout: snapshotTimeout, Transport: connector.NewTransport(nil)}
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -43,7 +43,7 @@
 	Log    *slog.Logger
 	Keeper Keeper
 	// In brings committed entries.
-	In <-chan keeper.Item
+	In <-chan keeper.CommittedBatch
 	// Carry takes orders to engines, and reports each one's end to Ordered. It must
 	// not block.
 	Carry func(order planner.Order, done func(planner.Outcome))
@@ -128,7 +128,7 @@
 	return errors.Wrap(c.calls.Call(ctx, f), "coordinator")
 }
 
-func (c *Coordinator) apply(item keeper.Item) {
+func (c *Coordinator) apply(item keeper.CommittedBatch) {
 	if item.Restore != nil {
 		c.restore(item.Restore)
 	}
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -65,7 +65,7 @@
 	Log    *slog.Logger
 	Keeper Keeper
 	// In brings committed entries.
-	In <-chan keeper.Item
+	In <-chan keeper.CommittedBatch
 	// Carry takes orders to engines and reports each one's end. It must not block.
 	Carry func(order placer.Order, term uint64, done func(placer.Outcome, *placer.State))
 	// Relay passes announcements on to the other controllers. It must not block.
@@ -192,7 +192,7 @@
 	return errors.Wrap(c.calls.Call(ctx, f), "curator")
 }
 
-func (c *Curator) apply(item keeper.Item) {
+func (c *Curator) apply(item keeper.CommittedBatch) {
 	if item.Restore != nil {
 		c.restore(item.Restore)
 	}
--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -22,7 +22,7 @@
 type keeperFake struct {
 	standing keeper.Status
 	index    uint64
-	in       chan keeper.Item
+	in       chan keeper.CommittedBatch
 	mu       sync.Mutex
 }
 
@@ -36,8 +36,8 @@
 }
 
 // item is a committed command.
-func (k *keeperFake) item(cmd *wire.Command) keeper.Item {
-	return keeper.Item{Applied: []keeper.Applied{k.entry(cmd)}}
+func (k *keeperFake) item(cmd *wire.Command) keeper.CommittedBatch {
+	return keeper.CommittedBatch{Applied: []keeper.Applied{k.entry(cmd)}}
 }
 
 func (k *keeperFake) entry(cmd *wire.Command) keeper.Applied {
@@ -60,7 +60,7 @@
 // newCurator returns a curator whose goroutine is the test's: calls are carried out by
 // run, so that nothing depends on timing.
 func newCurator() (*Curator, *keeperFake) {
-	k := &keeperFake{in: make(chan keeper.Item, 16)}
+	k := &keeperFake{in: make(chan keeper.CommittedBatch, 16)}
 	c := &Curator{
 		Clock: clockwork.NewFakeClock(), Log: slog.New(slog.DiscardHandler), Keeper: k, In: k.in,
 		Carry: func(placer.Order, uint64, func(placer.Outcome, *placer.State)) {}, Relay: func([]*wire.Announcement) {},
@@ -88,7 +88,7 @@
 		if change.version == 5 && cu.state.Table() != nil {
 			document = "other content under the version held"
 		}
-		cu.apply(keeper.Item{Applied: []keeper.Applied{k.entry(putTable(change.version, document))}})
+		cu.apply(keeper.CommittedBatch{Applied: []keeper.Applied{k.entry(putTable(change.version, document))}})
 		c.Check(string(cu.state.Table().GetDocument()), qt.Equals, change.want)
 	}
 	res := cu.news(cu.Clock.Now(), &wire.SyncRequest{WantTable: true})
@@ -102,11 +102,11 @@
 func TestTheTableOfASnapshotWaitsForALeader(t *testing.T) {
 	c := qt.New(t)
 	before, k := newCurator()
-	before.apply(keeper.Item{Applied: []keeper.Applied{k.entry(putTable(5, "a"))}})
+	before.apply(keeper.CommittedBatch{Applied: []keeper.Applied{k.entry(putTable(5, "a"))}})
 	state, err := before.state.Snapshot()
 	c.Assert(err, qt.IsNil)
 	cu, k := newCurator()
-	cu.apply(keeper.Item{Restore: &wire.Snapshot{Index: 1, Term: 1, State: state}})
+	cu.apply(keeper.CommittedBatch{Restore: &wire.Snapshot{Index: 1, Term: 1, State: state}})
 	cu.tick(cu.Clock.Now())
 	c.Check(cu.news(cu.Clock.Now(), &wire.SyncRequest{WantTable: true}).GetTableVersion(), qt.Equals, uint64(0))
 	lead(cu, k)
@@ -140,7 +140,7 @@
 	c.Check(cu.isDue(now, waiters["B"]), qt.IsTrue)
 	c.Check(cu.isDue(now, waiters["A"]), qt.IsFalse)
 	c.Check(cu.isDue(now.Add(time.Second), waiters["A"]), qt.IsTrue)
-	cu.apply(keeper.Item{Applied: []keeper.Applied{k.entry(putTable(9, "t"))}})
+	cu.apply(keeper.CommittedBatch{Applied: []keeper.Applied{k.entry(putTable(9, "t"))}})
 	c.Check(cu.isDue(now, waiters["A"]), qt.IsTrue)
 }
 
--- a/controller/keeper/keeper.go
+++ b/controller/keeper/keeper.go
@@ -41,8 +41,8 @@
 	Reply func(recorder.Result)
 }
 
-// Item is what the keeper passes on, in order.
-type Item struct {
+// CommittedBatch is what the keeper passes on, in order.
+type CommittedBatch struct {
 	// Restore replaces the state, when not nil.
 	Restore *wire.Snapshot
 	Applied []Applied
@@ -79,7 +79,7 @@
 	// Send takes messages for other members; it must not block.
 	Send func(config *wire.Configuration, messages []*wire.Message)
 	// Out takes committed entries.
-	Out chan<- Item
+	Out chan<- CommittedBatch
 	// Admission returns which instances may be members, or nil.
 	Admission func() *Admission
 	// OpenMembership lets every instance that asks become a member, instead of those that
@@ -98,7 +98,7 @@
 	ended    chan struct{}
 	standing atomic.Pointer[Status]
 	waiting  map[uint64]proposal
-	backlog  []Item
+	backlog  []CommittedBatch
 	joined   map[string]joinedMember
 	// fatal is set when the disk failed outside of carryOut.
 	fatal error
@@ -125,7 +125,7 @@
 		HardState: stored.HardState, Snapshot: stored.Snapshot, Entries: stored.Entries,
 	})
 	if stored.Snapshot != nil {
-		k.backlog = append(k.backlog, Item{Restore: stored.Snapshot})
+		k.backlog = append(k.backlog, CommittedBatch{Restore: stored.Snapshot})
 	}
 	k.publish()
 }
@@ -137,8 +137,8 @@
 	ticker := k.Clock.NewTicker(tickEvery)
 	defer ticker.Stop()
 	for {
-		var out chan<- Item
-		var first Item
+		var out chan<- CommittedBatch
+		var first CommittedBatch
 		if len(k.backlog) > 0 {
 			out, first = k.Out, k.backlog[0]
 		}
--- a/controller/keeper/storing.go
+++ b/controller/keeper/storing.go
@@ -72,10 +72,10 @@
 
 func (k *Driver) passOn(rd *replicator.Ready) {
 	if rd.Snapshot != nil {
-		k.backlog = append(k.backlog, Item{Restore: rd.Snapshot})
+		k.backlog = append(k.backlog, CommittedBatch{Restore: rd.Snapshot})
 	}
 	if len(rd.Committed) > 0 {
-		item := Item{Applied: make([]Applied, len(rd.Committed))}
+		item := CommittedBatch{Applied: make([]Applied, len(rd.Committed))}
 		for i, e := range rd.Committed {
 			item.Applied[i] = Applied{Entry: e, Reply: k.replyTo(e)}
 		}
