--- a/controller/keeper/keeper.go
+++ b/controller/keeper/keeper.go
@@ -34,9 +34,9 @@
 // ErrBusy is returned when a ring is full; nothing was proposed.
 var ErrBusy = errors.New("keeper: too much waits to be written")
 
-// Applied is a committed entry. Reply is not nil when a caller of this instance
+// CommittedEntry is a committed entry. Reply is not nil when a caller of this instance
 // waits for its result.
-type Applied struct {
+type CommittedEntry struct {
 	Entry *wire.Entry
 	Reply func(recorder.Result)
 }
@@ -45,7 +45,7 @@
 type CommittedBatch struct {
 	// Restore replaces the state, when not nil.
 	Restore *wire.Snapshot
-	Applied []Applied
+	Applied []CommittedEntry
 }
 
 // Status is what the instance is at the moment.
