--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -132,7 +132,7 @@
 	if item.Restore != nil {
 		c.restore(item.Restore)
 	}
-	for _, a := range item.Applied {
+	for _, a := range item.Entries {
 		result := c.state.Apply(a.Entry)
 		c.applied(result)
 		if a.Reply != nil {
--- a/controller/coordinator/coordinator_bench_test.go
+++ b/controller/coordinator/coordinator_bench_test.go
@@ -41,7 +41,7 @@
 			Instance: fmt.Sprintf("entry-%d", i), Nonce: fmt.Sprint(i),
 		}}}
 		data, _ := proto.Marshal(cmd)
-		c.apply(keeper.CommittedBatch{Applied: []keeper.CommittedEntry{{Entry: &wire.Entry{Index: uint64(i + 1), Data: data}}}})
+		c.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{{Entry: &wire.Entry{Index: uint64(i + 1), Data: data}}}})
 	}
 	c.follow()
 	now := clock.Now()
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -196,7 +196,7 @@
 	if item.Restore != nil {
 		c.restore(item.Restore)
 	}
-	for _, a := range item.Applied {
+	for _, a := range item.Entries {
 		before := c.state.Table()
 		result := c.state.Apply(a.Entry)
 		c.logBytes += len(a.Entry.GetData())
--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -37,7 +37,7 @@
 
 // item is a committed command.
 func (k *keeperFake) item(cmd *wire.Command) keeper.CommittedBatch {
-	return keeper.CommittedBatch{Applied: []keeper.CommittedEntry{k.entry(cmd)}}
+	return keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(cmd)}}
 }
 
 func (k *keeperFake) entry(cmd *wire.Command) keeper.CommittedEntry {
@@ -88,7 +88,7 @@
 		if change.version == 5 && cu.state.Table() != nil {
 			document = "other content under the version held"
 		}
-		cu.apply(keeper.CommittedBatch{Applied: []keeper.CommittedEntry{k.entry(putTable(change.version, document))}})
+		cu.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(putTable(change.version, document))}})
 		c.Check(string(cu.state.Table().GetDocument()), qt.Equals, change.want)
 	}
 	res := cu.news(cu.Clock.Now(), &wire.SyncRequest{WantTable: true})
@@ -102,7 +102,7 @@
 func TestTheTableOfASnapshotWaitsForALeader(t *testing.T) {
 	c := qt.New(t)
 	before, k := newCurator()
-	before.apply(keeper.CommittedBatch{Applied: []keeper.CommittedEntry{k.entry(putTable(5, "a"))}})
+	before.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(putTable(5, "a"))}})
 	state, err := before.state.Snapshot()
 	c.Assert(err, qt.IsNil)
 	cu, k := newCurator()
@@ -140,7 +140,7 @@
 	c.Check(cu.isDue(now, waiters["B"]), qt.IsTrue)
 	c.Check(cu.isDue(now, waiters["A"]), qt.IsFalse)
 	c.Check(cu.isDue(now.Add(time.Second), waiters["A"]), qt.IsTrue)
-	cu.apply(keeper.CommittedBatch{Applied: []keeper.CommittedEntry{k.entry(putTable(9, "t"))}})
+	cu.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(putTable(9, "t"))}})
 	c.Check(cu.isDue(now, waiters["A"]), qt.IsTrue)
 }
 
--- a/controller/curator/limits_test.go
+++ b/controller/curator/limits_test.go
@@ -44,7 +44,7 @@
 	c := qt.New(t)
 	cu, k := newCurator()
 	cu.Limits = lender.Rule{Window: time.Nanosecond, Slack: 100}
-	cu.apply(keeper.CommittedBatch{Applied: []keeper.CommittedEntry{k.entry(limitedTable(1, 3))}})
+	cu.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(limitedTable(1, 3))}})
 	_, err := borrow(cu, 1)
 	c.Assert(err, qt.Equals, errNotLeader)
 	lead(cu, k)
@@ -53,7 +53,7 @@
 		needed uint64
 		want   uint64
 	}{{3, 5, 3}, {7, 5, 5}} {
-		cu.apply(keeper.CommittedBatch{Applied: []keeper.CommittedEntry{k.entry(limitedTable(uint64(step.burst), step.burst))}})
+		cu.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(limitedTable(uint64(step.burst), step.burst))}})
 		cu.lender.Begin(cu.Clock.Now().Add(-time.Hour), 1, cu.state.Table().GetTable().GetCustomers())
 		res, err := borrow(cu, step.needed)
 		c.Assert(err, qt.IsNil)
--- a/controller/keeper/keeper.go
+++ b/controller/keeper/keeper.go
@@ -45,7 +45,7 @@
 type CommittedBatch struct {
 	// Restore replaces the state, when not nil.
 	Restore *wire.Snapshot
-	Applied []CommittedEntry
+	Entries []CommittedEntry
 }
 
 // Status is what the instance is at the moment.
--- a/controller/keeper/storing.go
+++ b/controller/keeper/storing.go
@@ -75,9 +75,9 @@
 		k.backlog = append(k.backlog, CommittedBatch{Restore: rd.Snapshot})
 	}
 	if len(rd.Committed) > 0 {
-		item := CommittedBatch{Applied: make([]CommittedEntry, len(rd.Committed))}
+		item := CommittedBatch{Entries: make([]CommittedEntry, len(rd.Committed))}
 		for i, e := range rd.Committed {
-			item.Applied[i] = CommittedEntry{Entry: e, Reply: k.replyTo(e)}
+			item.Entries[i] = CommittedEntry{Entry: e, Reply: k.replyTo(e)}
 		}
 		k.backlog = append(k.backlog, item)
 	}
