--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -143,7 +143,7 @@
 		ObserveBatchFill: a.meter.BatchFill, ObserveInForce: func(d time.Duration) { a.meter.Took("in_force", d) },
 	}
 	a.keeper = &keeper.Driver{
-		Clock: a.Clock, Log: a.Log, Storer: a.storer, Send: a.transporter.Send, Out: items,
+		Clock: a.Clock, Log: a.Log, Storer: a.storer, Send: a.transporter.Send, Commits: items,
 		Admission: a.coordinator.Admission,
 		Replicator: &replicator.Replicator{
 			ID: id, Heartbeat: s.Timing.Heartbeat, ElectionTimeout: s.Timing.ElectionTimeout, Random: mathrand.Int64N,
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -162,7 +162,7 @@
 	r.transporter = &transporter.Transporter{Log: r.Log, Client: r.peers, Bulk: bulk, Cluster: r.clusterID, Self: self}
 	r.transporter.Start(ctx)
 	r.keeper = &keeper.Driver{
-		Clock: r.Clock, Log: r.Log, Storer: r.storer, Send: r.transporter.Send, Out: items,
+		Clock: r.Clock, Log: r.Log, Storer: r.storer, Send: r.transporter.Send, Commits: items,
 		OpenMembership: true, MaxVoters: s.Members.MaxVoters, SilentAfter: s.Timing.SilentMember,
 		Replicator: &replicator.Replicator{
 			ID: r.id, Heartbeat: s.Timing.Heartbeat, ElectionTimeout: s.Timing.ElectionTimeout, StartupVoteDelay: r.startQuiet(), Random: mathrand.Int64N,
--- a/controller/keeper/keeper.go
+++ b/controller/keeper/keeper.go
@@ -78,8 +78,8 @@
 	Replicator *replicator.Replicator
 	// Send takes messages for other members; it must not block.
 	Send func(config *wire.Configuration, messages []*wire.Message)
-	// Out takes committed entries.
-	Out chan<- CommittedBatch
+	// Commits takes committed entries.
+	Commits chan<- CommittedBatch
 	// Admission returns which instances may be members, or nil.
 	Admission func() *Admission
 	// OpenMembership lets every instance that asks become a member, instead of those that
@@ -140,7 +140,7 @@
 		var out chan<- CommittedBatch
 		var first CommittedBatch
 		if len(k.backlog) > 0 {
-			out, first = k.Out, k.backlog[0]
+			out, first = k.Commits, k.backlog[0]
 		}
 		select {
 		case <-ctx.Done():
