--- a/controller/keeper/keeper.go
+++ b/controller/keeper/keeper.go
@@ -28,8 +28,8 @@
 // ErrNotLeader is returned for what only a leader may do.
 var ErrNotLeader = errors.New("keeper: this instance does not lead")
 
-// ErrUnknown is returned when it is not known whether a proposal will be committed.
-var ErrUnknown = errors.New("keeper: leadership was lost before the outcome was known")
+// ErrOutcomeUnknown is returned when it is not known whether a proposal will be committed.
+var ErrOutcomeUnknown = errors.New("keeper: leadership was lost before the outcome was known")
 
 // ErrBusy is returned when a ring is full; nothing was proposed.
 var ErrBusy = errors.New("keeper: too much waits to be written")
--- a/controller/keeper/proposals.go
+++ b/controller/keeper/proposals.go
@@ -44,7 +44,7 @@
 	case a := <-answers:
 		return a.result, a.err
 	case <-ctx.Done():
-		return recorder.Result{}, errors.Wrap(ErrUnknown, ctx.Err().Error())
+		return recorder.Result{}, errors.Wrap(ErrOutcomeUnknown, ctx.Err().Error())
 	}
 }
 
@@ -71,7 +71,7 @@
 	}
 	delete(k.waiting, e.GetIndex())
 	if p.term != e.GetTerm() {
-		p.done(recorder.Result{}, ErrUnknown)
+		p.done(recorder.Result{}, ErrOutcomeUnknown)
 		return nil
 	}
 	return func(result recorder.Result) { p.done(result, nil) }
@@ -79,7 +79,7 @@
 
 func (k *Driver) failWaiting() {
 	for index, p := range k.waiting {
-		p.done(recorder.Result{}, ErrUnknown)
+		p.done(recorder.Result{}, ErrOutcomeUnknown)
 		delete(k.waiting, index)
 	}
 }
--- a/controller/responder/responder.go
+++ b/controller/responder/responder.go
@@ -94,7 +94,7 @@
 		return twirp.NewError(twirp.Unavailable, "no leader is known here")
 	case errors.Is(err, keeper.ErrBusy), errors.Is(err, caller.ErrBusy):
 		return twirp.NewError(twirp.ResourceExhausted, err.Error())
-	case errors.Is(err, keeper.ErrUnknown):
+	case errors.Is(err, keeper.ErrOutcomeUnknown):
 		return twirp.NewError(twirp.Aborted, err.Error())
 	}
 	return twirp.WrapError(twirp.NewError(twirp.Internal, err.Error()), err)
