--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -29,8 +29,8 @@
 	defaultSnapshotEvery = 20_000
 )
 
-// Keeper is what the coordinator uses of the replicated log.
-type Keeper interface {
+// RaftDriver is what the coordinator uses of the replicated log.
+type RaftDriver interface {
 	Standing() *keeper.Status
 	Start(cmd *wire.Command, done func(recorder.Result, error))
 	// Compact may take long, and may be called from any goroutine.
@@ -41,7 +41,7 @@
 type Coordinator struct {
 	Clock  clockwork.Clock
 	Log    *slog.Logger
-	Keeper Keeper
+	Keeper RaftDriver
 	// In brings committed entries.
 	In <-chan keeper.CommittedBatch
 	// Carry takes orders to engines, and reports each one's end to Ordered. It must
