--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -150,7 +150,7 @@
 		},
 	}
 	a.keeper.Init(contents)
-	a.coordinator.Keeper = a.keeper
+	a.coordinator.Raft = a.keeper
 	a.coordinator.CountHeld = func(change string) { a.meter.Count("held_requests", "change", change) }
 	a.coordinator.Carry = a.orderer().Carry
 	a.coordinator.Init()
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -39,9 +39,9 @@
 
 // Coordinator owns the state. Set the exported fields, then call Run.
 type Coordinator struct {
-	Clock  clockwork.Clock
-	Log    *slog.Logger
-	Keeper RaftDriver
+	Clock clockwork.Clock
+	Log   *slog.Logger
+	Raft  RaftDriver
 	// In brings committed entries.
 	In <-chan keeper.CommittedBatch
 	// Carry takes orders to engines, and reports each one's end to Ordered. It must
@@ -175,14 +175,14 @@
 			c.Log.Error("the state can't be encoded", "Error", err.Error())
 			return
 		}
-		c.Keeper.Compact(frozen.GetApplied(), data)
+		c.Raft.Compact(frozen.GetApplied(), data)
 	}()
 }
 
 // follow begins a term as leader, once all that was committed before has been
 // applied, and ends it.
 func (c *Coordinator) follow() {
-	standing := c.Keeper.Standing()
+	standing := c.Raft.Standing()
 	leads := standing.Leads(c.Clock.Now())
 	switch {
 	case leads && c.term != standing.Term && c.state.Applied() >= standing.TermStart:
@@ -226,7 +226,7 @@
 
 // leads reports whether the instance may answer and give orders now.
 func (c *Coordinator) leads(now time.Time) bool {
-	standing := c.Keeper.Standing()
+	standing := c.Raft.Standing()
 	return c.term != 0 && c.term == standing.Term && standing.Leads(now)
 }
 
@@ -290,7 +290,7 @@
 	cmd := &wire.Command{Body: &wire.Command_CloseSession{
 		CloseSession: &wire.CloseSession{Session: uint64(id)},
 	}}
-	c.Keeper.Start(cmd, func(recorder.Result, error) {})
+	c.Raft.Start(cmd, func(recorder.Result, error) {})
 }
 
 func (c *Coordinator) carry(order planner.Order) {
--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	if !led || !c.Keeper.Standing().Leads(c.Clock.Now()) {
+	if !led || !c.Raft.Standing().Leads(c.Clock.Now()) {
 		return keeper.ErrNotLeader
 	}
 	return nil
@@ -90,7 +90,7 @@
 
 // Status returns what an operator sees of the whole system.
 func (c *Coordinator) Status(ctx context.Context) (*wire.StatusResponse, error) {
-	standing := c.Keeper.Standing()
+	standing := c.Raft.Standing()
 	res := &wire.StatusResponse{
 		Leader: standing.Leader, Term: standing.Term, Configuration: standing.Configuration,
 	}
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -23,7 +23,7 @@
 		return nil, err
 	}
 	// The lease is asked again: the call may have waited longer than it ran.
-	if res == nil || !c.Keeper.Standing().Leads(c.Clock.Now()) {
+	if res == nil || !c.Raft.Standing().Leads(c.Clock.Now()) {
 		return nil, keeper.ErrNotLeader
 	}
 	return res, nil
