--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -42,8 +42,8 @@
 	Clock clockwork.Clock
 	Log   *slog.Logger
 	Raft  RaftDriver
-	// In brings committed entries.
-	In <-chan keeper.CommittedBatch
+	// Commits brings committed entries.
+	Commits <-chan keeper.CommittedBatch
 	// Carry takes orders to engines, and reports each one's end to Ordered. It must
 	// not block.
 	Carry func(order planner.Order, done func(planner.Outcome))
@@ -111,7 +111,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case item := <-c.In:
+		case item := <-c.Commits:
 			c.apply(item)
 		case call := <-c.calls.Calls():
 			c.follow()
