--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -44,9 +44,9 @@
 	Raft  RaftDriver
 	// Commits brings committed entries.
 	Commits <-chan keeper.CommittedBatch
-	// Carry takes orders to engines, and reports each one's end to Ordered. It must
+	// SendOrder takes orders to engines, and reports each one's end to Ordered. It must
 	// not block.
-	Carry func(order planner.Order, done func(planner.Outcome))
+	SendOrder func(order planner.Order, done func(planner.Outcome))
 
 	// ObserveBatchFill and ObserveInForce take how full an engine's steps run, and how long a
 	// change took until each live session had applied it. Nil observes nothing.
@@ -296,7 +296,7 @@
 func (c *Coordinator) carry(order planner.Order) {
 	term := c.term
 	c.Log.Info("order", "Kind", int(order.Kind), "Backend", order.Backend, "Adapter", order.Adapter, "Order", uint64(order.ID))
-	c.Carry(order, func(outcome planner.Outcome) {
+	c.SendOrder(order, func(outcome planner.Outcome) {
 		c.calls.Post(func(now time.Time) {
 			if c.term == term {
 				c.planner.Done(now, order.ID, outcome)
--- a/controller/coordinator/coordinator_bench_test.go
+++ b/controller/coordinator/coordinator_bench_test.go
@@ -32,8 +32,8 @@
 	c := &Coordinator{
 		Clock: clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Raft: &leading{until: clock.Now().Add(time.Hour)}, Lease: time.Minute, LongestRequest: time.Minute,
-		Policy: planner.Policy{BackendLease: time.Minute, LoadsPerSecond: 5, LoadsAtOnce: 3},
-		Carry:  func(planner.Order, func(planner.Outcome)) {},
+		Policy:    planner.Policy{BackendLease: time.Minute, LoadsPerSecond: 5, LoadsAtOnce: 3},
+		SendOrder: func(planner.Order, func(planner.Outcome)) {},
 	}
 	c.Init()
 	for i := range sessions {
