--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -53,10 +53,10 @@
 	ObserveBatchFill func(part float64)
 	ObserveInForce   func(took time.Duration)
 
-	Policy         planner.Policy
-	Lease          time.Duration
-	LongestRequest time.Duration
-	SnapshotEvery  uint64
+	Policy             planner.Policy
+	Lease              time.Duration
+	MaxRequestDuration time.Duration
+	SnapshotEvery      uint64
 
 	// CountHeld counts requests that are held back, and those that no longer are; nil counts
 	// nothing.
@@ -195,7 +195,7 @@
 // begin starts a term: the sessions are known from the log, what they hold is not.
 func (c *Coordinator) begin(now time.Time, term uint64) {
 	c.term = term
-	c.leaser = &leaser.Tracker{Lease: c.Lease, MaxRequestDuration: c.LongestRequest}
+	c.leaser = &leaser.Tracker{Lease: c.Lease, MaxRequestDuration: c.MaxRequestDuration}
 	c.limiter = &limiter.Limiter{}
 	c.planner = &planner.Planner{Policy: c.Policy}
 	c.planner.Start(now, term)
--- a/controller/coordinator/coordinator_bench_test.go
+++ b/controller/coordinator/coordinator_bench_test.go
@@ -31,7 +31,7 @@
 	clock := clockwork.NewFakeClock()
 	c := &Coordinator{
 		Clock: clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Raft: &leading{until: clock.Now().Add(time.Hour)}, Lease: time.Minute, LongestRequest: time.Minute,
+		Raft: &leading{until: clock.Now().Add(time.Hour)}, Lease: time.Minute, MaxRequestDuration: time.Minute,
 		Policy:    planner.Policy{BackendLease: time.Minute, LoadsPerSecond: 5, LoadsAtOnce: 3},
 		SendOrder: func(planner.Order, func(planner.Outcome)) {},
 	}
