--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -58,9 +58,9 @@
 	MaxRequestDuration time.Duration
 	SnapshotEvery      uint64
 
-	// CountHeld counts requests that are held back, and those that no longer are; nil counts
+	// CountQuarantine counts requests that are held back, and those that no longer are; nil counts
 	// nothing.
-	CountHeld func(change string)
+	CountQuarantine func(change string)
 
 	arbiter  arbiter.Arbiter
 	calls    *caller.Caller
--- a/controller/coordinator/isolation.go
+++ b/controller/coordinator/isolation.go
@@ -12,7 +12,7 @@
 	c.arbiter.State = func() *recorder.StateMachine { return c.state }
 	c.arbiter.Propose = c.propose
 	c.arbiter.Gateways = c.gatewayAddresses
-	c.arbiter.Count = c.CountHeld
+	c.arbiter.Count = c.CountQuarantine
 	c.arbiter.Init()
 }
 
