--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -139,7 +139,7 @@
 	a.transporter = &transporter.Transporter{Log: a.Log, Client: a.peers, Bulk: a.bulk(), Cluster: a.clusterID, Self: a.member(id)}
 	a.coordinator = &coordinator.Coordinator{
 		Clock: a.Clock, Log: a.Log, Commits: items, Policy: a.policy(), Lease: s.Timing.SessionLease,
-		MaxRequestDuration: s.Timing.LongestRequest, SnapshotEvery: uint64(s.Data.SnapshotEvery),
+		MaxRequestDuration: s.Timing.LongestRequest, SnapshotInterval: uint64(s.Data.SnapshotEvery),
 		ObserveBatchFill: a.meter.BatchFill, ObserveInForce: func(d time.Duration) { a.meter.Took("in_force", d) },
 	}
 	a.keeper = &keeper.Driver{
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -56,7 +56,7 @@
 	Policy             planner.Policy
 	Lease              time.Duration
 	MaxRequestDuration time.Duration
-	SnapshotEvery      uint64
+	SnapshotInterval   uint64
 
 	// CountQuarantine counts requests that are held back, and those that no longer are; nil counts
 	// nothing.
@@ -98,8 +98,8 @@
 	c.calls = caller.New(callRing)
 	c.state = recorder.New()
 	c.initArbiter()
-	if c.SnapshotEvery == 0 {
-		c.SnapshotEvery = defaultSnapshotEvery
+	if c.SnapshotInterval == 0 {
+		c.SnapshotInterval = defaultSnapshotEvery
 	}
 }
 
@@ -141,7 +141,7 @@
 	}
 	c.arbiter.TakeState(c.Clock.Now())
 	c.admitted.Store(&keeper.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
-	if c.state.Applied() >= c.snapshot+c.SnapshotEvery {
+	if c.state.Applied() >= c.snapshot+c.SnapshotInterval {
 		c.compact()
 	}
 }
