--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -66,8 +66,8 @@
 	})
 }
 
-// Held returns the requests that are held back.
-func (c *Coordinator) Held(ctx context.Context) ([]*wire.HeldRequest, error) {
+// Quarantined returns the requests that are held back.
+func (c *Coordinator) Quarantined(ctx context.Context) ([]*wire.HeldRequest, error) {
 	return readValue(ctx, c, c.state.Quarantined)
 }
 
--- a/controller/responder/operator.go
+++ b/controller/responder/operator.go
@@ -127,7 +127,7 @@
 }
 
 func (r *Responder) listHeld(ctx context.Context, _ *wire.ListHeldRequest) (*wire.ListHeldResponse, error) {
-	held, err := r.Coordinator.Held(ctx)
+	held, err := r.Coordinator.Quarantined(ctx)
 	return &wire.ListHeldResponse{Held: held}, err
 }
 
