--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -16,10 +16,10 @@
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/keeper"
 	"bronzelead.example/pkg/caller"
-	"bronzelead.example/pkg/leaser"
 	"bronzelead.example/pkg/limiter"
 	"bronzelead.example/pkg/planner"
 	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -71,7 +71,7 @@
 	compacting atomic.Bool
 
 	term     uint64
-	leaser   *leaser.Tracker
+	leaser   *sessiontracker.Tracker
 	limiter  *limiter.Limiter
 	planner  *planner.Planner
 	services map[string]*service
@@ -195,7 +195,7 @@
 // begin starts a term: the sessions are known from the log, what they hold is not.
 func (c *Coordinator) begin(now time.Time, term uint64) {
 	c.term = term
-	c.leaser = &leaser.Tracker{Lease: c.Lease, MaxRequestDuration: c.MaxRequestDuration}
+	c.leaser = &sessiontracker.Tracker{Lease: c.Lease, MaxRequestDuration: c.MaxRequestDuration}
 	c.limiter = &limiter.Limiter{}
 	c.planner = &planner.Planner{Policy: c.Policy}
 	c.planner.Start(now, term)
@@ -206,11 +206,11 @@
 	c.warm = now.Add(c.Policy.BackendLease)
 	for id, s := range c.state.Sessions() {
 		c.leaser.Open(now, sessionOf(s), true)
-		c.limiter.Expect(leaser.SessionID(id))
+		c.limiter.Expect(sessiontracker.SessionID(id))
 	}
 	for _, s := range c.state.EndedSessions() {
-		c.leaser.AdoptEnded(now, leaser.SessionID(s.GetId()))
-		c.limiter.Expect(leaser.SessionID(s.GetId()))
+		c.leaser.AdoptEnded(now, sessiontracker.SessionID(s.GetId()))
+		c.limiter.Expect(sessiontracker.SessionID(s.GetId()))
 	}
 	for _, contract := range c.state.Contracts() {
 		c.limiter.SetLimit(contract.GetCustomer(), contract.GetRequestsAtOnce())
@@ -218,9 +218,9 @@
 	c.Log.Info("this instance leads", "Term", term, "Sessions", len(c.state.Sessions()))
 }
 
-func sessionOf(s *wire.Session) leaser.Session {
-	return leaser.Session{
-		ID: leaser.SessionID(s.GetId()), Instance: s.GetInstance(), Zone: s.GetZone(), Address: s.GetAddress(),
+func sessionOf(s *wire.Session) sessiontracker.Session {
+	return sessiontracker.Session{
+		ID: sessiontracker.SessionID(s.GetId()), Instance: s.GetInstance(), Zone: s.GetZone(), Address: s.GetAddress(),
 	}
 }
 
@@ -239,7 +239,7 @@
 		c.leaser.Open(c.Clock.Now(), sessionOf(s), false)
 	}
 	if closed := result.Closed; closed != nil {
-		id := leaser.SessionID(closed.GetSession())
+		id := sessiontracker.SessionID(closed.GetSession())
 		c.leaser.RecordClosed(c.Clock.Now(), id, closed.GetGraceful())
 		c.planner.ForgetDemand(id)
 	}
@@ -286,7 +286,7 @@
 	}
 }
 
-func (c *Coordinator) closeSession(id leaser.SessionID) {
+func (c *Coordinator) closeSession(id sessiontracker.SessionID) {
 	cmd := &wire.Command{Body: &wire.Command_CloseSession{
 		CloseSession: &wire.CloseSession{Session: uint64(id)},
 	}}
--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -7,8 +7,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"bronzelead.example/controller/keeper"
-	"bronzelead.example/pkg/leaser"
 	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -114,7 +114,7 @@
 	return res, err
 }
 
-func sessionStatus(now time.Time, s *leaser.Session) *wire.SessionStatus {
+func sessionStatus(now time.Time, s *sessiontracker.Session) *wire.SessionStatus {
 	return &wire.SessionStatus{
 		Session: uint64(s.ID), Instance: s.Instance, Zone: s.Zone, Address: s.Address,
 		Revision: s.Revision, SilentNs: int64(now.Sub(s.RenewedAt)),
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"bronzelead.example/controller/keeper"
-	"bronzelead.example/pkg/leaser"
 	"bronzelead.example/pkg/limiter"
 	"bronzelead.example/pkg/planner"
+	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -30,18 +30,18 @@
 }
 
 func (c *Coordinator) renew(now time.Time, req *wire.RenewRequest) *wire.RenewResponse {
-	id := leaser.SessionID(req.GetSession())
+	id := sessiontracker.SessionID(req.GetSession())
 	res := &wire.RenewResponse{Term: c.term, Revision: c.state.Revision()}
 	switch c.leaser.Renew(now, id, req.GetSequence(), req.GetRevision(), req.GetFull()) {
-	case leaser.Ended:
+	case sessiontracker.Ended:
 		res.Ended = true
 		return res
-	case leaser.Stale:
+	case sessiontracker.Stale:
 		res.NeedFull = true
 		return res
-	case leaser.NeedFull:
+	case sessiontracker.NeedFull:
 		res.NeedFull = true
-	case leaser.Renewed:
+	case sessiontracker.Renewed:
 		if req.GetFull() {
 			c.resetSession(now, id, req)
 		}
@@ -54,7 +54,7 @@
 }
 
 // resetSession takes a full report for all that the session holds.
-func (c *Coordinator) resetSession(now time.Time, id leaser.SessionID, req *wire.RenewRequest) {
+func (c *Coordinator) resetSession(now time.Time, id sessiontracker.SessionID, req *wire.RenewRequest) {
 	c.planner.ResetSession(now, id, req.GetHeld())
 	c.limiter.Reset(id, demandsOf(req))
 }
@@ -67,7 +67,7 @@
 	return demands
 }
 
-func (c *Coordinator) report(now time.Time, id leaser.SessionID, req *wire.RenewRequest, res *wire.RenewResponse) {
+func (c *Coordinator) report(now time.Time, id sessiontracker.SessionID, req *wire.RenewRequest, res *wire.RenewResponse) {
 	for _, lease := range req.GetReleased() {
 		c.planner.Release(id, planner.LeaseID(lease))
 	}
--- a/pkg/leaser/leaser.go
+++ b/pkg/sessiontracker/leaser.go
@@ -5,7 +5,7 @@
 // A gateway counts its lease from when it sent a renewal, the leader from when it
 // received it, both on monotonic clocks, so the gateway's end comes first. The
 // package is pure and not safe for concurrent use.
-package leaser
+package sessiontracker
 
 import (
 	"cmp"
--- a/pkg/leaser/leaser_test.go
+++ b/pkg/sessiontracker/leaser_test.go
@@ -1,4 +1,4 @@
-package leaser_test
+package sessiontracker_test
 
 import (
 	"testing"
@@ -6,32 +6,32 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"bronzelead.example/pkg/leaser"
+	"bronzelead.example/pkg/sessiontracker"
 )
 
 const lease = 3 * time.Second
 
 func start() time.Time { return time.Unix(1000, 0) }
 
-func newLeaser(adopted bool) *leaser.Tracker {
-	l := &leaser.Tracker{Lease: lease, MaxRequestDuration: time.Minute}
-	l.Open(start(), leaser.Session{ID: 1, Instance: "entry-1"}, adopted)
+func newLeaser(adopted bool) *sessiontracker.Tracker {
+	l := &sessiontracker.Tracker{Lease: lease, MaxRequestDuration: time.Minute}
+	l.Open(start(), sessiontracker.Session{ID: 1, Instance: "entry-1"}, adopted)
 	return l
 }
 
 func TestRenew(t *testing.T) {
 	cases := map[string]struct {
 		adopted  bool
-		id       leaser.SessionID
+		id       sessiontracker.SessionID
 		sequence uint64
 		full     bool
-		want     leaser.RenewResult
+		want     sessiontracker.RenewResult
 	}{
-		"a session of this leader":                {id: 1, sequence: 1, want: leaser.Renewed},
-		"an unknown session":                      {id: 2, sequence: 1, want: leaser.Ended},
-		"a renewal that was overtaken":            {id: 1, want: leaser.Stale},
-		"an adopted session that says too little": {adopted: true, id: 1, sequence: 1, want: leaser.NeedFull},
-		"an adopted session that says all":        {adopted: true, id: 1, sequence: 1, full: true, want: leaser.Renewed},
+		"a session of this leader":                {id: 1, sequence: 1, want: sessiontracker.Renewed},
+		"an unknown session":                      {id: 2, sequence: 1, want: sessiontracker.Ended},
+		"a renewal that was overtaken":            {id: 1, want: sessiontracker.Stale},
+		"an adopted session that says too little": {adopted: true, id: 1, sequence: 1, want: sessiontracker.NeedFull},
+		"an adopted session that says all":        {adopted: true, id: 1, sequence: 1, full: true, want: sessiontracker.Renewed},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -48,18 +48,18 @@
 	l := newLeaser(false)
 	c.Assert(l.Expired(start().Add(lease)), qt.HasLen, 0)
 	late := start().Add(lease + time.Millisecond)
-	c.Assert(l.Expired(late), qt.DeepEquals, []leaser.SessionID{1})
+	c.Assert(l.Expired(late), qt.DeepEquals, []sessiontracker.SessionID{1})
 	c.Assert(l.Expired(late), qt.HasLen, 0)
 	// From then on it can't be renewed, and if its end did not get into the log it is
 	// asked for again.
-	c.Assert(l.Renew(late, 1, 1, 0, true), qt.Equals, leaser.Ended)
+	c.Assert(l.Renew(late, 1, 1, 0, true), qt.Equals, sessiontracker.Ended)
 	again := late.Add(lease + time.Millisecond)
-	c.Assert(l.Expired(again), qt.DeepEquals, []leaser.SessionID{1})
+	c.Assert(l.Expired(again), qt.DeepEquals, []sessiontracker.SessionID{1})
 	l.RecordClosed(again, 1, false)
 	c.Assert(l.Expired(again.Add(time.Hour)), qt.HasLen, 0)
 	// What it held comes back only when nothing of it can run any more.
 	c.Assert(l.Freed(again.Add(time.Minute-time.Millisecond)), qt.HasLen, 0)
-	c.Assert(l.Freed(again.Add(time.Minute)), qt.DeepEquals, []leaser.SessionID{1})
+	c.Assert(l.Freed(again.Add(time.Minute)), qt.DeepEquals, []sessiontracker.SessionID{1})
 }
 
 func TestSessionsOfEarlierLeaders(t *testing.T) {
@@ -69,6 +69,6 @@
 	c.Assert(l.HoldingsKnown(), qt.IsFalse)
 	l.Renew(start(), 1, 1, 0, true)
 	c.Assert(l.HoldingsKnown(), qt.IsFalse, qt.Commentf("requests of the ended session may still run"))
-	c.Assert(l.Freed(start().Add(time.Minute)), qt.DeepEquals, []leaser.SessionID{9})
+	c.Assert(l.Freed(start().Add(time.Minute)), qt.DeepEquals, []sessiontracker.SessionID{9})
 	c.Assert(l.HoldingsKnown(), qt.IsTrue)
 }
