--- a/controller/app/init.go
+++ b/controller/app/init.go
@@ -5,7 +5,7 @@
 
 	"github.com/pkg/errors"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/storer"
 	"bronzelead.example/pkg/wire"
 )
@@ -45,7 +45,7 @@
 // firstSnapshot admits the members that the settings name and gives the only vote to
 // this instance.
 func firstSnapshot(s *Settings) (*wire.Snapshot, string, error) {
-	state, err := recorder.InitialState(s.Members.Names)
+	state, err := applier.InitialState(s.Members.Names)
 	if err != nil {
 		return nil, "", errors.Wrap(err, "app")
 	}
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -18,11 +18,11 @@
 	"bronzelead.example/controller/responder"
 	"bronzelead.example/controller/transporter"
 	"bronzelead.example/pkg/ablator"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/connector"
 	"bronzelead.example/pkg/lender"
 	"bronzelead.example/pkg/meter"
 	"bronzelead.example/pkg/placer"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/replicator"
 	"bronzelead.example/pkg/server"
 	"bronzelead.example/pkg/storer"
@@ -125,7 +125,7 @@
 	if err != nil || id != "" || contents.Snapshot != nil {
 		return nil
 	}
-	state, err := recorder.InitialState(nil)
+	state, err := applier.InitialState(nil)
 	if err != nil {
 		return errors.Wrap(err, "app")
 	}
--- a/controller/app/settings.go
+++ b/controller/app/settings.go
@@ -4,8 +4,8 @@
 	"net"
 	"time"
 
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/configurer"
-	"bronzelead.example/pkg/recorder"
 )
 
 // Settings are all settings of a controller.
@@ -80,7 +80,7 @@
 		Data: DataSettings{SnapshotEvery: 20_000},
 		Timing: TimingSettings{
 			Heartbeat: 100 * time.Millisecond, ElectionTimeout: 600 * time.Millisecond,
-			SessionLease: 3 * time.Second, LongestRequest: recorder.MaxDeadline,
+			SessionLease: 3 * time.Second, LongestRequest: applier.MaxDeadline,
 			PeerTimeout: 500 * time.Millisecond,
 		},
 		Engines: EngineSettings{
--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -9,9 +9,9 @@
 	"slices"
 	"time"
 
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/quarantiner"
 	"bronzelead.example/pkg/ranker"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -27,7 +27,7 @@
 type Arbiter struct {
 	Log *slog.Logger
 	// State returns the replicated state.
-	State func() *recorder.StateMachine
+	State func() *applier.StateMachine
 	// Propose commits a change in the background.
 	Propose func(cmd *wire.Command)
 	// Gateways returns where all gateways are reached.
@@ -37,7 +37,7 @@
 
 	judge *quarantiner.Quarantiner
 	// known is the state that the judge knows, as of heldRevision. A snapshot brings another.
-	known        *recorder.StateMachine
+	known        *applier.StateMachine
 	heldRevision uint64
 	// dropped is how many that state has let go for want of room.
 	dropped int
@@ -105,13 +105,13 @@
 }
 
 // countDropped counts the requests that have made room for others.
-func (a *Arbiter) countDropped(state *recorder.StateMachine) {
+func (a *Arbiter) countDropped(state *applier.StateMachine) {
 	if state != a.known {
 		a.dropped = 0
 	}
 	for ; a.dropped < state.QuarantineEvictions(); a.dropped++ {
 		a.count("MadeRoom")
-		a.Log.Warn("a request is held back no longer: too many are", "Most", recorder.MaxQuarantined)
+		a.Log.Warn("a request is held back no longer: too many are", "Most", applier.MaxQuarantined)
 	}
 }
 
@@ -173,7 +173,7 @@
 	for _, h := range a.State().Quarantined() {
 		held[h.GetFingerprint()] = true
 		age := max(0, now.Sub(time.Unix(0, h.GetHeldAtNs())))
-		s := &wire.Suspect{Fingerprint: h.GetFingerprint(), Held: true, LeftS: uint32(max(1, (recorder.QuarantinePeriod - age).Seconds()))}
+		s := &wire.Suspect{Fingerprint: h.GetFingerprint(), Held: true, LeftS: uint32(max(1, (applier.QuarantinePeriod - age).Seconds()))}
 		if h.GetOnTrial() {
 			s.TrialAt = a.trialAt(h.GetPlace())
 		}
--- a/controller/arbiter/arbiter_test.go
+++ b/controller/arbiter/arbiter_test.go
@@ -9,15 +9,15 @@
 	qt "github.com/frankban/quicktest"
 	"google.golang.org/protobuf/proto"
 
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/quarantiner"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/wire"
 )
 
 // court is an arbiter whose log commits each change at once.
 type court struct {
 	*Arbiter
-	state *recorder.StateMachine
+	state *applier.StateMachine
 	index uint64
 	now   time.Time
 	// counted are the changes that were counted.
@@ -25,9 +25,9 @@
 }
 
 func newCourt() *court {
-	t := &court{Arbiter: &Arbiter{}, state: recorder.New(), now: time.Unix(1000, 0), counted: map[string]int{}}
+	t := &court{Arbiter: &Arbiter{}, state: applier.New(), now: time.Unix(1000, 0), counted: map[string]int{}}
 	t.Log = slog.New(slog.DiscardHandler)
-	t.State = func() *recorder.StateMachine { return t.state }
+	t.State = func() *applier.StateMachine { return t.state }
 	t.Propose = t.commit
 	t.Gateways = func() []string { return []string{"a:1", "b:1", "c:1"} }
 	t.Count = func(change string) { t.counted[change]++ }
@@ -114,7 +114,7 @@
 func TestWhatMakesRoomIsCounted(t *testing.T) {
 	c := qt.New(t)
 	court := newCourt()
-	for i := range recorder.MaxQuarantined + 3 {
+	for i := range applier.MaxQuarantined + 3 {
 		court.commit(&wire.Command{Body: &wire.Command_HoldRequest{HoldRequest: &wire.HeldRequest{Fingerprint: fmt.Sprint(i)}}})
 	}
 	c.Check(court.counted["MadeRoom"], qt.Equals, 3)
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -15,10 +15,10 @@
 
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/keeper"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/limiter"
 	"bronzelead.example/pkg/planner"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
 )
@@ -32,7 +32,7 @@
 // RaftDriver is what the coordinator uses of the replicated log.
 type RaftDriver interface {
 	Standing() *keeper.Status
-	Start(cmd *wire.Command, done func(recorder.Result, error))
+	Start(cmd *wire.Command, done func(applier.Result, error))
 	// Compact may take long, and may be called from any goroutine.
 	Compact(index uint64, state []byte)
 }
@@ -65,7 +65,7 @@
 	arbiter  arbiter.Arbiter
 	calls    *caller.Caller
 	admitted atomic.Pointer[keeper.Admission]
-	state    *recorder.StateMachine
+	state    *applier.StateMachine
 	snapshot uint64
 	// compacting is set while a snapshot is being made.
 	compacting atomic.Bool
@@ -96,7 +96,7 @@
 // Init prepares the coordinator for calls before Run.
 func (c *Coordinator) Init() {
 	c.calls = caller.New(callRing)
-	c.state = recorder.New()
+	c.state = applier.New()
 	c.initArbiter()
 	if c.SnapshotInterval == 0 {
 		c.SnapshotInterval = defaultSnapshotEvery
@@ -151,7 +151,7 @@
 func (c *Coordinator) Admission() *keeper.Admission { return c.admitted.Load() }
 
 func (c *Coordinator) restore(s *wire.Snapshot) {
-	state, err := recorder.Restore(s.GetState())
+	state, err := applier.Restore(s.GetState())
 	if err != nil {
 		// The snapshot's checksum was right, so it was written by another version.
 		c.Log.Error("a snapshot can't be decoded", "Error", err.Error())
@@ -170,7 +170,7 @@
 	frozen := c.state.Freeze()
 	go func() {
 		defer c.compacting.Store(false)
-		data, err := recorder.Encode(frozen)
+		data, err := applier.Encode(frozen)
 		if err != nil {
 			c.Log.Error("the state can't be encoded", "Error", err.Error())
 			return
@@ -231,7 +231,7 @@
 }
 
 // applied lets a result take effect on the leader's side.
-func (c *Coordinator) applied(result recorder.Result) {
+func (c *Coordinator) applied(result applier.Result) {
 	if c.term == 0 {
 		return
 	}
@@ -290,7 +290,7 @@
 	cmd := &wire.Command{Body: &wire.Command_CloseSession{
 		CloseSession: &wire.CloseSession{Session: uint64(id)},
 	}}
-	c.Raft.Start(cmd, func(recorder.Result, error) {})
+	c.Raft.Start(cmd, func(applier.Result, error) {})
 }
 
 func (c *Coordinator) carry(order planner.Order) {
--- a/controller/coordinator/coordinator_bench_test.go
+++ b/controller/coordinator/coordinator_bench_test.go
@@ -11,8 +11,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"bronzelead.example/controller/keeper"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/planner"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -23,7 +23,7 @@
 	return &keeper.Status{Term: 1, LeaseUntil: l.until}
 }
 
-func (l *leading) Start(*wire.Command, func(recorder.Result, error)) {}
+func (l *leading) Start(*wire.Command, func(applier.Result, error)) {}
 
 func (l *leading) Compact(uint64, []byte) {}
 
--- a/controller/coordinator/isolation.go
+++ b/controller/coordinator/isolation.go
@@ -3,13 +3,13 @@
 import (
 	"fmt"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/wire"
 )
 
 func (c *Coordinator) initArbiter() {
 	c.arbiter.Log = c.Log
-	c.arbiter.State = func() *recorder.StateMachine { return c.state }
+	c.arbiter.State = func() *applier.StateMachine { return c.state }
 	c.arbiter.Propose = c.propose
 	c.arbiter.Gateways = c.gatewayAddresses
 	c.arbiter.Count = c.CountQuarantine
@@ -18,7 +18,7 @@
 
 // propose commits a change in the background.
 func (c *Coordinator) propose(cmd *wire.Command) {
-	c.Raft.Start(cmd, func(_ recorder.Result, err error) {
+	c.Raft.Start(cmd, func(_ applier.Result, err error) {
 		if err != nil {
 			c.Log.Warn("a verdict was not committed", "Change", fmt.Sprintf("%T", cmd.GetBody()), "Error", err.Error())
 		}
--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -7,7 +7,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"bronzelead.example/controller/keeper"
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
 )
@@ -56,7 +56,7 @@
 }
 
 // Claim returns a copy of a claim, or nil.
-func (c *Coordinator) Claim(ctx context.Context, key recorder.ClaimKey) (*wire.Claim, error) {
+func (c *Coordinator) Claim(ctx context.Context, key applier.ClaimKey) (*wire.Claim, error) {
 	return readValue(ctx, c, func() *wire.Claim {
 		found := c.state.ClaimOf(key)
 		if found == nil {
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -17,10 +17,10 @@
 
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/keeper"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/lender"
 	"bronzelead.example/pkg/placer"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/spreader"
 	"bronzelead.example/pkg/throttler"
 	"bronzelead.example/pkg/tracker"
@@ -55,7 +55,7 @@
 type Keeper interface {
 	Standing() *keeper.Status
 	Leads() bool
-	Propose(ctx context.Context, cmd *wire.Command) (recorder.Result, error)
+	Propose(ctx context.Context, cmd *wire.Command) (applier.Result, error)
 	Compact(index uint64, state []byte)
 }
 
@@ -92,7 +92,7 @@
 
 	calls      *caller.Caller
 	epoch      uint64
-	state      *recorder.StateMachine
+	state      *applier.StateMachine
 	snapshot   uint64
 	logBytes   int
 	compacting atomic.Bool
@@ -158,7 +158,7 @@
 func (c *Curator) Init() {
 	c.calls = caller.New(callRing)
 	c.epoch = rand.Uint64()
-	c.state = recorder.New()
+	c.state = applier.New()
 	c.tracker = &tracker.Tracker{SilentAfter: c.SilentAfter, ForgetAfter: forgetAfter}
 	c.gateways = map[string]*gatewayState{}
 	c.startedAt, c.met = c.Clock.Now(), map[string]time.Time{}
@@ -240,7 +240,7 @@
 }
 
 func (c *Curator) restore(s *wire.Snapshot) {
-	state, err := recorder.Restore(s.GetState())
+	state, err := applier.Restore(s.GetState())
 	if err != nil {
 		// The snapshot's checksum was right, so it was written by another version.
 		c.Log.Error("a snapshot can't be decoded", "Error", err.Error())
@@ -261,7 +261,7 @@
 	frozen := c.state.Freeze()
 	go func() {
 		defer c.compacting.Store(false)
-		data, err := recorder.Encode(frozen)
+		data, err := applier.Encode(frozen)
 		if err != nil {
 			c.Log.Error("the state can't be encoded", "Error", err.Error())
 			return
--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -13,8 +13,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"bronzelead.example/controller/keeper"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/placer"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -30,9 +30,9 @@
 func (k *keeperFake) Leads() bool              { return k.standing.Role != 0 }
 func (k *keeperFake) Compact(uint64, []byte)   {}
 
-func (k *keeperFake) Propose(_ context.Context, cmd *wire.Command) (recorder.Result, error) {
+func (k *keeperFake) Propose(_ context.Context, cmd *wire.Command) (applier.Result, error) {
 	k.in <- k.item(cmd)
-	return recorder.Result{}, nil
+	return applier.Result{}, nil
 }
 
 // item is a committed command.
--- a/controller/curator/isolation.go
+++ b/controller/curator/isolation.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -14,7 +14,7 @@
 
 func (c *Curator) initArbiter() {
 	c.arbiter.Log = c.Log
-	c.arbiter.State = func() *recorder.StateMachine { return c.state }
+	c.arbiter.State = func() *applier.StateMachine { return c.state }
 	c.arbiter.Propose = c.propose
 	c.arbiter.Gateways = c.gatewayAddresses
 	c.arbiter.Count = c.CountHeld
--- a/controller/keeper/keeper.go
+++ b/controller/keeper/keeper.go
@@ -12,7 +12,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/replicator"
 	"bronzelead.example/pkg/storer"
 	"bronzelead.example/pkg/wire"
@@ -38,7 +38,7 @@
 // waits for its result.
 type CommittedEntry struct {
 	Entry *wire.Entry
-	Reply func(recorder.Result)
+	Reply func(applier.Result)
 }
 
 // CommittedBatch is what the keeper passes on, in order.
--- a/controller/responder/control.go
+++ b/controller/responder/control.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -94,6 +94,6 @@
 }
 
 func (r *Responder) lookup(ctx context.Context, req *wire.LookupRequest) (*wire.LookupResponse, error) {
-	claim, err := r.Coordinator.Claim(ctx, recorder.ClaimKey{Customer: req.GetCustomer(), Key: req.GetKey()})
+	claim, err := r.Coordinator.Claim(ctx, applier.ClaimKey{Customer: req.GetCustomer(), Key: req.GetKey()})
 	return &wire.LookupResponse{Claim: claim}, err
 }
--- a/pkg/recorder/expiry.go
+++ b/pkg/applier/expiry.go
@@ -1,4 +1,4 @@
-package recorder
+package applier
 
 import "container/heap"
 
--- a/pkg/recorder/held_test.go
+++ b/pkg/applier/held_test.go
@@ -1,4 +1,4 @@
-package recorder_test
+package applier_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -42,8 +42,8 @@
 		"a version of its model":   {func(l *log) { l.version("m", "", 2) }, 1, 1},
 		"a version of another":     {func(l *log) { l.version("m", "b", 2) }, 1, 0},
 		"held after its trial":     {func(l *log) { l.version("m", "a", 2); l.hold("f") }, 1, 0},
-		"a day later":              {func(l *log) { l.now = l.now.Add(recorder.QuarantinePeriod + time.Minute); l.version("x", "y", 1) }, 1, 1},
-		"weeks later":              {func(l *log) { l.now = l.now.Add(30 * recorder.QuarantinePeriod); l.version("x", "y", 1) }, 0, 0},
+		"a day later":              {func(l *log) { l.now = l.now.Add(applier.QuarantinePeriod + time.Minute); l.version("x", "y", 1) }, 1, 1},
+		"weeks later":              {func(l *log) { l.now = l.now.Add(30 * applier.QuarantinePeriod); l.version("x", "y", 1) }, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -52,9 +52,9 @@
 			test.happens(l)
 			data, err := l.state.Snapshot()
 			c.Assert(err, qt.IsNil)
-			restored, err := recorder.Restore(data)
+			restored, err := applier.Restore(data)
 			c.Assert(err, qt.IsNil)
-			for _, state := range []*recorder.StateMachine{l.state, restored} {
+			for _, state := range []*applier.StateMachine{l.state, restored} {
 				onTrial := 0
 				for _, h := range state.Quarantined() {
 					if h.GetOnTrial() {
@@ -72,13 +72,13 @@
 func TestHeldRequestsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	l := newLog()
-	for i := range recorder.MaxQuarantined + 10 {
+	for i := range applier.MaxQuarantined + 10 {
 		l.now = l.now.Add(time.Second)
 		before := l.state.QuarantineRevision()
 		l.hold(fmt.Sprint(i))
 		c.Assert(l.state.QuarantineRevision() > before, qt.IsTrue)
 	}
-	c.Assert(l.state.Quarantined(), qt.HasLen, recorder.MaxQuarantined)
+	c.Assert(l.state.Quarantined(), qt.HasLen, applier.MaxQuarantined)
 	c.Check(l.state.Quarantined()[0].GetFingerprint(), qt.Equals, "10")
 	c.Check(l.state.QuarantineEvictions(), qt.Equals, 10)
 }
--- a/pkg/recorder/recorder.go
+++ b/pkg/applier/recorder.go
@@ -4,7 +4,7 @@
 //
 // It is pure: the same commands in the same order give the same state on each
 // member. Time comes only from inside the commands and never goes back.
-package recorder
+package applier
 
 import (
 	"time"
--- a/pkg/recorder/recorder_bench_test.go
+++ b/pkg/applier/recorder_bench_test.go
@@ -1,4 +1,4 @@
-package recorder_test
+package applier_test
 
 import (
 	"fmt"
--- a/pkg/recorder/recorder_test.go
+++ b/pkg/applier/recorder_test.go
@@ -1,4 +1,4 @@
-package recorder_test
+package applier_test
 
 import (
 	"fmt"
@@ -9,20 +9,20 @@
 	"google.golang.org/protobuf/proto"
 	"pgregory.net/rapid"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/wire"
 )
 
 // log applies commands one after the other.
 type log struct {
-	state *recorder.StateMachine
+	state *applier.StateMachine
 	index uint64
 	now   time.Time
 }
 
-func newLog() *log { return &log{state: recorder.New(), now: time.Unix(1000, 0)} }
+func newLog() *log { return &log{state: applier.New(), now: time.Unix(1000, 0)} }
 
-func (l *log) apply(cmd *wire.Command) recorder.Result {
+func (l *log) apply(cmd *wire.Command) applier.Result {
 	l.index++
 	cmd.AtNs = l.now.UnixNano()
 	data, err := proto.Marshal(cmd)
@@ -64,7 +64,7 @@
 func (l *log) restart(c *qt.C) {
 	data, err := l.state.Snapshot()
 	c.Assert(err, qt.IsNil)
-	l.state, err = recorder.Restore(data)
+	l.state, err = applier.Restore(data)
 	c.Assert(err, qt.IsNil)
 }
 
--- a/pkg/replicator/cluster_test.go
+++ b/pkg/replicator/cluster_test.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/recruiter"
 	"bronzelead.example/pkg/replicator"
 	"bronzelead.example/pkg/wire"
@@ -36,7 +36,7 @@
 	chosen     map[uint64]string
 	next       int
 	// waiting maps a command's id to what takes its result.
-	waiting map[string]func(recorder.Result)
+	waiting map[string]func(applier.Result)
 }
 
 type delivery struct {
@@ -48,7 +48,7 @@
 type member struct {
 	id, name string
 	core     *replicator.Replicator
-	state    *recorder.StateMachine
+	state    *applier.StateMachine
 	up       bool
 	disk     disk
 }
@@ -63,13 +63,13 @@
 	c := &cluster{
 		random: rand.New(rand.NewPCG(seed, seed)), now: time.Unix(1_000_000, 0),
 		members: map[string]*member{}, cut: map[[2]string]bool{},
-		leaders: map[uint64]string{}, chosen: map[uint64]string{}, waiting: map[string]func(recorder.Result){},
+		leaders: map[uint64]string{}, chosen: map[uint64]string{}, waiting: map[string]func(applier.Result){},
 	}
 	config := &wire.Configuration{}
 	for _, name := range names {
 		config.Voters = append(config.Voters, &wire.Member{Id: name + "/1", Name: name})
 	}
-	state, err := recorder.InitialState(names)
+	state, err := applier.InitialState(names)
 	if err != nil {
 		panic(err)
 	}
@@ -93,9 +93,9 @@
 	m.core = &replicator.Replicator{
 		ID: m.id, Heartbeat: heartbeat, ElectionTimeout: timeout, StartupVoteDelay: c.startQuiet, Random: c.random.Int64N, MaxEntries: 8,
 	}
-	m.state = recorder.New()
+	m.state = applier.New()
 	if m.disk.snapshot != nil {
-		m.state, _ = recorder.Restore(m.disk.snapshot.GetState())
+		m.state, _ = applier.Restore(m.disk.snapshot.GetState())
 	}
 	stored := replicator.PersistedState{HardState: m.disk.hard, Entries: slices.Clone(m.disk.entries)}
 	if m.disk.snapshot != nil {
@@ -196,7 +196,7 @@
 	}
 	if rd.Snapshot != nil {
 		m.disk.snapshot, m.disk.entries = proto.CloneOf(rd.Snapshot), nil
-		m.state, _ = recorder.Restore(rd.Snapshot.GetState())
+		m.state, _ = applier.Restore(rd.Snapshot.GetState())
 	}
 	for _, e := range rd.Entries {
 		keep := e.GetIndex() - m.disk.snapshot.GetIndex() - 1
@@ -287,7 +287,7 @@
 }
 
 // propose gives a command to a member and lets done have its result, if it comes.
-func (c *cluster) propose(m *member, cmd *wire.Command, done func(recorder.Result)) {
+func (c *cluster) propose(m *member, cmd *wire.Command, done func(applier.Result)) {
 	cmd.AtNs = c.now.UnixNano()
 	data, err := proto.Marshal(cmd)
 	if err != nil {
--- a/pkg/replicator/replicator_test.go
+++ b/pkg/replicator/replicator_test.go
@@ -9,7 +9,7 @@
 	"github.com/anishathalye/porcupine"
 	qt "github.com/frankban/quicktest"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/replicator"
 	"bronzelead.example/pkg/wire"
 )
@@ -211,7 +211,7 @@
 	c.Assert(k.leader(), qt.IsNotNil, qt.Commentf("seed %d: nobody leads after the faults are over", seed))
 	assertSame(c, k)
 	done := false
-	k.propose(k.leader(), applyCommand("last", 0), func(recorder.Result) { done = true })
+	k.propose(k.leader(), applyCommand("last", 0), func(applier.Result) { done = true })
 	k.run(time.Second)
 	c.Assert(done, qt.IsTrue, qt.Commentf("seed %d: nothing can be committed after the faults are over", seed))
 }
@@ -227,7 +227,7 @@
 		ClientId: at, Input: in, Call: k.now.UnixNano(), Output: &answer{unknown: true},
 	})
 	out := history[at].Output.(*answer)
-	k.propose(m, applyCommand(fmt.Sprint(operator, "-", round), in.base), func(result recorder.Result) {
+	k.propose(m, applyCommand(fmt.Sprint(operator, "-", round), in.base), func(result applier.Result) {
 		out.unknown, out.at = false, k.now
 		out.won = !result.Apply.GetConflict()
 		out.version = result.Apply.GetContract().GetVersion()
@@ -312,7 +312,7 @@
 	}
 	k.isolate(others[1].id, true)
 	committed := false
-	k.propose(leader, applyCommand("kept", 0), func(recorder.Result) { committed = true })
+	k.propose(leader, applyCommand("kept", 0), func(applier.Result) { committed = true })
 	k.run(time.Second)
 	c.Assert(committed, qt.IsTrue)
 	// The member that has the entry loses its disk, and the leader is cut off: the
@@ -336,7 +336,7 @@
 	k := newCluster(11, "a", "b", "c")
 	k.run(3 * time.Second)
 	done := false
-	k.propose(k.leader(), applyCommand("kept", 0), func(recorder.Result) { done = true })
+	k.propose(k.leader(), applyCommand("kept", 0), func(applier.Result) { done = true })
 	k.run(time.Second)
 	c.Assert(done, qt.IsTrue)
 	leader := k.leader()
@@ -368,7 +368,7 @@
 	k.network = nil
 	k.run(5 * time.Second)
 	done := false
-	k.propose(k.leader(), applyCommand("after", 0), func(recorder.Result) { done = true })
+	k.propose(k.leader(), applyCommand("after", 0), func(applier.Result) { done = true })
 	k.run(time.Second)
 	c.Assert(done, qt.IsTrue)
 }
--- a/pkg/validator/validator.go
+++ b/pkg/validator/validator.go
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/authenticator"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -58,8 +58,8 @@
 	if c.GetQueueLength() > maxAtOnce {
 		v.fault("QueueLength: %d is above %d", c.GetQueueLength(), maxAtOnce)
 	}
-	if deadline <= 0 || deadline > recorder.MaxDeadline {
-		v.fault("Deadline: %s is not above 0s and up to %s", deadline, recorder.MaxDeadline)
+	if deadline <= 0 || deadline > applier.MaxDeadline {
+		v.fault("Deadline: %s is not above 0s and up to %s", deadline, applier.MaxDeadline)
 	}
 	if keep < keepOverRuns*deadline || keep > maxKeepKeys {
 		// A key forgotten while its request may still run would let it run twice.
