--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -16,8 +16,8 @@
 	"github.com/pkg/errors"
 
 	"bronzelead.example/controller/coordinator"
-	"bronzelead.example/controller/keeper"
 	"bronzelead.example/controller/orderer"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/controller/responder"
 	"bronzelead.example/controller/transporter"
 	"bronzelead.example/pkg/authenticator"
@@ -55,7 +55,7 @@
 	clusterKey  string
 	operators   authenticator.Ring
 	storer      *storer.Storer
-	keeper      *keeper.Driver
+	keeper      *raftdriver.Driver
 	coordinator *coordinator.Coordinator
 	transporter *transporter.Transporter
 	responder   *responder.Responder
@@ -129,7 +129,7 @@
 func (a *App) build(contents *storer.Contents, id string) {
 	s := a.Settings
 	a.meter = meter.New("controller", s.Instance.Name, s.Instance.Zone)
-	items := make(chan keeper.CommittedBatch, itemRing)
+	items := make(chan raftdriver.CommittedBatch, itemRing)
 	a.peers = &connector.Client{
 		Timeout: s.Timing.PeerTimeout, Key: a.clusterKey, Transport: connector.NewTransport(nil),
 	}
@@ -142,7 +142,7 @@
 		MaxRequestDuration: s.Timing.LongestRequest, SnapshotInterval: uint64(s.Data.SnapshotEvery),
 		ObserveBatchFill: a.meter.BatchFill, ObserveInForce: func(d time.Duration) { a.meter.Took("in_force", d) },
 	}
-	a.keeper = &keeper.Driver{
+	a.keeper = &raftdriver.Driver{
 		Clock: a.Clock, Log: a.Log, Storer: a.storer, Send: a.transporter.Send, Commits: items,
 		Admission: a.coordinator.Admission,
 		Replicator: &replicator.Replicator{
@@ -227,7 +227,7 @@
 }
 
 // handOver lets another controller lead, if this one does.
-func handOver(ctx context.Context, clock clockwork.Clock, k *keeper.Driver) {
+func handOver(ctx context.Context, clock clockwork.Clock, k *raftdriver.Driver) {
 	if !k.Leads() {
 		return
 	}
--- a/controller/app/joiner.go
+++ b/controller/app/joiner.go
@@ -9,7 +9,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/connector"
 	"bronzelead.example/pkg/storer"
 	"bronzelead.example/pkg/wire"
@@ -25,7 +25,7 @@
 	log       *slog.Logger
 	peers     *connector.Client
 	self      *wire.Member
-	keeper    *keeper.Driver
+	keeper    *raftdriver.Driver
 	storer    *storer.Storer
 	cluster   *atomic.Pointer[string]
 	addresses func() []string
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 
 	"bronzelead.example/controller/curator"
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/controller/responder"
 	"bronzelead.example/controller/transporter"
 	"bronzelead.example/pkg/ablator"
@@ -57,7 +57,7 @@
 	met         acquaintances
 	id          string
 	storer      *storer.Storer
-	keeper      *keeper.Driver
+	keeper      *raftdriver.Driver
 	curator     *curator.Curator
 	transporter *transporter.Transporter
 	mesh        *curator.Mesh
@@ -154,14 +154,14 @@
 func (r *Routed) build(ctx context.Context, contents *storer.Contents) {
 	s := r.Settings
 	r.meter = meter.New("controller", s.Instance.Name, s.Instance.Zone)
-	items := make(chan keeper.CommittedBatch, itemRing)
+	items := make(chan raftdriver.CommittedBatch, itemRing)
 	transport := connector.NewTransport(nil)
 	r.peers = &connector.Client{Timeout: s.Timing.PeerTimeout, Transport: transport}
 	bulk := &connector.Client{Timeout: snapshotTimeout, Transport: connector.NewTransport(nil)}
 	self := &wire.Member{Id: r.id, Name: s.Instance.IP, Address: s.meshAddress(s.Instance.IP), Zone: s.Instance.Zone}
 	r.transporter = &transporter.Transporter{Log: r.Log, Client: r.peers, Bulk: bulk, Cluster: r.clusterID, Self: self}
 	r.transporter.Start(ctx)
-	r.keeper = &keeper.Driver{
+	r.keeper = &raftdriver.Driver{
 		Clock: r.Clock, Log: r.Log, Storer: r.storer, Send: r.transporter.Send, Commits: items,
 		OpenMembership: true, MaxVoters: s.Members.MaxVoters, SilentAfter: s.Timing.SilentMember,
 		Replicator: &replicator.Replicator{
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 
 	"bronzelead.example/controller/arbiter"
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/limiter"
@@ -31,7 +31,7 @@
 
 // RaftDriver is what the coordinator uses of the replicated log.
 type RaftDriver interface {
-	Standing() *keeper.Status
+	Standing() *raftdriver.Status
 	Start(cmd *wire.Command, done func(applier.Result, error))
 	// Compact may take long, and may be called from any goroutine.
 	Compact(index uint64, state []byte)
@@ -43,7 +43,7 @@
 	Log   *slog.Logger
 	Raft  RaftDriver
 	// Commits brings committed entries.
-	Commits <-chan keeper.CommittedBatch
+	Commits <-chan raftdriver.CommittedBatch
 	// SendOrder takes orders to engines, and reports each one's end to Ordered. It must
 	// not block.
 	SendOrder func(order planner.Order, done func(planner.Outcome))
@@ -64,7 +64,7 @@
 
 	arbiter  arbiter.Arbiter
 	calls    *caller.Caller
-	admitted atomic.Pointer[keeper.Admission]
+	admitted atomic.Pointer[raftdriver.Admission]
 	state    *applier.StateMachine
 	snapshot uint64
 	// compacting is set while a snapshot is being made.
@@ -128,7 +128,7 @@
 	return errors.Wrap(c.calls.Call(ctx, f), "coordinator")
 }
 
-func (c *Coordinator) apply(item keeper.CommittedBatch) {
+func (c *Coordinator) apply(item raftdriver.CommittedBatch) {
 	if item.Restore != nil {
 		c.restore(item.Restore)
 	}
@@ -140,7 +140,7 @@
 		}
 	}
 	c.arbiter.TakeState(c.Clock.Now())
-	c.admitted.Store(&keeper.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
+	c.admitted.Store(&raftdriver.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
 	if c.state.Applied() >= c.snapshot+c.SnapshotInterval {
 		c.compact()
 	}
@@ -148,7 +148,7 @@
 
 // Admission returns which instances may be members, or nil before anything is
 // known. It may be called from any goroutine.
-func (c *Coordinator) Admission() *keeper.Admission { return c.admitted.Load() }
+func (c *Coordinator) Admission() *raftdriver.Admission { return c.admitted.Load() }
 
 func (c *Coordinator) restore(s *wire.Snapshot) {
 	state, err := applier.Restore(s.GetState())
--- a/controller/coordinator/coordinator_bench_test.go
+++ b/controller/coordinator/coordinator_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/jonboulle/clockwork"
 	"google.golang.org/protobuf/proto"
 
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/planner"
 	"bronzelead.example/pkg/wire"
@@ -19,8 +19,8 @@
 // leading is a log that always leads.
 type leading struct{ until time.Time }
 
-func (l *leading) Standing() *keeper.Status {
-	return &keeper.Status{Term: 1, LeaseUntil: l.until}
+func (l *leading) Standing() *raftdriver.Status {
+	return &raftdriver.Status{Term: 1, LeaseUntil: l.until}
 }
 
 func (l *leading) Start(*wire.Command, func(applier.Result, error)) {}
@@ -41,7 +41,7 @@
 			Instance: fmt.Sprintf("entry-%d", i), Nonce: fmt.Sprint(i),
 		}}}
 		data, _ := proto.Marshal(cmd)
-		c.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{{Entry: &wire.Entry{Index: uint64(i + 1), Data: data}}}})
+		c.apply(raftdriver.CommittedBatch{Entries: []raftdriver.CommittedEntry{{Entry: &wire.Entry{Index: uint64(i + 1), Data: data}}}})
 	}
 	c.follow()
 	now := clock.Now()
--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -6,7 +6,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
@@ -24,7 +24,7 @@
 		return err
 	}
 	if !led || !c.Raft.Standing().Leads(c.Clock.Now()) {
-		return keeper.ErrNotLeader
+		return raftdriver.ErrNotLeader
 	}
 	return nil
 }
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/limiter"
 	"bronzelead.example/pkg/planner"
 	"bronzelead.example/pkg/sessiontracker"
@@ -24,7 +24,7 @@
 	}
 	// The lease is asked again: the call may have waited longer than it ran.
 	if res == nil || !c.Raft.Standing().Leads(c.Clock.Now()) {
-		return nil, keeper.ErrNotLeader
+		return nil, raftdriver.ErrNotLeader
 	}
 	return res, nil
 }
--- a/controller/curator/curator.go
+++ b/controller/curator/curator.go
@@ -16,7 +16,7 @@
 	"github.com/pkg/errors"
 
 	"bronzelead.example/controller/arbiter"
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/lender"
@@ -53,7 +53,7 @@
 
 // Keeper is what the curator uses of the replicated log.
 type Keeper interface {
-	Standing() *keeper.Status
+	Standing() *raftdriver.Status
 	Leads() bool
 	Propose(ctx context.Context, cmd *wire.Command) (applier.Result, error)
 	Compact(index uint64, state []byte)
@@ -65,7 +65,7 @@
 	Log    *slog.Logger
 	Keeper Keeper
 	// In brings committed entries.
-	In <-chan keeper.CommittedBatch
+	In <-chan raftdriver.CommittedBatch
 	// Carry takes orders to engines and reports each one's end. It must not block.
 	Carry func(order placer.Order, term uint64, done func(placer.Outcome, *placer.State))
 	// Relay passes announcements on to the other controllers. It must not block.
@@ -192,7 +192,7 @@
 	return errors.Wrap(c.calls.Call(ctx, f), "curator")
 }
 
-func (c *Curator) apply(item keeper.CommittedBatch) {
+func (c *Curator) apply(item raftdriver.CommittedBatch) {
 	if item.Restore != nil {
 		c.restore(item.Restore)
 	}
--- a/controller/curator/curator_test.go
+++ b/controller/curator/curator_test.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 	"google.golang.org/protobuf/proto"
 
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/placer"
 	"bronzelead.example/pkg/wire"
@@ -20,15 +20,15 @@
 
 // keeperFake is a log that applies each command at once.
 type keeperFake struct {
-	standing keeper.Status
+	standing raftdriver.Status
 	index    uint64
-	in       chan keeper.CommittedBatch
+	in       chan raftdriver.CommittedBatch
 	mu       sync.Mutex
 }
 
-func (k *keeperFake) Standing() *keeper.Status { return &k.standing }
-func (k *keeperFake) Leads() bool              { return k.standing.Role != 0 }
-func (k *keeperFake) Compact(uint64, []byte)   {}
+func (k *keeperFake) Standing() *raftdriver.Status { return &k.standing }
+func (k *keeperFake) Leads() bool                  { return k.standing.Role != 0 }
+func (k *keeperFake) Compact(uint64, []byte)       {}
 
 func (k *keeperFake) Propose(_ context.Context, cmd *wire.Command) (applier.Result, error) {
 	k.in <- k.item(cmd)
@@ -36,11 +36,11 @@
 }
 
 // item is a committed command.
-func (k *keeperFake) item(cmd *wire.Command) keeper.CommittedBatch {
-	return keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(cmd)}}
+func (k *keeperFake) item(cmd *wire.Command) raftdriver.CommittedBatch {
+	return raftdriver.CommittedBatch{Entries: []raftdriver.CommittedEntry{k.entry(cmd)}}
 }
 
-func (k *keeperFake) entry(cmd *wire.Command) keeper.CommittedEntry {
+func (k *keeperFake) entry(cmd *wire.Command) raftdriver.CommittedEntry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.index++
@@ -48,7 +48,7 @@
 	if err != nil {
 		panic(err)
 	}
-	return keeper.CommittedEntry{Entry: &wire.Entry{Index: k.index, Term: 1, Data: data}}
+	return raftdriver.CommittedEntry{Entry: &wire.Entry{Index: k.index, Term: 1, Data: data}}
 }
 
 func putTable(version uint64, document string) *wire.Command {
@@ -60,7 +60,7 @@
 // newCurator returns a curator whose goroutine is the test's: calls are carried out by
 // run, so that nothing depends on timing.
 func newCurator() (*Curator, *keeperFake) {
-	k := &keeperFake{in: make(chan keeper.CommittedBatch, 16)}
+	k := &keeperFake{in: make(chan raftdriver.CommittedBatch, 16)}
 	c := &Curator{
 		Clock: clockwork.NewFakeClock(), Log: slog.New(slog.DiscardHandler), Keeper: k, In: k.in,
 		Carry: func(placer.Order, uint64, func(placer.Outcome, *placer.State)) {}, Relay: func([]*wire.Announcement) {},
@@ -72,7 +72,7 @@
 }
 
 func lead(c *Curator, k *keeperFake) {
-	k.standing = keeper.Status{Role: 3, Term: 2, Leader: "a", LeaseUntil: c.Clock.Now().Add(time.Hour)}
+	k.standing = raftdriver.Status{Role: 3, Term: 2, Leader: "a", LeaseUntil: c.Clock.Now().Add(time.Hour)}
 	c.tick(c.Clock.Now())
 }
 
@@ -88,7 +88,7 @@
 		if change.version == 5 && cu.state.Table() != nil {
 			document = "other content under the version held"
 		}
-		cu.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(putTable(change.version, document))}})
+		cu.apply(raftdriver.CommittedBatch{Entries: []raftdriver.CommittedEntry{k.entry(putTable(change.version, document))}})
 		c.Check(string(cu.state.Table().GetDocument()), qt.Equals, change.want)
 	}
 	res := cu.news(cu.Clock.Now(), &wire.SyncRequest{WantTable: true})
@@ -102,11 +102,11 @@
 func TestTheTableOfASnapshotWaitsForALeader(t *testing.T) {
 	c := qt.New(t)
 	before, k := newCurator()
-	before.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(putTable(5, "a"))}})
+	before.apply(raftdriver.CommittedBatch{Entries: []raftdriver.CommittedEntry{k.entry(putTable(5, "a"))}})
 	state, err := before.state.Snapshot()
 	c.Assert(err, qt.IsNil)
 	cu, k := newCurator()
-	cu.apply(keeper.CommittedBatch{Restore: &wire.Snapshot{Index: 1, Term: 1, State: state}})
+	cu.apply(raftdriver.CommittedBatch{Restore: &wire.Snapshot{Index: 1, Term: 1, State: state}})
 	cu.tick(cu.Clock.Now())
 	c.Check(cu.news(cu.Clock.Now(), &wire.SyncRequest{WantTable: true}).GetTableVersion(), qt.Equals, uint64(0))
 	lead(cu, k)
@@ -140,7 +140,7 @@
 	c.Check(cu.isDue(now, waiters["B"]), qt.IsTrue)
 	c.Check(cu.isDue(now, waiters["A"]), qt.IsFalse)
 	c.Check(cu.isDue(now.Add(time.Second), waiters["A"]), qt.IsTrue)
-	cu.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(putTable(9, "t"))}})
+	cu.apply(raftdriver.CommittedBatch{Entries: []raftdriver.CommittedEntry{k.entry(putTable(9, "t"))}})
 	c.Check(cu.isDue(now, waiters["A"]), qt.IsTrue)
 }
 
--- a/controller/curator/limits_test.go
+++ b/controller/curator/limits_test.go
@@ -8,7 +8,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/lender"
 	"bronzelead.example/pkg/wire"
 )
@@ -44,7 +44,7 @@
 	c := qt.New(t)
 	cu, k := newCurator()
 	cu.Limits = lender.Rule{Window: time.Nanosecond, Slack: 100}
-	cu.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(limitedTable(1, 3))}})
+	cu.apply(raftdriver.CommittedBatch{Entries: []raftdriver.CommittedEntry{k.entry(limitedTable(1, 3))}})
 	_, err := borrow(cu, 1)
 	c.Assert(err, qt.Equals, errNotLeader)
 	lead(cu, k)
@@ -53,7 +53,7 @@
 		needed uint64
 		want   uint64
 	}{{3, 5, 3}, {7, 5, 5}} {
-		cu.apply(keeper.CommittedBatch{Entries: []keeper.CommittedEntry{k.entry(limitedTable(uint64(step.burst), step.burst))}})
+		cu.apply(raftdriver.CommittedBatch{Entries: []raftdriver.CommittedEntry{k.entry(limitedTable(uint64(step.burst), step.burst))}})
 		cu.lender.Begin(cu.Clock.Now().Add(-time.Hour), 1, cu.state.Table().GetTable().GetCustomers())
 		res, err := borrow(cu, step.needed)
 		c.Assert(err, qt.IsNil)
@@ -62,7 +62,7 @@
 	}
 	standings := cu.lender.Standings(cu.Clock.Now(), true)
 	c.Check(standings[0].GetShares()[0].GetGateway(), qt.Equals, "g")
-	k.standing = keeper.Status{}
+	k.standing = raftdriver.Status{}
 	cu.tick(cu.Clock.Now())
 	_, err = borrow(cu, 1)
 	c.Check(err, qt.Equals, errNotLeader)
--- a/controller/curator/mesh.go
+++ b/controller/curator/mesh.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 	"github.com/twitchtv/twirp"
 
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/matcher"
 	"bronzelead.example/pkg/wire"
 )
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	_, err := m.Curator.Keeper.Propose(ctx, cmd)
-	if errors.Is(err, keeper.ErrNotLeader) {
+	if errors.Is(err, raftdriver.ErrNotLeader) {
 		return errNotLeader
 	}
 	return err
--- a/controller/keeper/keeper.go
+++ b/controller/raftdriver/keeper.go
@@ -1,7 +1,7 @@
 // Package keeper runs a controller's part of the replicated log: one goroutine
 // takes messages, proposals and time, syncs what the replicator asks for, sends
 // its messages, and passes committed entries on.
-package keeper
+package raftdriver
 
 import (
 	"context"
--- a/controller/keeper/proposals.go
+++ b/controller/raftdriver/proposals.go
@@ -1,4 +1,4 @@
-package keeper
+package raftdriver
 
 import (
 	"context"
--- a/controller/responder/peer.go
+++ b/controller/responder/peer.go
@@ -5,13 +5,13 @@
 
 	"github.com/twitchtv/twirp"
 
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/wire"
 )
 
 // Peer serves wire.Peer: messages from other controllers and requests to join.
 type Peer struct {
-	Keeper *keeper.Driver
+	Keeper *raftdriver.Driver
 	// Cluster returns the cluster that this instance belongs to.
 	Cluster func() string
 	// Client returns a client of the controller at an address.
--- a/controller/responder/responder.go
+++ b/controller/responder/responder.go
@@ -12,7 +12,7 @@
 	"github.com/twitchtv/twirp"
 
 	"bronzelead.example/controller/coordinator"
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/authenticator"
 	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/connector"
@@ -23,7 +23,7 @@
 // use.
 type Responder struct {
 	Log         *slog.Logger
-	Keeper      *keeper.Driver
+	Keeper      *raftdriver.Driver
 	Coordinator *coordinator.Coordinator
 	// Peer is the client for passing calls on.
 	Peer *connector.Client
@@ -63,13 +63,13 @@
 ) (*A, error) {
 	if r.Keeper.Leads() {
 		res, err := here(ctx, req)
-		if !errors.Is(err, keeper.ErrNotLeader) {
+		if !errors.Is(err, raftdriver.ErrNotLeader) {
 			return res, twirpError(err)
 		}
 	}
 	address := r.LeaderAddress()
 	if ctx.Value(forwardedKey{}) != nil || address == "" {
-		return nil, twirpError(keeper.ErrNotLeader)
+		return nil, twirpError(raftdriver.ErrNotLeader)
 	}
 	return there(address)(ctx, req)
 }
@@ -90,11 +90,11 @@
 		return nil
 	case errors.As(err, &known):
 		return known
-	case errors.Is(err, keeper.ErrNotLeader):
+	case errors.Is(err, raftdriver.ErrNotLeader):
 		return twirp.NewError(twirp.Unavailable, "no leader is known here")
-	case errors.Is(err, keeper.ErrBusy), errors.Is(err, caller.ErrBusy):
+	case errors.Is(err, raftdriver.ErrBusy), errors.Is(err, caller.ErrBusy):
 		return twirp.NewError(twirp.ResourceExhausted, err.Error())
-	case errors.Is(err, keeper.ErrOutcomeUnknown):
+	case errors.Is(err, raftdriver.ErrOutcomeUnknown):
 		return twirp.NewError(twirp.Aborted, err.Error())
 	}
 	return twirp.WrapError(twirp.NewError(twirp.Internal, err.Error()), err)
