--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -16,8 +16,8 @@
 	"github.com/pkg/errors"
 
 	"bronzelead.example/controller/coordinator"
-	"bronzelead.example/controller/keeper"
 	"bronzelead.example/controller/orderer"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/controller/responder"
 	"bronzelead.example/controller/transporter"
 	"bronzelead.example/pkg/authenticator"
@@ -55,7 +55,7 @@
 	clusterKey  string
 	operators   authenticator.Ring
 	storer      *storer.Storer
-	keeper      *keeper.Keeper
+	keeper      *raftdriver.Driver
 	coordinator *coordinator.Coordinator
 	transporter *transporter.Transporter
 	responder   *responder.Responder
@@ -129,7 +129,7 @@
 func (a *App) build(contents *storer.Contents, id string) {
 	s := a.Settings
 	a.meter = meter.New("controller", s.Instance.Name, s.Instance.Zone)
-	items := make(chan keeper.Item, itemRing)
+	items := make(chan raftdriver.CommittedBatch, itemRing)
 	a.peers = &connector.Client{
 		Timeout: s.Timing.PeerTimeout, Key: a.clusterKey, Transport: connector.NewTransport(nil),
 	}
@@ -138,21 +138,21 @@
 	}
 	a.transporter = &transporter.Transporter{Log: a.Log, Client: a.peers, Bulk: a.bulk(), Cluster: a.clusterID, Self: a.member(id)}
 	a.coordinator = &coordinator.Coordinator{
-		Clock: a.Clock, Log: a.Log, In: items, Policy: a.policy(), Lease: s.Timing.SessionLease,
-		LongestRequest: s.Timing.LongestRequest, SnapshotEvery: uint64(s.Data.SnapshotEvery),
+		Clock: a.Clock, Log: a.Log, Commits: items, Policy: a.policy(), Lease: s.Timing.SessionLease,
+		MaxRequestDuration: s.Timing.LongestRequest, SnapshotInterval: uint64(s.Data.SnapshotEvery),
 		ObserveBatchFill: a.meter.BatchFill, ObserveInForce: func(d time.Duration) { a.meter.Took("in_force", d) },
 	}
-	a.keeper = &keeper.Keeper{
-		Clock: a.Clock, Log: a.Log, Storer: a.storer, Send: a.transporter.Send, Out: items,
+	a.keeper = &raftdriver.Driver{
+		Clock: a.Clock, Log: a.Log, Storer: a.storer, Send: a.transporter.Send, Commits: items,
 		Admission: a.coordinator.Admission,
 		Replicator: &replicator.Replicator{
 			ID: id, Heartbeat: s.Timing.Heartbeat, ElectionTimeout: s.Timing.ElectionTimeout, Random: mathrand.Int64N,
 		},
 	}
 	a.keeper.Init(contents)
-	a.coordinator.Keeper = a.keeper
-	a.coordinator.CountHeld = func(change string) { a.meter.Count("held_requests", "change", change) }
-	a.coordinator.Carry = a.orderer().Carry
+	a.coordinator.Raft = a.keeper
+	a.coordinator.CountQuarantine = func(change string) { a.meter.Count("held_requests", "change", change) }
+	a.coordinator.SendOrder = a.orderer().Carry
 	a.coordinator.Init()
 	a.responder = &responder.Responder{
 		Log: a.Log, Keeper: a.keeper, Coordinator: a.coordinator, Peer: forward, LeaseNs: int64(s.Timing.SessionLease),
@@ -227,7 +227,7 @@
 }
 
 // handOver lets another controller lead, if this one does.
-func handOver(ctx context.Context, clock clockwork.Clock, k *keeper.Keeper) {
+func handOver(ctx context.Context, clock clockwork.Clock, k *raftdriver.Driver) {
 	if !k.Leads() {
 		return
 	}
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -13,16 +13,16 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/controller/responder"
 	"bronzelead.example/controller/routecoordinator"
 	"bronzelead.example/controller/transporter"
 	"bronzelead.example/pkg/ablator"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/connector"
 	"bronzelead.example/pkg/meter"
 	"bronzelead.example/pkg/placer"
 	"bronzelead.example/pkg/quotaallocator"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/replicator"
 	"bronzelead.example/pkg/server"
 	"bronzelead.example/pkg/storer"
@@ -57,7 +57,7 @@
 	met         acquaintances
 	id          string
 	storer      *storer.Storer
-	keeper      *keeper.Keeper
+	keeper      *raftdriver.Driver
 	curator     *routecoordinator.Coordinator
 	transporter *transporter.Transporter
 	mesh        *routecoordinator.Mesh
@@ -125,7 +125,7 @@
 	if err != nil || id != "" || contents.Snapshot != nil {
 		return nil
 	}
-	state, err := recorder.First(nil)
+	state, err := applier.InitialState(nil)
 	if err != nil {
 		return errors.Wrap(err, "app")
 	}
@@ -154,18 +154,18 @@
 func (r *Routed) build(ctx context.Context, contents *storer.Contents) {
 	s := r.Settings
 	r.meter = meter.New("controller", s.Instance.Name, s.Instance.Zone)
-	items := make(chan keeper.Item, itemRing)
+	items := make(chan raftdriver.CommittedBatch, itemRing)
 	transport := connector.NewTransport(nil)
 	r.peers = &connector.Client{Timeout: s.Timing.PeerTimeout, Transport: transport}
 	bulk := &connector.Client{Timeout: snapshotTimeout, Transport: connector.NewTransport(nil)}
 	self := &wire.Member{Id: r.id, Name: s.Instance.IP, Address: s.meshAddress(s.Instance.IP), Zone: s.Instance.Zone}
 	r.transporter = &transporter.Transporter{Log: r.Log, Client: r.peers, Bulk: bulk, Cluster: r.clusterID, Self: self}
 	r.transporter.Start(ctx)
-	r.keeper = &keeper.Keeper{
-		Clock: r.Clock, Log: r.Log, Storer: r.storer, Send: r.transporter.Send, Out: items,
+	r.keeper = &raftdriver.Driver{
+		Clock: r.Clock, Log: r.Log, Storer: r.storer, Send: r.transporter.Send, Commits: items,
 		OpenMembership: true, MaxVoters: s.Members.MaxVoters, SilentAfter: s.Timing.SilentMember,
 		Replicator: &replicator.Replicator{
-			ID: r.id, Heartbeat: s.Timing.Heartbeat, ElectionTimeout: s.Timing.ElectionTimeout, StartQuiet: r.startQuiet(), Random: mathrand.Int64N,
+			ID: r.id, Heartbeat: s.Timing.Heartbeat, ElectionTimeout: s.Timing.ElectionTimeout, StartupVoteDelay: r.startQuiet(), Random: mathrand.Int64N,
 		},
 	}
 	r.keeper.Init(contents)
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -14,12 +14,12 @@
 	"github.com/pkg/errors"
 
 	"bronzelead.example/controller/arbiter"
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/caller"
-	"bronzelead.example/pkg/leaser"
 	"bronzelead.example/pkg/limiter"
 	"bronzelead.example/pkg/planner"
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -29,49 +29,49 @@
 	defaultSnapshotEvery = 20_000
 )
 
-// Keeper is what the coordinator uses of the replicated log.
-type Keeper interface {
-	Standing() *keeper.Standing
-	Start(cmd *wire.Command, done func(recorder.Result, error))
+// RaftDriver is what the coordinator uses of the replicated log.
+type RaftDriver interface {
+	Standing() *raftdriver.Status
+	Start(cmd *wire.Command, done func(applier.Result, error))
 	// Compact may take long, and may be called from any goroutine.
 	Compact(index uint64, state []byte)
 }
 
 // Coordinator owns the state. Set the exported fields, then call Run.
 type Coordinator struct {
-	Clock  clockwork.Clock
-	Log    *slog.Logger
-	Keeper Keeper
-	// In brings committed entries.
-	In <-chan keeper.Item
-	// Carry takes orders to engines, and reports each one's end to Ordered. It must
+	Clock clockwork.Clock
+	Log   *slog.Logger
+	Raft  RaftDriver
+	// Commits brings committed entries.
+	Commits <-chan raftdriver.CommittedBatch
+	// SendOrder takes orders to engines, and reports each one's end to Ordered. It must
 	// not block.
-	Carry func(order planner.Order, done func(planner.Outcome))
+	SendOrder func(order planner.Order, done func(planner.Outcome))
 
 	// ObserveBatchFill and ObserveInForce take how full an engine's steps run, and how long a
 	// change took until each live session had applied it. Nil observes nothing.
 	ObserveBatchFill func(part float64)
 	ObserveInForce   func(took time.Duration)
 
-	Policy         planner.Policy
-	Lease          time.Duration
-	LongestRequest time.Duration
-	SnapshotEvery  uint64
+	Policy             planner.Policy
+	Lease              time.Duration
+	MaxRequestDuration time.Duration
+	SnapshotInterval   uint64
 
-	// CountHeld counts requests that are held back, and those that no longer are; nil counts
+	// CountQuarantine counts requests that are held back, and those that no longer are; nil counts
 	// nothing.
-	CountHeld func(change string)
+	CountQuarantine func(change string)
 
 	arbiter  arbiter.Arbiter
 	calls    *caller.Caller
-	admitted atomic.Pointer[keeper.Admission]
-	state    *recorder.Recorder
+	admitted atomic.Pointer[raftdriver.Admission]
+	state    *applier.StateMachine
 	snapshot uint64
 	// compacting is set while a snapshot is being made.
 	compacting atomic.Bool
 
 	term     uint64
-	leaser   *leaser.Leaser
+	leaser   *sessiontracker.Tracker
 	limiter  *limiter.Limiter
 	planner  *planner.Planner
 	services map[string]*service
@@ -96,10 +96,10 @@
 // Init prepares the coordinator for calls before Run.
 func (c *Coordinator) Init() {
 	c.calls = caller.New(callRing)
-	c.state = recorder.New()
+	c.state = applier.New()
 	c.initArbiter()
-	if c.SnapshotEvery == 0 {
-		c.SnapshotEvery = defaultSnapshotEvery
+	if c.SnapshotInterval == 0 {
+		c.SnapshotInterval = defaultSnapshotEvery
 	}
 }
 
@@ -111,7 +111,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case item := <-c.In:
+		case item := <-c.Commits:
 			c.apply(item)
 		case call := <-c.calls.Calls():
 			c.follow()
@@ -128,11 +128,11 @@
 	return errors.Wrap(c.calls.Call(ctx, f), "coordinator")
 }
 
-func (c *Coordinator) apply(item keeper.Item) {
+func (c *Coordinator) apply(item raftdriver.CommittedBatch) {
 	if item.Restore != nil {
 		c.restore(item.Restore)
 	}
-	for _, a := range item.Applied {
+	for _, a := range item.Entries {
 		result := c.state.Apply(a.Entry)
 		c.applied(result)
 		if a.Reply != nil {
@@ -140,18 +140,18 @@
 		}
 	}
 	c.arbiter.TakeState(c.Clock.Now())
-	c.admitted.Store(&keeper.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
-	if c.state.Applied() >= c.snapshot+c.SnapshotEvery {
+	c.admitted.Store(&raftdriver.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
+	if c.state.Applied() >= c.snapshot+c.SnapshotInterval {
 		c.compact()
 	}
 }
 
 // Admission returns which instances may be members, or nil before anything is
 // known. It may be called from any goroutine.
-func (c *Coordinator) Admission() *keeper.Admission { return c.admitted.Load() }
+func (c *Coordinator) Admission() *raftdriver.Admission { return c.admitted.Load() }
 
 func (c *Coordinator) restore(s *wire.Snapshot) {
-	state, err := recorder.Restore(s.GetState())
+	state, err := applier.Restore(s.GetState())
 	if err != nil {
 		// The snapshot's checksum was right, so it was written by another version.
 		c.Log.Error("a snapshot can't be decoded", "Error", err.Error())
@@ -170,19 +170,19 @@
 	frozen := c.state.Freeze()
 	go func() {
 		defer c.compacting.Store(false)
-		data, err := recorder.Encode(frozen)
+		data, err := applier.Encode(frozen)
 		if err != nil {
 			c.Log.Error("the state can't be encoded", "Error", err.Error())
 			return
 		}
-		c.Keeper.Compact(frozen.GetApplied(), data)
+		c.Raft.Compact(frozen.GetApplied(), data)
 	}()
 }
 
 // follow begins a term as leader, once all that was committed before has been
 // applied, and ends it.
 func (c *Coordinator) follow() {
-	standing := c.Keeper.Standing()
+	standing := c.Raft.Standing()
 	leads := standing.Leads(c.Clock.Now())
 	switch {
 	case leads && c.term != standing.Term && c.state.Applied() >= standing.TermStart:
@@ -195,7 +195,7 @@
 // begin starts a term: the sessions are known from the log, what they hold is not.
 func (c *Coordinator) begin(now time.Time, term uint64) {
 	c.term = term
-	c.leaser = &leaser.Leaser{Lease: c.Lease, LongestRequest: c.LongestRequest}
+	c.leaser = &sessiontracker.Tracker{Lease: c.Lease, MaxRequestDuration: c.MaxRequestDuration}
 	c.limiter = &limiter.Limiter{}
 	c.planner = &planner.Planner{Policy: c.Policy}
 	c.planner.Start(now, term)
@@ -206,11 +206,11 @@
 	c.warm = now.Add(c.Policy.BackendLease)
 	for id, s := range c.state.Sessions() {
 		c.leaser.Open(now, sessionOf(s), true)
-		c.limiter.ExpectReport(leaser.SessionID(id))
+		c.limiter.ExpectReport(sessiontracker.SessionID(id))
 	}
-	for _, s := range c.state.Ended() {
-		c.leaser.AdoptEnded(now, leaser.SessionID(s.GetId()))
-		c.limiter.ExpectReport(leaser.SessionID(s.GetId()))
+	for _, s := range c.state.EndedSessions() {
+		c.leaser.AdoptEnded(now, sessiontracker.SessionID(s.GetId()))
+		c.limiter.ExpectReport(sessiontracker.SessionID(s.GetId()))
 	}
 	for _, contract := range c.state.Contracts() {
 		c.limiter.SetLimit(contract.GetCustomer(), contract.GetRequestsAtOnce())
@@ -218,20 +218,20 @@
 	c.Log.Info("this instance leads", "Term", term, "Sessions", len(c.state.Sessions()))
 }
 
-func sessionOf(s *wire.Session) leaser.Session {
-	return leaser.Session{
-		ID: leaser.SessionID(s.GetId()), Instance: s.GetInstance(), Zone: s.GetZone(), Address: s.GetAddress(),
+func sessionOf(s *wire.Session) sessiontracker.Session {
+	return sessiontracker.Session{
+		ID: sessiontracker.SessionID(s.GetId()), Instance: s.GetInstance(), Zone: s.GetZone(), Address: s.GetAddress(),
 	}
 }
 
 // leads reports whether the instance may answer and give orders now.
 func (c *Coordinator) leads(now time.Time) bool {
-	standing := c.Keeper.Standing()
+	standing := c.Raft.Standing()
 	return c.term != 0 && c.term == standing.Term && standing.Leads(now)
 }
 
 // applied lets a result take effect on the leader's side.
-func (c *Coordinator) applied(result recorder.Result) {
+func (c *Coordinator) applied(result applier.Result) {
 	if c.term == 0 {
 		return
 	}
@@ -239,8 +239,8 @@
 		c.leaser.Open(c.Clock.Now(), sessionOf(s), false)
 	}
 	if closed := result.Closed; closed != nil {
-		id := leaser.SessionID(closed.GetSession())
-		c.leaser.Closed(c.Clock.Now(), id, closed.GetGraceful())
+		id := sessiontracker.SessionID(closed.GetSession())
+		c.leaser.RecordClosed(c.Clock.Now(), id, closed.GetGraceful())
 		c.planner.RemoveDemand(id)
 	}
 	if a := result.Apply; a != nil && a.GetContract() != nil {
@@ -280,23 +280,23 @@
 		// Engines and leases are still being reported.
 		return
 	}
-	c.planner.SetSynced(c.leaser.Settled())
+	c.planner.SetSynced(c.leaser.HoldingsKnown())
 	for _, order := range c.planner.Plan(now) {
 		c.carry(order)
 	}
 }
 
-func (c *Coordinator) closeSession(id leaser.SessionID) {
+func (c *Coordinator) closeSession(id sessiontracker.SessionID) {
 	cmd := &wire.Command{Body: &wire.Command_CloseSession{
 		CloseSession: &wire.CloseSession{Session: uint64(id)},
 	}}
-	c.Keeper.Start(cmd, func(recorder.Result, error) {})
+	c.Raft.Start(cmd, func(applier.Result, error) {})
 }
 
 func (c *Coordinator) carry(order planner.Order) {
 	term := c.term
 	c.Log.Info("order", "Kind", int(order.Kind), "Backend", order.Backend, "Adapter", order.Adapter, "Order", uint64(order.ID))
-	c.Carry(order, func(outcome planner.Outcome) {
+	c.SendOrder(order, func(outcome planner.Outcome) {
 		c.calls.Post(func(now time.Time) {
 			if c.term == term {
 				c.planner.RecordOutcome(now, order.ID, outcome)
--- a/controller/coordinator/coordinator_bench_test.go
+++ b/controller/coordinator/coordinator_bench_test.go
@@ -10,20 +10,20 @@
 	"github.com/jonboulle/clockwork"
 	"google.golang.org/protobuf/proto"
 
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/planner"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/wire"
 )
 
 // leading is a log that always leads.
 type leading struct{ until time.Time }
 
-func (l *leading) Standing() *keeper.Standing {
-	return &keeper.Standing{Term: 1, LeaseUntil: l.until}
+func (l *leading) Standing() *raftdriver.Status {
+	return &raftdriver.Status{Term: 1, LeaseUntil: l.until}
 }
 
-func (l *leading) Start(*wire.Command, func(recorder.Result, error)) {}
+func (l *leading) Start(*wire.Command, func(applier.Result, error)) {}
 
 func (l *leading) Compact(uint64, []byte) {}
 
@@ -31,9 +31,9 @@
 	clock := clockwork.NewFakeClock()
 	c := &Coordinator{
 		Clock: clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Keeper: &leading{until: clock.Now().Add(time.Hour)}, Lease: time.Minute, LongestRequest: time.Minute,
-		Policy: planner.Policy{BackendLease: time.Minute, LoadsPerSecond: 5, MaxConcurrentLoads: 3},
-		Carry:  func(planner.Order, func(planner.Outcome)) {},
+		Raft: &leading{until: clock.Now().Add(time.Hour)}, Lease: time.Minute, MaxRequestDuration: time.Minute,
+		Policy:    planner.Policy{BackendLease: time.Minute, LoadsPerSecond: 5, MaxConcurrentLoads: 3},
+		SendOrder: func(planner.Order, func(planner.Outcome)) {},
 	}
 	c.Init()
 	for i := range sessions {
@@ -41,7 +41,7 @@
 			Instance: fmt.Sprintf("entry-%d", i), Nonce: fmt.Sprint(i),
 		}}}
 		data, _ := proto.Marshal(cmd)
-		c.apply(keeper.Item{Applied: []keeper.Applied{{Entry: &wire.Entry{Index: uint64(i + 1), Data: data}}}})
+		c.apply(raftdriver.CommittedBatch{Entries: []raftdriver.CommittedEntry{{Entry: &wire.Entry{Index: uint64(i + 1), Data: data}}}})
 	}
 	c.follow()
 	now := clock.Now()
--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -6,9 +6,9 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"bronzelead.example/controller/keeper"
-	"bronzelead.example/pkg/leaser"
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/controller/raftdriver"
+	"bronzelead.example/pkg/applier"
+	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -23,8 +23,8 @@
 	if err != nil {
 		return err
 	}
-	if !led || !c.Keeper.Standing().Leads(c.Clock.Now()) {
-		return keeper.ErrNotLeader
+	if !led || !c.Raft.Standing().Leads(c.Clock.Now()) {
+		return raftdriver.ErrNotLeader
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 }
 
 // Claim returns a copy of a claim, or nil.
-func (c *Coordinator) Claim(ctx context.Context, key recorder.ClaimKey) (*wire.Claim, error) {
+func (c *Coordinator) Claim(ctx context.Context, key applier.ClaimKey) (*wire.Claim, error) {
 	return readValue(ctx, c, func() *wire.Claim {
 		found := c.state.ClaimOf(key)
 		if found == nil {
@@ -66,9 +66,9 @@
 	})
 }
 
-// Held returns the requests that are held back.
-func (c *Coordinator) Held(ctx context.Context) ([]*wire.HeldRequest, error) {
-	return readValue(ctx, c, c.state.Held)
+// Quarantined returns the requests that are held back.
+func (c *Coordinator) Quarantined(ctx context.Context) ([]*wire.HeldRequest, error) {
+	return readValue(ctx, c, c.state.Quarantined)
 }
 
 // InForce tells whether every live session has applied a revision.
@@ -90,13 +90,13 @@
 
 // Status returns what an operator sees of the whole system.
 func (c *Coordinator) Status(ctx context.Context) (*wire.StatusResponse, error) {
-	standing := c.Keeper.Standing()
+	standing := c.Raft.Standing()
 	res := &wire.StatusResponse{
 		Leader: standing.Leader, Term: standing.Term, Configuration: standing.Configuration,
 	}
 	err := c.Read(ctx, func(now time.Time) {
 		res.Applied, res.Revision = c.state.Applied(), c.state.Revision()
-		res.Claims = uint64(c.state.Claims())
+		res.Claims = uint64(c.state.ClaimCount())
 		res.Drained = c.state.Drained()
 		for _, s := range c.leaser.All() {
 			res.Sessions = append(res.Sessions, sessionStatus(now, s))
@@ -114,9 +114,9 @@
 	return res, err
 }
 
-func sessionStatus(now time.Time, s *leaser.Session) *wire.SessionStatus {
+func sessionStatus(now time.Time, s *sessiontracker.Session) *wire.SessionStatus {
 	return &wire.SessionStatus{
 		Session: uint64(s.ID), Instance: s.Instance, Zone: s.Zone, Address: s.Address,
-		Revision: s.Revision, SilentNs: int64(now.Sub(s.Renewed)),
+		Revision: s.Revision, SilentNs: int64(now.Sub(s.RenewedAt)),
 	}
 }
--- a/controller/keeper/compaction.go
+++ b/controller/raftdriver/compaction.go
@@ -1,4 +1,4 @@
-package keeper
+package raftdriver
 
 import (
 	"time"
@@ -12,10 +12,10 @@
 // Compact replaces the log up to an index by a snapshot of the state there. The
 // snapshot is written by the caller's goroutine, since a large one would hold up
 // heartbeats; only the renaming and the new log are the keeper's.
-func (k *Keeper) Compact(index uint64, state []byte) {
+func (k *Driver) Compact(index uint64, state []byte) {
 	s := &wire.Snapshot{Index: index, State: state}
 	described := make(chan bool, 1)
-	k.request(func(time.Time) { described <- k.Replicator.Describe(s) })
+	k.request(func(time.Time) { described <- k.Replicator.FillMetadata(s) })
 	select {
 	case ok := <-described:
 		if !ok {
@@ -36,10 +36,10 @@
 	k.request(func(time.Time) {
 		if err := k.Replicator.Compact(s); err != nil {
 			// A leader's snapshot came first.
-			pending.Drop()
+			pending.Discard()
 			return
 		}
-		err := k.Storer.CommitSnapshot(pending, k.Replicator.Stored())
+		err := k.Storer.CommitSnapshot(pending, k.Replicator.StoredEntries())
 		if storer.IsFull(err) {
 			// The old log still holds all that follows the snapshot.
 			k.Log.Warn("there is no room for a new log beside the snapshot", "Error", err.Error())
--- a/controller/keeper/keeper.go
+++ b/controller/raftdriver/keeper.go
@@ -1,7 +1,7 @@
 // Package keeper runs a controller's part of the replicated log: one goroutine
 // takes messages, proposals and time, syncs what the replicator asks for, sends
 // its messages, and passes committed entries on.
-package keeper
+package raftdriver
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/replicator"
 	"bronzelead.example/pkg/storer"
 	"bronzelead.example/pkg/wire"
@@ -28,28 +28,28 @@
 // ErrNotLeader is returned for what only a leader may do.
 var ErrNotLeader = errors.New("keeper: this instance does not lead")
 
-// ErrUnknown is returned when it is not known whether a proposal will be committed.
-var ErrUnknown = errors.New("keeper: leadership was lost before the outcome was known")
+// ErrOutcomeUnknown is returned when it is not known whether a proposal will be committed.
+var ErrOutcomeUnknown = errors.New("keeper: leadership was lost before the outcome was known")
 
 // ErrBusy is returned when a ring is full; nothing was proposed.
 var ErrBusy = errors.New("keeper: too much waits to be written")
 
-// Applied is a committed entry. Reply is not nil when a caller of this instance
+// CommittedEntry is a committed entry. Reply is not nil when a caller of this instance
 // waits for its result.
-type Applied struct {
+type CommittedEntry struct {
 	Entry *wire.Entry
-	Reply func(recorder.Result)
+	Reply func(applier.Result)
 }
 
-// Item is what the keeper passes on, in order.
-type Item struct {
+// CommittedBatch is what the keeper passes on, in order.
+type CommittedBatch struct {
 	// Restore replaces the state, when not nil.
 	Restore *wire.Snapshot
-	Applied []Applied
+	Entries []CommittedEntry
 }
 
-// Standing is what the instance is at the moment.
-type Standing struct {
+// Status is what the instance is at the moment.
+type Status struct {
 	Role          replicator.Role
 	Term          uint64
 	TermStart     uint64
@@ -62,7 +62,7 @@
 }
 
 // Leads reports whether the instance may answer and give orders at now.
-func (s *Standing) Leads(now time.Time) bool { return now.Before(s.LeaseUntil) }
+func (s *Status) Leads(now time.Time) bool { return now.Before(s.LeaseUntil) }
 
 // Admission is which instances may be members, as of an applied entry.
 type Admission struct {
@@ -70,16 +70,16 @@
 	Applied uint64
 }
 
-// Keeper runs the replicated log. Set the exported fields, then call Run.
-type Keeper struct {
+// Driver runs the replicated log. Set the exported fields, then call Run.
+type Driver struct {
 	Clock      clockwork.Clock
 	Log        *slog.Logger
 	Storer     *storer.Storer
 	Replicator *replicator.Replicator
 	// Send takes messages for other members; it must not block.
 	Send func(config *wire.Configuration, messages []*wire.Message)
-	// Out takes committed entries.
-	Out chan<- Item
+	// Commits takes committed entries.
+	Commits chan<- CommittedBatch
 	// Admission returns which instances may be members, or nil.
 	Admission func() *Admission
 	// OpenMembership lets every instance that asks become a member, instead of those that
@@ -96,9 +96,9 @@
 	requests  chan func(now time.Time)
 	// ended is closed when Run has returned.
 	ended    chan struct{}
-	standing atomic.Pointer[Standing]
+	standing atomic.Pointer[Status]
 	waiting  map[uint64]proposal
-	backlog  []Item
+	backlog  []CommittedBatch
 	joined   map[string]joinedMember
 	// fatal is set when the disk failed outside of carryOut.
 	fatal error
@@ -114,33 +114,33 @@
 }
 
 // Init prepares the keeper for calls before Run.
-func (k *Keeper) Init(stored *storer.Contents) {
+func (k *Driver) Init(stored *storer.Contents) {
 	k.messages = make(chan []*wire.Message, ringSize)
 	k.proposals = make(chan proposal, ringSize)
 	k.requests = make(chan func(time.Time), ringSize)
 	k.ended = make(chan struct{})
 	k.waiting = map[uint64]proposal{}
 	k.joined = map[string]joinedMember{}
-	k.Replicator.Start(k.Clock.Now(), replicator.Stored{
+	k.Replicator.Start(k.Clock.Now(), replicator.PersistedState{
 		HardState: stored.HardState, Snapshot: stored.Snapshot, Entries: stored.Entries,
 	})
 	if stored.Snapshot != nil {
-		k.backlog = append(k.backlog, Item{Restore: stored.Snapshot})
+		k.backlog = append(k.backlog, CommittedBatch{Restore: stored.Snapshot})
 	}
 	k.publish()
 }
 
 // Run works until ctx ends. An error means that the disk failed; the process must
 // end, since what it holds is unknown.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Driver) Run(ctx context.Context) error {
 	defer close(k.ended)
 	ticker := k.Clock.NewTicker(tickEvery)
 	defer ticker.Stop()
 	for {
-		var out chan<- Item
-		var first Item
+		var out chan<- CommittedBatch
+		var first CommittedBatch
 		if len(k.backlog) > 0 {
-			out, first = k.Out, k.backlog[0]
+			out, first = k.Commits, k.backlog[0]
 		}
 		select {
 		case <-ctx.Done():
@@ -172,7 +172,7 @@
 	}
 }
 
-func (k *Keeper) tick() {
+func (k *Driver) tick() {
 	if k.held != nil {
 		return
 	}
@@ -181,7 +181,7 @@
 }
 
 // drain takes in what else waits, so that one sync serves many.
-func (k *Keeper) drain() {
+func (k *Driver) drain() {
 	for range maxBatch {
 		select {
 		case messages := <-k.messages:
@@ -196,7 +196,7 @@
 	k.Replicator.Flush(k.Clock.Now())
 }
 
-func (k *Keeper) step(messages []*wire.Message) {
+func (k *Driver) step(messages []*wire.Message) {
 	if k.held != nil {
 		return
 	}
@@ -205,14 +205,14 @@
 	}
 }
 
-func (k *Keeper) publish() {
+func (k *Driver) publish() {
 	r := k.Replicator
 	if k.held != nil {
 		// A leader that waits must not lead by a lease that it can't renew.
-		k.standing.Store(&Standing{Role: replicator.Follower, Term: r.Term(), Configuration: r.Configuration()})
+		k.standing.Store(&Status{Role: replicator.Follower, Term: r.Term(), Configuration: r.Configuration()})
 		return
 	}
-	k.standing.Store(&Standing{
+	k.standing.Store(&Status{
 		Role: r.Role(), Term: r.Term(), TermStart: r.TermStart(), Leader: r.LeaderID(),
 		LeaseUntil: r.LeaseUntil(k.Clock.Now()), Commit: r.Commit(), Last: r.LastIndex(),
 		First: r.FirstIndex(), Configuration: r.Configuration(),
@@ -220,14 +220,14 @@
 }
 
 // Standing returns what the instance is at the moment.
-func (k *Keeper) Standing() *Standing { return k.standing.Load() }
+func (k *Driver) Standing() *Status { return k.standing.Load() }
 
 // Leads reports whether this instance may answer and give orders now.
-func (k *Keeper) Leads() bool { return k.Standing().Leads(k.Clock.Now()) }
+func (k *Driver) Leads() bool { return k.Standing().Leads(k.Clock.Now()) }
 
 // Deliver takes messages from other members. They are dropped when too many wait,
 // as a network would.
-func (k *Keeper) Deliver(messages []*wire.Message) {
+func (k *Driver) Deliver(messages []*wire.Message) {
 	select {
 	case k.messages <- messages:
 	default:
@@ -235,7 +235,7 @@
 }
 
 // Transfer hands leadership over, before a planned stop.
-func (k *Keeper) Transfer() {
+func (k *Driver) Transfer() {
 	k.request(func(now time.Time) {
 		if err := k.Replicator.Transfer(now); err != nil {
 			k.Log.Info("leadership is not handed over", "Reason", err.Error())
@@ -245,7 +245,7 @@
 
 // request hands a request over. It waits while the ring is full, and gives up when
 // the keeper has ended.
-func (k *Keeper) request(f func(now time.Time)) {
+func (k *Driver) request(f func(now time.Time)) {
 	select {
 	case k.requests <- f:
 	case <-k.ended:
--- a/controller/routecoordinator/curator.go
+++ b/controller/routecoordinator/curator.go
@@ -16,12 +16,12 @@
 	"github.com/pkg/errors"
 
 	"bronzelead.example/controller/arbiter"
-	"bronzelead.example/controller/keeper"
+	"bronzelead.example/controller/raftdriver"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/disseminator"
 	"bronzelead.example/pkg/placer"
 	"bronzelead.example/pkg/quotaallocator"
-	"bronzelead.example/pkg/recorder"
 	"bronzelead.example/pkg/throttler"
 	"bronzelead.example/pkg/tracker"
 	"bronzelead.example/pkg/wire"
@@ -53,9 +53,9 @@
 
 // Raft is what the curator uses of the replicated log.
 type Raft interface {
-	Standing() *keeper.Standing
+	Standing() *raftdriver.Status
 	Leads() bool
-	Propose(ctx context.Context, cmd *wire.Command) (recorder.Result, error)
+	Propose(ctx context.Context, cmd *wire.Command) (applier.Result, error)
 	Compact(index uint64, state []byte)
 }
 
@@ -65,7 +65,7 @@
 	Log   *slog.Logger
 	Raft  Raft
 	// Committed brings committed entries.
-	Committed <-chan keeper.Item
+	Committed <-chan raftdriver.CommittedBatch
 	// SendOrder takes orders to engines and reports each one's end. It must not block.
 	SendOrder func(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState))
 	// Relay passes announcements on to the other controllers. It must not block.
@@ -92,7 +92,7 @@
 
 	calls      *caller.Caller
 	epoch      uint64
-	state      *recorder.Recorder
+	state      *applier.StateMachine
 	snapshot   uint64
 	logBytes   int
 	compacting atomic.Bool
@@ -158,7 +158,7 @@
 func (c *Coordinator) Init() {
 	c.calls = caller.New(callRing)
 	c.epoch = rand.Uint64()
-	c.state = recorder.New()
+	c.state = applier.New()
 	c.tracker = &tracker.Tracker{SilentAfter: c.SilentAfter, ForgetAfter: forgetAfter}
 	c.gateways = map[string]*gatewayState{}
 	c.startedAt, c.met = c.Clock.Now(), map[string]time.Time{}
@@ -192,11 +192,11 @@
 	return errors.Wrap(c.calls.Call(ctx, f), "curator")
 }
 
-func (c *Coordinator) apply(item keeper.Item) {
+func (c *Coordinator) apply(item raftdriver.CommittedBatch) {
 	if item.Restore != nil {
 		c.restore(item.Restore)
 	}
-	for _, a := range item.Applied {
+	for _, a := range item.Entries {
 		before := c.state.Table()
 		result := c.state.Apply(a.Entry)
 		c.logBytes += len(a.Entry.GetData())
@@ -240,7 +240,7 @@
 }
 
 func (c *Coordinator) restore(s *wire.Snapshot) {
-	state, err := recorder.Restore(s.GetState())
+	state, err := applier.Restore(s.GetState())
 	if err != nil {
 		// The snapshot's checksum was right, so it was written by another version.
 		c.Log.Error("a snapshot can't be decoded", "Error", err.Error())
@@ -261,7 +261,7 @@
 	frozen := c.state.Freeze()
 	go func() {
 		defer c.compacting.Store(false)
-		data, err := recorder.Encode(frozen)
+		data, err := applier.Encode(frozen)
 		if err != nil {
 			c.Log.Error("the state can't be encoded", "Error", err.Error())
 			return
--- a/controller/routecoordinator/isolation.go
+++ b/controller/routecoordinator/isolation.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"time"
 
-	"bronzelead.example/pkg/recorder"
+	"bronzelead.example/pkg/applier"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -14,7 +14,7 @@
 
 func (c *Coordinator) initArbiter() {
 	c.arbiter.Log = c.Log
-	c.arbiter.State = func() *recorder.Recorder { return c.state }
+	c.arbiter.State = func() *applier.StateMachine { return c.state }
 	c.arbiter.Propose = c.propose
 	c.arbiter.Gateways = c.gatewayAddresses
 	c.arbiter.Count = c.CountHeld
@@ -44,7 +44,7 @@
 func (c *Coordinator) Held(ctx context.Context) (*wire.ListHeldResponse, error) {
 	// The call may still run after ctx has ended, and must not write what is read here.
 	held := make(chan []*wire.HeldRequest, 1)
-	if err := c.Call(ctx, func(time.Time) { held <- c.state.Held() }); err != nil {
+	if err := c.Call(ctx, func(time.Time) { held <- c.state.Quarantined() }); err != nil {
 		return nil, err
 	}
 	return &wire.ListHeldResponse{Held: <-held}, nil
--- a/pkg/replicator/replicator.go
+++ b/pkg/replicator/replicator.go
@@ -42,8 +42,8 @@
 	defaultElectionTimeout = 600 * time.Millisecond
 )
 
-// Stored is what a member's disk held when it started.
-type Stored struct {
+// PersistedState is what a member's disk held when it started.
+type PersistedState struct {
 	HardState *wire.HardState
 	// Snapshot may be nil.
 	Snapshot *wire.Snapshot
@@ -82,11 +82,11 @@
 	// ElectionTimeout is the least time without a leader before an election. A
 	// member waits between one and two of them.
 	ElectionTimeout time.Duration
-	// StartQuiet is how long after its start a member gives no vote, since a leader may
+	// StartupVoteDelay is how long after its start a member gives no vote, since a leader may
 	// still hold a lease on what it said before. 0 is ElectionTimeout. Where nothing
 	// dangerous rests on a leader's lease, less of it lets a group that has restarted as a
 	// whole elect sooner.
-	StartQuiet time.Duration
+	StartupVoteDelay time.Duration
 	// Random returns a number in [0, n).
 	Random func(n int64) int64
 	// MaxEntries bounds the entries of one message.
@@ -143,7 +143,7 @@
 
 // Start sets the member up from its disk. It begins as a follower that has just
 // heard from a leader, so that a restart can't shorten a leader's lease.
-func (r *Replicator) Start(now time.Time, stored Stored) {
+func (r *Replicator) Start(now time.Time, stored PersistedState) {
 	r.setDefaults()
 	r.base = stored.Snapshot
 	if r.base == nil {
@@ -161,7 +161,7 @@
 	r.rebuildConfigs()
 	r.becomeFollower(now, r.term, "")
 	// Votes are refused as if a leader had been heard StartQuiet before their time.
-	r.lastContact = now.Add(r.StartQuiet - r.ElectionTimeout)
+	r.lastContact = now.Add(r.StartupVoteDelay - r.ElectionTimeout)
 }
 
 func (r *Replicator) setDefaults() {
@@ -171,17 +171,17 @@
 	if r.ElectionTimeout == 0 {
 		r.ElectionTimeout = defaultElectionTimeout
 	}
-	if r.StartQuiet == 0 {
-		r.StartQuiet = r.ElectionTimeout
+	if r.StartupVoteDelay == 0 {
+		r.StartupVoteDelay = r.ElectionTimeout
 	}
 	if r.MaxEntries == 0 {
 		r.MaxEntries = defaultMaxEntries
 	}
 }
 
-// Take returns what has accumulated since the last call. The caller carries it
+// TakeReady returns what has accumulated since the last call. The caller carries it
 // out and then calls Synced.
-func (r *Replicator) Take() Ready {
+func (r *Replicator) TakeReady() Ready {
 	rd := Ready{Messages: r.outbox, Snapshot: r.install}
 	r.outbox, r.install = nil, nil
 	if r.hardDirty {
@@ -208,9 +208,9 @@
 	}
 }
 
-// Describe fills in the term and the configuration of a snapshot of applied state. It
+// FillMetadata fills in the term and the configuration of a snapshot of applied state. It
 // reports false when the log has no place for it any more.
-func (r *Replicator) Describe(s *wire.Snapshot) bool {
+func (r *Replicator) FillMetadata(s *wire.Snapshot) bool {
 	if s.GetIndex() <= r.base.GetIndex() || s.GetIndex() > r.emitted {
 		return false
 	}
@@ -222,7 +222,7 @@
 // Compact replaces the log up to the snapshot's index by the snapshot, which must be
 // of applied state.
 func (r *Replicator) Compact(s *wire.Snapshot) error {
-	if !r.Describe(s) {
+	if !r.FillMetadata(s) {
 		return fail("Compact", KindIndex, "index %d is not between %d and %d", s.GetIndex(), r.base.GetIndex(), r.emitted)
 	}
 	rest := r.slice(s.GetIndex()+1, r.lastIndex()+1)
@@ -232,8 +232,8 @@
 	return nil
 }
 
-// Stored returns the entries behind the snapshot that were handed out to be synced.
-func (r *Replicator) Stored() []*wire.Entry { return r.slice(r.base.GetIndex()+1, r.unstable) }
+// StoredEntries returns the entries behind the snapshot that were handed out to be synced.
+func (r *Replicator) StoredEntries() []*wire.Entry { return r.slice(r.base.GetIndex()+1, r.unstable) }
 
 // Role returns what the member is now.
 func (r *Replicator) Role() Role { return r.role }
--- a/pkg/storer/storer.go
+++ b/pkg/storer/storer.go
@@ -34,8 +34,8 @@
 	HardState *wire.HardState
 	Snapshot  *wire.Snapshot
 	Entries   []*wire.Entry
-	// Cut is the number of bytes of a torn tail that were dropped.
-	Cut int
+	// TornBytes is the number of bytes of a torn tail that were dropped.
+	TornBytes int
 }
 
 // Storer writes to one data folder. Set Folder, then call Open.
@@ -161,8 +161,8 @@
 	file *renameio.PendingFile
 }
 
-// Drop forgets a snapshot that came too late.
-func (p *PendingSnapshot) Drop() { _ = p.file.Cleanup() }
+// Discard forgets a snapshot that came too late.
+func (p *PendingSnapshot) Discard() { _ = p.file.Cleanup() }
 
 // PrepareSnapshot writes and syncs a snapshot that CommitSnapshot puts into force. It
 // may run beside the other methods.
@@ -180,11 +180,11 @@
 	}
 	pending := &PendingSnapshot{file: file}
 	if _, err := file.Write(appendRecord(nil, recordSnapshot, payload)); err != nil {
-		pending.Drop()
+		pending.Discard()
 		return nil, diskFault("PrepareSnapshot", err)
 	}
 	if err := file.Sync(); err != nil {
-		pending.Drop()
+		pending.Discard()
 		return nil, diskFault("PrepareSnapshot", err)
 	}
 	return pending, nil
@@ -226,9 +226,9 @@
 	return s.openLog()
 }
 
-// SetAside moves the files of a damaged folder away, so that the instance can
+// MoveDamagedFiles moves the files of a damaged folder away, so that the instance can
 // join again with an empty one. Nothing is deleted.
-func (s *Storer) SetAside(now time.Time) (string, error) {
+func (s *Storer) MoveDamagedFiles(now time.Time) (string, error) {
 	aside := s.path("Damaged-" + strconv.FormatInt(now.UnixNano(), 10))
 	if err := os.MkdirAll(aside, folderPerm); err != nil {
 		return "", diskFault("SetAside", err)
@@ -279,11 +279,11 @@
 	if err := c.replay(records); err != nil {
 		return err
 	}
-	c.Cut = len(buf) - good
+	c.TornBytes = len(buf) - good
 	if err := s.openLog(); err != nil {
 		return err
 	}
-	if c.Cut == 0 {
+	if c.TornBytes == 0 {
 		return s.syncFolder()
 	}
 	if err := s.log.Truncate(int64(good)); err != nil {
--- a/pkg/storer/storer_test.go
+++ b/pkg/storer/storer_test.go
@@ -116,7 +116,7 @@
 
 // rejoinsEmpty checks that a damaged disk has no identity, and so no vote, any more.
 func rejoinsEmpty(c *qt.C, s *storer.Storer) {
-	aside, err := s.SetAside(time.Unix(1, 0))
+	aside, err := s.MoveDamagedFiles(time.Unix(1, 0))
 	c.Assert(err, qt.IsNil)
 	_, err = os.Stat(filepath.Join(aside, "Identity"))
 	c.Assert(err, qt.IsNil)
@@ -166,7 +166,7 @@
 	c.Assert(err, qt.IsNil)
 	// A leader's newer one comes first.
 	c.Assert(s.SaveSnapshot(&wire.Snapshot{Index: 15, Term: 1}, nil), qt.IsNil)
-	pending.Drop()
+	pending.Discard()
 	c.Assert(s.Close(), qt.IsNil)
 	got, err := (&storer.Storer{Folder: folder}).Open()
 	c.Assert(err, qt.IsNil)
@@ -202,7 +202,7 @@
 		c.Assert(s.Close(), qt.IsNil)
 		again, err := (&storer.Storer{Folder: folder}).Open()
 		c.Assert(err, qt.IsNil)
-		c.Assert(again.Cut, qt.Equals, 0)
+		c.Assert(again.TornBytes, qt.Equals, 0)
 		c.Assert(proto.Equal(again.HardState, got.HardState), qt.IsTrue)
 		c.Assert(again.Entries, qt.HasLen, len(got.Entries))
 	})
@@ -235,7 +235,7 @@
 	c.Assert(s.Close(), qt.IsNil)
 	contents, err := (&storer.Storer{Folder: folder}).Open()
 	c.Assert(err, qt.IsNil)
-	c.Check(contents.Cut, qt.Equals, 0)
+	c.Check(contents.TornBytes, qt.Equals, 0)
 	c.Check(contents.Entries, qt.HasLen, 2)
 	c.Check(contents.HardState.GetTerm(), qt.Equals, uint64(1))
 }
