--- a/pkg/balancer/ablation_test.go
+++ b/pkg/balancer/ablation_test.go
@@ -10,7 +10,7 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Each mechanism decides a case one way while it is on, and another way while it is off.
+// Each mechanism changes the decision of a case when it is switched off.
 func TestMechanismsCanBeSwitchedOff(t *testing.T) {
 	for name, test := range map[ablator.Mechanism]struct {
 		prepare func(b *Balancer)
@@ -51,8 +51,8 @@
 	}
 }
 
-// With two choices a backend server that is not the least loaded gets requests too; without
-// them none does, and the zone decides only where it counts.
+// With two choices, backend servers that are not the least loaded get requests too; without
+// them none does, and the zone matters only with its penalty.
 func TestChoicesCanBeSwitchedOff(t *testing.T) {
 	for name, test := range map[string]struct {
 		off  []ablator.Mechanism
--- a/pkg/balancer/adapters_test.go
+++ b/pkg/balancer/adapters_test.go
@@ -19,13 +19,13 @@
 		prepare func(b *Balancer)
 		want    string
 	}{
-		"held by one":               {func(b *Balancer) { hold(b, 1, "b", "m/x@0") }, "b"},
-		"held by nobody any more":   {func(b *Balancer) { hold(b, 1, "b", "m/x@0"); hold(b, 1, "b") }, "waits"},
-		"an earlier leader's word":  {func(b *Balancer) { hold(b, 2, "b"); hold(b, 1, "b", "m/x@0") }, "waits"},
-		"an old version":            {func(b *Balancer) { hold(b, 1, "b", "m/x@1"); version(b, 2) }, "waits"},
-		"the named version":         {func(b *Balancer) { hold(b, 1, "b", "m/x@2"); version(b, 2) }, "b"},
-		"just said not to be there": {func(b *Balancer) { hold(b, 1, "b", "m/x@0"); b.Done(begin(), "b", "m/x", 0, Absent) }, "waits"},
-		"the other copy, if one fails": {func(b *Balancer) {
+		"held by one":                {func(b *Balancer) { hold(b, 1, "b", "m/x@0") }, "b"},
+		"held by no engine any more": {func(b *Balancer) { hold(b, 1, "b", "m/x@0"); hold(b, 1, "b") }, "waits"},
+		"an earlier leader's state":  {func(b *Balancer) { hold(b, 2, "b"); hold(b, 1, "b", "m/x@0") }, "waits"},
+		"an old version":             {func(b *Balancer) { hold(b, 1, "b", "m/x@1"); version(b, 2) }, "waits"},
+		"the named version":          {func(b *Balancer) { hold(b, 1, "b", "m/x@2"); version(b, 2) }, "b"},
+		"just reported as absent":    {func(b *Balancer) { hold(b, 1, "b", "m/x@0"); b.Done(begin(), "b", "m/x", 0, Absent) }, "waits"},
+		"the other replica, if one fails": {func(b *Balancer) {
 			hold(b, 1, "a", "m/x@0")
 			hold(b, 1, "b", "m/x@0")
 			b.Done(begin(), "a", "", 0, Unreachable)
@@ -44,24 +44,25 @@
 	b.SetVersion(&wire.AdapterVersion{Model: "m", Adapter: "x", Version: n})
 }
 
-// A missing adapter is asked for once, and again only when the load should have ended.
-func TestMissingAdaptersAreAskedForOnce(t *testing.T) {
+// A missing adapter is requested once, and again only when the load should have finished.
+func TestMissingAdaptersAreRequestedOnce(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b")
 	b.Done(begin(), "a", "", 0, Unreachable)
 	b.Enqueue(waiter("v", adapter("m/x")))
 	b.Enqueue(waiter("w", adapter("m/x")))
-	_, wants := b.Next(begin())
-	c.Assert(wants, qt.HasLen, 1)
-	c.Check(wants[0].GetAvoid(), qt.DeepEquals, []string{"a"})
-	_, wants = b.Next(begin().Add(100 * time.Millisecond))
-	c.Check(wants, qt.HasLen, 0)
-	_, wants = b.Next(begin().Add(450 * time.Millisecond))
-	c.Check(wants, qt.HasLen, 1)
+	_, pendingLoads := b.Next(begin())
+	c.Assert(pendingLoads, qt.HasLen, 1)
+	c.Check(pendingLoads[0].GetAvoid(), qt.DeepEquals, []string{"a"})
+	_, pendingLoads = b.Next(begin().Add(100 * time.Millisecond))
+	c.Check(pendingLoads, qt.HasLen, 0)
+	_, pendingLoads = b.Next(begin().Add(450 * time.Millisecond))
+	c.Check(pendingLoads, qt.HasLen, 1)
 }
 
-// Sixteen rare adapters and one hot one: requests that wait for a load hold up no others.
-func TestWaitingForLoadsHoldsUpNobody(t *testing.T) {
+// Requests that wait for the loads of sixteen rarely used adapters do not block requests for a
+// hot one.
+func TestWaitingForLoadsDoesNotBlockOtherRequests(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a")
 	hold(b, 1, "a", "m/hot@0")
@@ -74,16 +75,16 @@
 	c.Check(b.Waiting(), qt.Equals, 16)
 }
 
-// A hot adapter at one engine: when that engine is much busier than the others, a copy
-// elsewhere is asked for, and not while all are busy.
-func TestCrowdedEnginesGetHelp(t *testing.T) {
+// If the only engine with a hot adapter is much busier than the others, a replica is requested
+// elsewhere, but not if all are busy.
+func TestOverloadedEnginesGetAReplica(t *testing.T) {
 	for name, test := range map[string]struct {
 		others map[string]uint32
 		want   int
 	}{
-		"idle":                  {nil, 0},
-		"the holder is crowded": {map[string]uint32{"a": 3}, 1},
-		"all are crowded":       {map[string]uint32{"a": 3, "b": 3, "c": 2}, 0},
+		"idle":                     {nil, 0},
+		"the holder is overloaded": {map[string]uint32{"a": 3}, 1},
+		"all are overloaded":       {map[string]uint32{"a": 3, "b": 3, "c": 2}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -95,30 +96,30 @@
 			}
 			b.SetLoads(loads)
 			b.Enqueue(waiter("w", adapter("m/hot")))
-			decisions, wants := b.Next(begin())
+			decisions, pendingLoads := b.Next(begin())
 			c.Assert(decisions, qt.HasLen, 1)
 			c.Check(decisions[0].Backend.GetId(), qt.Equals, "a")
-			c.Assert(wants, qt.HasLen, test.want)
+			c.Assert(pendingLoads, qt.HasLen, test.want)
 			if test.want > 0 {
-				c.Check(wants[0].GetAvoid(), qt.DeepEquals, []string{"a"})
+				c.Check(pendingLoads[0].GetAvoid(), qt.DeepEquals, []string{"a"})
 			}
 		})
 	}
 }
 
-// The only engine with an adapter has lost an answer: the request goes there again rather
-// than wait for a load elsewhere; but not if nothing can be reached there, and not while
-// another copy is there.
-func TestTheOnlyHolderIsTriedAgain(t *testing.T) {
+// The only engine with an adapter has lost an answer: the request is sent there again instead
+// of waiting for a load elsewhere, but not if the engine is unreachable, and not while there is
+// another replica.
+func TestTheOnlyHolderIsRetried(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(b *Balancer)
 		want    string
 	}{
 		"an answer was lost":  {func(b *Balancer) { b.Done(begin(), "a", "m/x", 0, Failed) }, "a"},
-		"it is not reached":   {func(b *Balancer) { b.Done(begin(), "a", "m/x", 0, Unreachable) }, "waits"},
-		"there is a copy":     {func(b *Balancer) { hold(b, 1, "b", "m/x@0") }, "b"},
-		"the copy is full":    {func(b *Balancer) { hold(b, 1, "b", "m/x@0"); fill(b, "b") }, "waits"},
-		"it is gone from all": {func(b *Balancer) { hold(b, 1, "a") }, "waits"},
+		"it is unreachable":   {func(b *Balancer) { b.Done(begin(), "a", "m/x", 0, Unreachable) }, "waits"},
+		"there is a replica":  {func(b *Balancer) { hold(b, 1, "b", "m/x@0") }, "b"},
+		"the replica is full": {func(b *Balancer) { hold(b, 1, "b", "m/x@0"); fill(b, "b") }, "waits"},
+		"no engine has it":    {func(b *Balancer) { hold(b, 1, "a") }, "waits"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -130,9 +131,9 @@
 	}
 }
 
-// The only engine with an adapter is full, and others have room: a copy is asked for there
-// while the request waits. When all are full, a copy would help nobody.
-func TestFullHoldersGetHelp(t *testing.T) {
+// If the only engine with an adapter is full and others have room, a replica is requested there
+// while the request waits. When all are full, a replica would not help.
+func TestFullEnginesGetAReplica(t *testing.T) {
 	for name, test := range map[string]struct {
 		full []string
 		want int
@@ -146,26 +147,26 @@
 			hold(b, 1, "a", "m/x@0")
 			fill(b, test.full...)
 			b.Enqueue(waiter("w", adapter("m/x")))
-			decisions, wants := b.Next(begin())
+			decisions, pendingLoads := b.Next(begin())
 			c.Check(decisions, qt.HasLen, 0)
-			c.Assert(wants, qt.HasLen, test.want)
+			c.Assert(pendingLoads, qt.HasLen, test.want)
 			if test.want > 0 {
-				c.Check(wants[0].GetAvoid(), qt.DeepEquals, []string{"a"})
+				c.Check(pendingLoads[0].GetAvoid(), qt.DeepEquals, []string{"a"})
 			}
 		})
 	}
 }
 
-// The leader says that an adapter does not come in time: who waits for it is refused at
-// once with a time to come back; others go on waiting, and so does who comes later.
+// When the leader declines an adapter, the requests that wait for it are refused at once with a
+// retry time; other requests and later ones keep waiting.
 func TestDeclinedAdapters(t *testing.T) {
 	for name, test := range map[string]struct {
 		prepare func(b *Balancer)
 		want    map[string]string
 	}{
-		"it is nowhere":          {func(*Balancer) {}, map[string]string{"w": "refused", "v": "waits"}},
-		"it has come after all":  {func(b *Balancer) { hold(b, 1, "a", "m/x@0") }, map[string]string{"w": "a", "v": "waits"}},
-		"its engine has no room": {func(b *Balancer) { hold(b, 1, "a", "m/x@0"); fill(b, "a") }, map[string]string{"w": "waits", "v": "waits"}},
+		"no engine has it":        {func(*Balancer) {}, map[string]string{"w": "refused", "v": "waits"}},
+		"it was loaded after all": {func(b *Balancer) { hold(b, 1, "a", "m/x@0") }, map[string]string{"w": "a", "v": "waits"}},
+		"its engine has no room":  {func(b *Balancer) { hold(b, 1, "a", "m/x@0"); fill(b, "a") }, map[string]string{"w": "waits", "v": "waits"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -186,15 +187,15 @@
 			}
 			c.Check(got, qt.DeepEquals, test.want)
 			b.Enqueue(waiter("late", adapter("m/x")))
-			_, wants := b.Next(begin())
-			c.Check(len(wants) == 1, qt.Equals, test.want["w"] == "refused")
+			_, pendingLoads := b.Next(begin())
+			c.Check(len(pendingLoads) == 1, qt.Equals, test.want["w"] == "refused")
 		})
 	}
 }
 
-// An engine that restarts says that its base model is not there yet: requests for the model
-// go elsewhere for a moment, and the engine is still known for what it holds later.
-func TestAnEngineWithoutItsModelIsLeftAloneForAMoment(t *testing.T) {
+// A restarting engine reports that its base model is absent: requests for the model avoid it
+// briefly, and it can still be used for adapters that it holds later.
+func TestEngineWithoutItsModelIsAvoidedBriefly(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b")
 	b.Done(begin(), "a", "", 0, Absent)
@@ -204,29 +205,29 @@
 	}
 	hold(b, 1, "a", "m/x@0")
 	c.Check(decide(b, begin(), waiter("x", adapter("m/x")))["x"], qt.Equals, "a")
-	later := begin().Add(absentFor)
+	later := begin().Add(absentBackoff)
 	b.Done(later, "b", "", 0, Unreachable)
 	c.Check(decide(b, later, waiter("y"))["y"], qt.Equals, "a")
 }
 
-// Two requests wait for an adapter, for which only the first was asked for. It is declined
-// for the time of the first: the second one, which has come later and waits for longer, is
-// asked for anew and not refused.
-func TestWhoWaitsLongerIsNotDeclined(t *testing.T) {
+// Two requests wait for an adapter, and the load was requested for the first only. It is
+// declined for the deadline of the first: the second, with a later deadline, causes a new load
+// request and is not refused.
+func TestRequestsWithLaterDeadlinesAreNotDeclined(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b")
 	b.Enqueue(waiter("first", adapter("m/x")))
-	_, wants := b.Next(begin())
-	c.Assert(wants, qt.HasLen, 1)
+	_, pendingLoads := b.Next(begin())
+	c.Assert(pendingLoads, qt.HasLen, 1)
 	later := waiter("second", adapter("m/x"))
 	later.Deadline = begin().Add(1300 * time.Millisecond)
 	b.Enqueue(later)
-	_, wants = b.Next(begin().Add(300 * time.Millisecond))
-	c.Assert(wants, qt.HasLen, 0)
+	_, pendingLoads = b.Next(begin().Add(300 * time.Millisecond))
+	c.Assert(pendingLoads, qt.HasLen, 0)
 	b.Decline("m/x")
-	decisions, wants := b.Next(begin().Add(350 * time.Millisecond))
+	decisions, pendingLoads := b.Next(begin().Add(350 * time.Millisecond))
 	c.Assert(decisions, qt.HasLen, 1)
 	c.Check(decisions[0].Waiter.ID, qt.Equals, "first")
-	c.Assert(wants, qt.HasLen, 1)
-	c.Check(wants[0].GetLeftMs(), qt.Equals, uint32(950))
+	c.Assert(pendingLoads, qt.HasLen, 1)
+	c.Check(pendingLoads[0].GetLeftMs(), qt.Equals, uint32(950))
 }
--- a/pkg/balancer/backend.go
+++ b/pkg/balancer/backend.go
@@ -8,82 +8,83 @@
 )
 
 const (
-	// failureMemory is the weight of the latest outcome in the share of failures.
-	failureMemory = 0.2
-	// ejectAbove is the share of failures from which a backend server is left out: at
-	// this share two failures in a row, or three of four, have been seen.
-	ejectAbove = 0.35
-	// firstEjection doubles with each ejection in a row, up to longestEjection. The first
-	// is about the time of a restart's first steps.
-	firstEjection   = 700 * time.Millisecond
-	longestEjection = 5 * time.Second
-	// maxEjectedShare is the part, as a divisor, of a service's backend servers that
-	// stays in use whatever their outcomes.
-	maxEjectedShare = 2
-	// assumedSlots is used where a backend server does not say how many it has.
-	assumedSlots = 8
+	// failureWeight is the weight of the latest outcome in the failure rate.
+	failureWeight = 0.2
+	// ejectThreshold is the failure rate from which a backend server is ejected: it is reached
+	// by two failures in a row, or three of four.
+	ejectThreshold = 0.35
+	// minEjection doubles with each ejection in a row, up to maxEjection. It is about the time
+	// of the first steps of a restart.
+	minEjection = 700 * time.Millisecond
+	maxEjection = 5 * time.Second
+	// minInUseDivisor is the divisor for the part of a service's backend servers that stays in
+	// use whatever their outcomes.
+	minInUseDivisor = 2
+	// defaultSlots is used for backend servers that do not announce their slots.
+	defaultSlots = 8
 )
 
-// backend is what the gateway knows of one start of a backend server.
+// backend is the state of one incarnation of a backend server as the gateway knows it.
 type backend struct {
 	info *wire.Announcement
-	// own and others are the loads of this and the other gateways' requests there.
+	// own and others are the loads of this and of the other gateways' requests there.
 	own    float64
 	others float64
-	// using counts this gateway's requests for each adapter there.
-	using map[string]int
-	// holds are the adapters there, with their versions.
-	holds     map[string]uint64
-	absent    map[string]time.Time
-	fullUntil time.Time
-	since     time.Time
+	// requestsByAdapter counts this gateway's requests for each adapter there.
+	requestsByAdapter map[string]int
+	// adapters are the loaded adapters with their versions.
+	adapters    map[string]uint64
+	absentUntil map[string]time.Time
+	fullUntil   time.Time
+	since       time.Time
 	// pausedUntil is when its request limit has room again.
 	pausedUntil time.Time
-	// backlog is how long the engine had to read as of backlogAt.
+	// backlog is how long the engine needed to read its unread prompts as of backlogAt.
 	backlog   time.Duration
 	backlogAt time.Time
-	// eventTime is about the time between two events of a stream while nothing is read.
-	eventTime time.Duration
-
-	// failures is the share of failed requests as of failedAt; it fades with time, or one
-	// that gets no requests could never show that it has recovered.
-	failures     float64
-	failedAt     time.Time
-	ejectedUntil time.Time
-	ejection     time.Duration
-	lastSuccess  time.Time
+	// eventInterval is about the time between two events of a stream while no prompt is read.
+	eventInterval time.Duration
+
+	// failureRate is the share of failed requests as of failureRateAt. It decays with time, as
+	// a backend server that gets no requests could otherwise never show that it has recovered.
+	failureRate      float64
+	failureRateAt    time.Time
+	ejectedUntil     time.Time
+	ejectionDuration time.Duration
+	lastSuccess      time.Time
 }
 
-// open reports whether the backend server itself takes requests.
-func (k *backend) open() bool { return !k.info.GetDraining() && !k.info.GetGone() }
+// accepting reports whether the backend server takes requests by its own announcement.
+func (k *backend) accepting() bool { return !k.info.GetDraining() && !k.info.GetGone() }
 
-// recentSuccess is how long an answer speaks for a backend server whose announcements
+// recentSuccessWindow is how long an answer keeps a backend server in use whose announcements
 // have stopped.
-const recentSuccess = 3 * time.Second
+const recentSuccessWindow = 3 * time.Second
 
-// ejected reports whether it is left out for its failures.
+// ejected reports whether the backend server is not used because of its failures.
 func (k *backend) ejected(now time.Time) bool {
-	// After the pause one request at a time shows whether it has recovered.
-	return now.Before(k.ejectedUntil) || k.ejection > 0 && k.own > 0
+	// After the ejection one request at a time shows whether it has recovered.
+	return now.Before(k.ejectedUntil) || k.ejectionDuration > 0 && k.own > 0
 }
 
-// silent reports whether nothing is heard from it, and no answer speaks for it.
+// silent reports whether its announcements have stopped and it has not answered recently
+// either.
 func (k *backend) silent(now time.Time) bool {
-	return k.info.GetSilent() && now.Sub(k.lastSuccess) > recentSuccess
+	return k.info.GetSilent() && now.Sub(k.lastSuccess) > recentSuccessWindow
 }
 
 func (k *backend) slots() float64 {
 	if s := k.info.GetSlots(); s > 0 {
 		return float64(s)
 	}
-	return assumedSlots
+	return defaultSlots
 }
 
 func (k *backend) load() float64 { return (k.own + k.others) / k.slots() }
 
 func (k *backend) hasRoom() bool { return k.own+k.others < k.slots() }
 
-// Pause leaves a backend server alone whose request limit has no room until a time.
+// Pause stops using a backend server until its request limit has room again.
 func (b *Balancer) Pause(id string, until time.Time) {
 	if k := b.backends[id]; k != nil {
 		k.pausedUntil = until
@@ -92,60 +93,60 @@
 
 func (k *backend) paused(now time.Time) bool { return now.Before(k.pausedUntil) }
 
-// SetBacklog takes about how long an engine still has to read prompts.
+// SetBacklog sets about how long an engine still needs to read its prompts.
 func (b *Balancer) SetBacklog(now time.Time, id string, backlog time.Duration) {
 	if k := b.backends[id]; k != nil {
 		k.backlog, k.backlogAt = backlog, now
 	}
 }
 
-// reading is what is left of the backlog.
-func (k *backend) reading(now time.Time) time.Duration {
+// remainingBacklog returns what is left of the backlog.
+func (k *backend) remainingBacklog(now time.Time) time.Duration {
 	return max(0, k.backlog-now.Sub(k.backlogAt))
 }
 
 const (
-	// eventQuantile is the part of gaps between events that are shorter than the time of
-	// an event alone: the others have prompts read in them.
-	eventQuantile = 0.1
-	// eventStep is by how much of itself the time is changed by one gap at most.
-	eventStep = 0.05
-	// leastGap is the gap below which two events have come as one.
-	leastGap = 2 * time.Millisecond
+	// gapQuantile is the fraction of gaps between events that are shorter than the event
+	// interval: the others include the time to read prompts.
+	gapQuantile = 0.1
+	// maxGapStep bounds the relative change of the event interval by a single gap.
+	maxGapStep = 0.05
+	// minGap is the gap below which two events count as one.
+	minGap = 2 * time.Millisecond
 )
 
-// ObserveEventGap takes the time between two events of a stream.
+// ObserveEventGap records the time between two events of a stream.
 func (b *Balancer) ObserveEventGap(id string, gap time.Duration) {
 	k := b.backends[id]
 	switch {
-	case k == nil || gap < leastGap:
-	case k.eventTime == 0:
-		k.eventTime = gap
-	case gap < k.eventTime:
-		k.eventTime -= time.Duration(eventStep * (1 - eventQuantile) * float64(k.eventTime))
+	case k == nil || gap < minGap:
+	case k.eventInterval == 0:
+		k.eventInterval = gap
+	case gap < k.eventInterval:
+		k.eventInterval -= time.Duration(maxGapStep * (1 - gapQuantile) * float64(k.eventInterval))
 	default:
-		k.eventTime += time.Duration(eventStep * eventQuantile * float64(k.eventTime))
+		k.eventInterval += time.Duration(maxGapStep * gapQuantile * float64(k.eventInterval))
 	}
 }
 
-// EventInterval returns about the time between two events of a stream at a backend server while
-// it reads no prompt; 0 if it is not known.
+// EventInterval returns about the time between two events of a stream while the backend server
+// reads no prompt; 0 if it is not known.
 func (b *Balancer) EventInterval(id string) time.Duration {
 	if k := b.backends[id]; k != nil {
-		return k.eventTime
+		return k.eventInterval
 	}
 	return 0
 }
 
-// Outcome is what became of a request that was sent to a backend server.
+// Outcome is the result of a request that was sent to a backend server.
 type Outcome int
 
-// The outcomes.
+// Outcomes.
 const (
-	// Served means that the whole answer came.
+	// Served means that the whole answer was received.
 	Served Outcome = iota
-	// Failed means that the backend server answered with a failure of its own, or broke
-	// off.
+	// Failed means that the backend server answered with a failure of its own, or aborted the
+	// answer.
 	Failed
 	// Unreachable means that no connection could be opened.
 	Unreachable
@@ -153,12 +154,12 @@
 	Full
 	// Absent means that it does not hold the adapter, or not in the version.
 	Absent
-	// Abandoned means that the gateway ended the request, for its caller or its deadline.
+	// Abandoned means that the gateway ended the request because of its caller or its deadline.
 	Abandoned
 )
 
-// Done takes the end of a request that was sent. It returns for how long the backend server is
-// ejected if this failure is what ejects it, or 0.
+// Done records the outcome of a request that was sent. If this failure ejects the backend
+// server, it returns for how long; otherwise 0.
 func (b *Balancer) Done(now time.Time, id, adapter string, tokens int, outcome Outcome) time.Duration {
 	k := b.backends[id]
 	if k == nil {
@@ -166,52 +167,52 @@
 	}
 	before := k.ejectedUntil
 	k.own = max(0, k.own-Weight(tokens))
-	if k.using[adapter]--; k.using[adapter] <= 0 {
-		delete(k.using, adapter)
+	if k.requestsByAdapter[adapter]--; k.requestsByAdapter[adapter] <= 0 {
+		delete(k.requestsByAdapter, adapter)
 	}
 	switch outcome {
 	case Served:
-		k.succeeded(now)
+		k.recordSuccess(now)
 	case Failed:
-		k.failed(now, failureMemory)
+		k.recordFailure(now, failureWeight)
 	case Unreachable:
-		k.failed(now, 1)
+		k.recordFailure(now, 1)
 	case Full:
-		k.fullUntil = now.Add(fullFor)
+		k.fullUntil = now.Add(fullBackoff)
 	case Absent:
-		k.absent[adapter] = now.Add(absentFor)
+		k.absentUntil[adapter] = now.Add(absentBackoff)
 	case Abandoned:
 	}
 	if k.ejectedUntil.Equal(before) {
 		return 0
 	}
-	return k.ejection
+	return k.ejectionDuration
 }
 
-// failureFades is the time in which half of a share of failures is forgotten.
-const failureFades = 2 * time.Second
+// failureHalfLife is the time in which a failure rate decays by half.
+const failureHalfLife = 2 * time.Second
 
-// failing returns the share of failures as it counts now.
-func (k *backend) failing(now time.Time) float64 {
-	return k.failures * math.Exp2(-float64(now.Sub(k.failedAt))/float64(failureFades))
+// currentFailureRate returns the decayed failure rate.
+func (k *backend) currentFailureRate(now time.Time) float64 {
+	return k.failureRate * math.Exp2(-float64(now.Sub(k.failureRateAt))/float64(failureHalfLife))
 }
 
-func (k *backend) succeeded(now time.Time) {
+func (k *backend) recordSuccess(now time.Time) {
 	k.lastSuccess = now
-	k.failures, k.failedAt = k.failing(now)*(1-failureMemory), now
-	if k.failures < ejectAbove/2 {
-		k.ejection = 0
+	k.failureRate, k.failureRateAt = k.currentFailureRate(now)*(1-failureWeight), now
+	if k.failureRate < ejectThreshold/2 {
+		k.ejectionDuration = 0
 	}
 }
 
-func (k *backend) failed(now time.Time, weight float64) {
-	share := k.failing(now)
-	k.failures, k.failedAt = share+(1-share)*weight, now
-	if k.failures < ejectAbove || now.Before(k.ejectedUntil) {
+func (k *backend) recordFailure(now time.Time, weight float64) {
+	rate := k.currentFailureRate(now)
+	k.failureRate, k.failureRateAt = rate+(1-rate)*weight, now
+	if k.failureRate < ejectThreshold || now.Before(k.ejectedUntil) {
 		return
 	}
-	k.ejection = min(max(firstEjection, 2*k.ejection), longestEjection)
-	k.ejectedUntil = now.Add(k.ejection)
-	// After the pause a single success must be able to bring it back.
-	k.failures = ejectAbove / 2
+	k.ejectionDuration = min(max(minEjection, 2*k.ejectionDuration), maxEjection)
+	k.ejectedUntil = now.Add(k.ejectionDuration)
+	// After the ejection a single success must be able to end it.
+	k.failureRate = ejectThreshold / 2
 }
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -1,11 +1,11 @@
-// Package balancer decides at a gateway which request goes to which backend server,
-// which waits, and which is refused. It is pure: what happens and the time go in,
-// decisions come out.
+// Package balancer decides at a gateway which request is sent to which backend server, which
+// waits, and which is refused. It has no side effects: events and the time are passed in,
+// decisions are returned.
 //
-// The load patterns that it answers: bursts (urgent requests first, a bound on each
-// backend server), rare adapters (a request waits until the leader has loaded its
-// adapter, and does not hold up others), backend servers that fail, are slow or have
-// fallen silent (first-hand outcomes count more than announcements).
+// It handles bursts (urgent requests first, a bound on each backend server), rarely used
+// adapters (a request waits until the leader has loaded its adapter, without blocking other
+// requests), and backend servers that fail, are slow or have stopped announcing themselves
+// (observed outcomes outweigh announcements).
 package balancer
 
 import (
@@ -21,36 +21,37 @@
 )
 
 const (
-	// wantAgainAfter is how long the leader has to load an adapter before it is asked
-	// again: a load takes about a quarter of a second.
-	wantAgainAfter = 400 * time.Millisecond
-	// zonePenalty is the load, as a part of a backend server's slots, that another zone
-	// counts for: traffic between zones costs money and a few milliseconds.
+	// loadRequestInterval is how long the leader has to load an adapter before the load is
+	// requested again: a load takes about a quarter of a second.
+	loadRequestInterval = 400 * time.Millisecond
+	// zonePenalty is the load, as a fraction of a backend server's slots, that is added for
+	// another availability zone: traffic between zones costs money and a few milliseconds.
 	zonePenalty = 0.04
-	// failurePenalty is the load that a backend server counts for which always fails.
+	// failurePenalty is the load that is added for a backend server that always fails.
 	failurePenalty = 1.0
 	// jitter breaks ties between gateways that see the same loads.
 	jitter = 0.02
-	// tokensPerUnit is the prompt size that counts as much as another running request:
+	// tokensPerLoadUnit is the prompt size that counts as much as another running request:
 	// reading it takes about as long as a short answer.
-	tokensPerUnit = 4096
-	// fullReading is the backlog of prompts to read that counts as much as an engine with
-	// all slots taken: beyond it first events come late.
-	fullReading = 500 * time.Millisecond
-	// absentFor is how long an adapter is not asked of an engine that has just said that
-	// it is not there, unless the leader says otherwise.
-	absentFor = 300 * time.Millisecond
-	// fullFor is how long a backend server that has refused for lack of room is left alone.
-	fullFor = 100 * time.Millisecond
+	tokensPerLoadUnit = 4096
+	// fullBacklog is the backlog of unread prompts that counts as much as an engine with all
+	// slots taken: beyond it, first events come late.
+	fullBacklog = 500 * time.Millisecond
+	// absentBackoff is how long an engine that reported an adapter as absent is not used for
+	// it, unless the leader states otherwise.
+	absentBackoff = 300 * time.Millisecond
+	// fullBackoff is how long a backend server is not used after it refused a request for lack
+	// of room.
+	fullBackoff = 100 * time.Millisecond
 )
 
-// Balancer holds what one gateway knows. Set the exported fields before use.
+// Balancer holds the state that one gateway knows. Set the exported fields before use.
 type Balancer struct {
 	// Zone is the gateway's own availability zone.
 	Zone string
-	// Off are the mechanisms that an experiment does without.
+	// Off is the set of mechanisms that an experiment disables.
 	Off ablator.Off
-	// Rand makes choices repeatable; nil draws from the process's own source.
+	// Rand makes choices repeatable; nil uses the process-wide source.
 	Rand *rand.Rand
 
 	backends  map[string]*backend
@@ -59,64 +60,66 @@
 	term      uint64
 	queue     []*Waiter
 	nextOrder uint64
-	// wanted is when the leader was asked last for each adapter, and for how long.
-	wanted map[string]asked
-	// contended is when the slots of a service were mostly taken.
+	// requestedLoads holds the latest load request to the leader for each adapter.
+	requestedLoads map[string]requestedLoad
+	// contended is when most slots of a service were last taken.
 	contended map[string]time.Time
 }
 
-// asked is a request to the leader for an adapter.
-type asked struct {
+// requestedLoad is a request to the leader to load an adapter.
+type requestedLoad struct {
 	at time.Time
-	// until is when the request gives up for which it was made.
+	// until is the deadline of the request that it was made for.
 	until time.Time
 }
 
-// Waiter is a request that waits for a backend server. Set the exported fields, then
-// pass it to Enqueue.
+// Waiter is a request that waits for a backend server. Set the exported fields, then pass it to
+// Enqueue.
 type Waiter struct {
 	ID      string
 	Service string
-	// Adapter is MODEL/NAME, or "" where any backend server of the service will do.
+	// Adapter is MODEL/NAME, or "" if any backend server of the service can serve the request.
 	Adapter string
 	// Urgency is the route's priority; 0 goes first.
 	Urgency uint32
 	// Tokens is the size of the prompt.
 	Tokens int
-	// Deadline is when it is no use to wait longer.
+	// Deadline is when waiting longer is of no use.
 	Deadline time.Time
-	// Avoid are backend servers that have failed this request.
+	// Avoid lists the backend servers that have failed this request.
 	Avoid []string
-	// UsesSlotGrants is set if the backend server's slots are given out elsewhere, so that what is
-	// known here of its room does not count.
+	// UsesSlotGrants is set if an owner grants the backend server's slots, so that the free
+	// slots counted here are ignored.
 	UsesSlotGrants bool
 
 	order uint64
-	// declined is set once the leader has said that the adapter does not come in time.
+	// declined is set once the leader has reported that the adapter can't be loaded in time.
 	declined bool
-	// lacked is set once the adapter was nowhere to be used when the request's turn came.
-	lacked bool
+	// waitedForAdapter is set once no usable backend server held the adapter when the request
+	// was decided on.
+	waitedForAdapter bool
 }
 
-// WaitedForAdapter reports whether the request has waited for its adapter, and not only for a place.
-func (w *Waiter) WaitedForAdapter() bool { return w.lacked }
+// WaitedForAdapter reports whether the request has waited for its adapter, and not only for a
+// slot.
+func (w *Waiter) WaitedForAdapter() bool { return w.waitedForAdapter }
 
 // Weight returns how much load a request adds to a backend server.
-func Weight(tokens int) float64 { return 1 + float64(tokens)/tokensPerUnit }
+func Weight(tokens int) float64 { return 1 + float64(tokens)/tokensPerLoadUnit }
 
-// Decision is what becomes of a waiter.
+// Decision is the outcome for a waiter.
 type Decision struct {
 	Waiter *Waiter
 	// Backend is where to send it, or nil if it is refused.
 	Backend *wire.Announcement
-	// Version is the version that the adapter must have; 0 for any.
+	// Version is the minimum version of the adapter; 0 for any.
 	Version uint64
-	// Reason says why it is refused, and RetryAfter when to try again.
+	// Reason is why it is refused, and RetryAfter when to try again.
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// The reasons of refusals.
+// Reasons for refusals.
 const (
 	ReasonNoBackend = "no backend server of the service is known"
 	ReasonTimeout   = "no backend server was free in time"
@@ -125,8 +128,8 @@
 	ReasonLimited   = "the backend servers' request limits have no room in time"
 )
 
-// UpdateBackend takes what is known of a backend server. Silent counts only from a
-// controller that hears the others, which is for the caller to check.
+// UpdateBackend applies an announcement of a backend server. The caller must ignore Silent from
+// a controller that does not receive the others' messages.
 func (b *Balancer) UpdateBackend(now time.Time, a *wire.Announcement) {
 	if b.backends == nil {
 		b.backends, b.byService = map[string]*backend{}, map[string][]*backend{}
@@ -136,7 +139,7 @@
 		if a.GetGone() || a.GetAddress() == "" {
 			return
 		}
-		known = &backend{using: map[string]int{}, holds: map[string]uint64{}, absent: map[string]time.Time{}, since: now}
+		known = &backend{requestsByAdapter: map[string]int{}, adapters: map[string]uint64{}, absentUntil: map[string]time.Time{}, since: now}
 		b.backends[a.GetId()] = known
 		b.byService[a.GetService()] = append(b.byService[a.GetService()], known)
 	} else if a.GetSequence() < known.info.GetSequence() {
@@ -144,51 +147,51 @@
 	}
 	known.info = a
 	if a.GetGone() {
-		b.drop(known)
+		b.remove(known)
 	}
 }
 
-// RemoveBackend takes out a backend server that turned out to be no more.
+// RemoveBackend removes a backend server that turned out to have exited.
 func (b *Balancer) RemoveBackend(id string) {
 	if known := b.backends[id]; known != nil {
-		b.drop(known)
+		b.remove(known)
 	}
 }
 
-func (b *Balancer) drop(gone *backend) {
-	delete(b.backends, gone.info.GetId())
-	service := gone.info.GetService()
-	b.byService[service] = slices.DeleteFunc(b.byService[service], func(o *backend) bool { return o == gone })
+func (b *Balancer) remove(removed *backend) {
+	delete(b.backends, removed.info.GetId())
+	service := removed.info.GetService()
+	b.byService[service] = slices.DeleteFunc(b.byService[service], func(o *backend) bool { return o == removed })
 }
 
-// SetLoadedAdapters takes what the leader of a term says that an engine holds.
+// SetLoadedAdapters sets the adapters that an engine holds according to the leader of a term.
 func (b *Balancer) SetLoadedAdapters(term uint64, h *wire.Holding) {
 	known := b.backends[h.GetBackend()]
 	if known == nil || term < b.term {
 		return
 	}
 	b.term = term
-	clear(known.holds)
-	clear(known.absent)
+	clear(known.adapters)
+	clear(known.absentUntil)
 	for _, qualified := range h.GetAdapters() {
 		adapter, version, _ := strings.Cut(qualified, "@")
-		// An adapter without a version counts as the first one.
+		// A missing version counts as the first one.
 		n, _ := strconv.ParseUint(version, 10, 64)
-		known.holds[adapter] = n
+		known.adapters[adapter] = n
 	}
 }
 
-// SetVersion takes the version that requests for an adapter must be served with.
+// SetVersion sets the version that requests for an adapter must be served with.
 func (b *Balancer) SetVersion(v *wire.AdapterVersion) {
 	if b.versions == nil {
-		// After the loss of everything versions are known before any backend server is.
+		// After all state was lost, versions arrive before any backend server is known.
 		b.versions = map[string]uint64{}
 	}
 	adapter := v.GetModel() + "/" + v.GetAdapter()
 	b.versions[adapter] = max(b.versions[adapter], v.GetVersion())
 }
 
-// SetLoads takes how many requests the other gateways have at each backend server.
+// SetLoads sets how many requests the other gateways have at each backend server.
 func (b *Balancer) SetLoads(loads []*wire.Load) {
 	for _, known := range b.backends {
 		known.others = 0
@@ -206,19 +209,19 @@
 	for id, known := range b.backends {
 		if known.own > 0 {
 			l := &wire.Load{Backend: id, Requests: uint32(known.own + 0.5)}
-			l.Adapters = slices.AppendSeq(l.Adapters, maps.Keys(known.using))
+			l.Adapters = slices.AppendSeq(l.Adapters, maps.Keys(known.requestsByAdapter))
 			loads = append(loads, l)
 		}
 	}
 	return loads
 }
 
-// Knows reports whether a service has a backend server that takes requests.
-func (b *Balancer) Knows(service string) bool {
-	return slices.ContainsFunc(b.byService[service], func(k *backend) bool { return k.open() })
+// HasBackend reports whether a service has a backend server that takes requests.
+func (b *Balancer) HasBackend(service string) bool {
+	return slices.ContainsFunc(b.byService[service], func(k *backend) bool { return k.accepting() })
 }
 
-// ServiceOf returns the service of a backend server that is known, or "".
+// ServiceOf returns the service of a known backend server, or "".
 func (b *Balancer) ServiceOf(id string) string {
 	if k := b.backends[id]; k != nil {
 		return k.info.GetService()
@@ -229,17 +232,17 @@
 // Ready reports whether any backend server takes requests.
 func (b *Balancer) Ready() bool {
 	for service := range b.byService {
-		if b.Knows(service) {
+		if b.HasBackend(service) {
 			return true
 		}
 	}
 	return false
 }
 
-// Waiting returns the number of requests that wait.
+// Waiting returns the number of queued requests.
 func (b *Balancer) Waiting() int { return len(b.queue) }
 
-// Enqueue lets a request wait for its turn.
+// Enqueue adds a request to the queue.
 func (b *Balancer) Enqueue(w *Waiter) {
 	if w.order == 0 {
 		b.nextOrder++
@@ -249,7 +252,7 @@
 	b.queue = slices.Insert(b.queue, at, w)
 }
 
-// compare puts urgent requests first, and among equals the one that came first.
+// compare orders by urgency, then by arrival.
 func (b *Balancer) compare(one, other *Waiter) int {
 	if one.Urgency != other.Urgency && !b.Off.Has(ablator.PriorityOrder) {
 		return int(one.Urgency) - int(other.Urgency)
@@ -260,54 +263,54 @@
 	return 1
 }
 
-// Cancel takes a request out of the queue, whose caller has left.
+// Cancel removes a request whose caller has disconnected from the queue.
 func (b *Balancer) Cancel(w *Waiter) {
 	b.queue = slices.DeleteFunc(b.queue, func(o *Waiter) bool { return o == w })
 }
 
-// Next decides on the waiting requests, the most urgent first, and returns the adapters
-// that the leader is to load.
-func (b *Balancer) Next(now time.Time) (decisions []Decision, wants []*wire.Want) {
-	kept := b.queue[:0]
+// Next decides on the queued requests, the most urgent first, and returns the adapters that the
+// leader is to load.
+func (b *Balancer) Next(now time.Time) (decisions []Decision, pendingLoads []*wire.Want) {
+	remaining := b.queue[:0]
 	for _, w := range b.queue {
-		d, want := b.decide(now, w)
-		if want != nil {
-			wants = append(wants, want)
+		d, pendingLoad := b.decide(now, w)
+		if pendingLoad != nil {
+			pendingLoads = append(pendingLoads, pendingLoad)
 		}
 		if d == nil {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 			continue
 		}
 		decisions = append(decisions, *d)
 	}
-	clear(b.queue[len(kept):])
-	b.queue = kept
-	return decisions, wants
+	clear(b.queue[len(remaining):])
+	b.queue = remaining
+	return decisions, pendingLoads
 }
 
-// decide returns nil when the request goes on waiting.
+// decide returns no decision if the request keeps waiting.
 func (b *Balancer) decide(now time.Time, w *Waiter) (*Decision, *wire.Want) {
 	c := b.candidates(now, w)
-	if !b.Knows(w.Service) {
+	if !b.HasBackend(w.Service) {
 		return &Decision{Waiter: w, Reason: ReasonNoBackend, RetryAfter: retryWithoutBackend}, nil
 	}
 	best, holders := b.choose(now, w, c)
 	if best != nil {
-		var more *wire.Want
-		if w.Adapter != "" && b.crowded(best, c.preferred) {
-			more = b.want(now, w, unpaused(now, without(c.preferred, holders)))
+		var extra *wire.Want
+		if w.Adapter != "" && b.overloaded(best, c.preferred) {
+			extra = b.requestLoad(now, w, unpaused(now, without(c.preferred, holders)))
 		}
 		best.own += Weight(w.Tokens)
-		best.using[w.Adapter]++
-		return &Decision{Waiter: w, Backend: best.info, Version: b.versions[w.Adapter]}, more
+		best.requestsByAdapter[w.Adapter]++
+		return &Decision{Waiter: w, Backend: best.info, Version: b.versions[w.Adapter]}, extra
 	}
-	return b.hold(now, w, c, holders)
+	return b.waitOrRefuse(now, w, c, holders)
 }
 
-// hold decides on a request that no backend server can take now. Holders are those that
-// could if they had room.
-func (b *Balancer) hold(now time.Time, w *Waiter, c candidates, holders []*backend) (*Decision, *wire.Want) {
-	w.lacked = w.lacked || (w.Adapter != "" && len(holders) == 0)
+// waitOrRefuse decides on a request that no backend server can take now. Holders are those that
+// could serve it if they had room.
+func (b *Balancer) waitOrRefuse(now time.Time, w *Waiter, c candidates, holders []*backend) (*Decision, *wire.Want) {
+	w.waitedForAdapter = w.waitedForAdapter || (w.Adapter != "" && len(holders) == 0)
 	others := unpaused(now, without(c.preferred, holders))
 	if d := b.refuse(now, w, holders, others); d != nil {
 		return d, nil
@@ -318,45 +321,46 @@
 	if len(holders) > 0 && !slices.ContainsFunc(others, (*backend).hasRoom) {
 		return nil, nil
 	}
-	// It is nowhere, or where it is there is no room. Without a copy elsewhere the leader
-	// would even take it for idle there and give it up.
-	return nil, b.want(now, w, others)
+	// No engine has it, or those that do are full. Without a replica elsewhere the leader would
+	// even take it for idle there and unload it.
+	return nil, b.requestLoad(now, w, others)
 }
 
-// refuse returns the refusal of a request that waits in vain, or nil.
+// refuse returns the refusal of a request that can't be served in time, or nil.
 func (b *Balancer) refuse(now time.Time, w *Waiter, holders, others []*backend) *Decision {
 	if w.declined && len(holders) == 0 {
 		return &Decision{Waiter: w, Reason: ReasonDeclined, RetryAfter: b.spread(retryWhenDeclined)}
 	}
-	over := !now.Before(w.Deadline)
-	at, limited := roomAgain(now, holders)
-	elsewhere := w.Adapter != "" && len(others) > 0
+	expired := !now.Before(w.Deadline)
+	at, limited := earliestPauseEnd(now, holders)
+	canLoadElsewhere := w.Adapter != "" && len(others) > 0
 	switch {
-	case limited && (over || !elsewhere && !at.Before(w.Deadline)):
+	case limited && (expired || !canLoadElsewhere && !at.Before(w.Deadline)):
 		return &Decision{Waiter: w, Reason: ReasonLimited, RetryAfter: at.Sub(now)}
-	case over && len(holders) == 0 && w.Adapter != "":
+	case expired && len(holders) == 0 && w.Adapter != "":
 		return &Decision{Waiter: w, Reason: ReasonNoAdapter, RetryAfter: retryForAdapter}
-	case over:
+	case expired:
 		return &Decision{Waiter: w, Reason: ReasonTimeout, RetryAfter: retryWhenFull}
 	}
 	return nil
 }
 
-// Decline takes the leader's word that an adapter can't be loaded before the requests give
-// up for which it was asked. They are refused at the next decision, unless an engine has it.
-// Those that have come since, and wait for longer, ask anew.
+// Decline applies the leader's decision that an adapter can't be loaded by the deadline of the
+// load request. Requests with that deadline or an earlier one are refused at the next decision,
+// unless an engine has the adapter. Later requests that wait for longer cause a new load
+// request.
 func (b *Balancer) Decline(adapter string) {
-	last := b.wanted[adapter]
+	last := b.requestedLoads[adapter]
 	for _, w := range b.queue {
 		if w.Adapter == adapter && !w.Deadline.After(last.until) {
 			w.declined = true
 		}
 	}
-	delete(b.wanted, adapter)
+	delete(b.requestedLoads, adapter)
 }
 
-// spread returns a time around d, so that callers who were refused together do not come
-// back together.
+// spread returns a random time around d, so that callers that were refused together do not
+// retry together.
 func (b *Balancer) spread(d time.Duration) time.Duration {
 	return d/2 + time.Duration(b.float64()*float64(d))
 }
@@ -377,38 +381,39 @@
 
 // Retry times of refused callers.
 const (
-	// retryWhenDeclined is about the time in which engines that were lost are back: a load
-	// of their base model.
+	// retryWhenDeclined is about the time until lost engines are back: a load of their base
+	// model.
 	retryWhenDeclined = time.Second
-	// retryWithoutBackend is about the time in which a restarted one announces itself.
+	// retryWithoutBackend is about the time until a restarted backend server announces itself.
 	retryWithoutBackend = 500 * time.Millisecond
-	// retryWhenFull is about the time of one short answer.
+	// retryWhenFull is about the duration of a short answer.
 	retryWhenFull = 300 * time.Millisecond
 	// retryForAdapter is about the time of a load from the weight store.
 	retryForAdapter = 300 * time.Millisecond
 )
 
-// want asks for an adapter, unless it was asked for lately.
-func (b *Balancer) want(now time.Time, w *Waiter, candidates []*backend) *wire.Want {
-	if now.Sub(b.wanted[w.Adapter].at) < wantAgainAfter {
+// requestLoad requests a load of the adapter, unless one was requested recently.
+func (b *Balancer) requestLoad(now time.Time, w *Waiter, candidates []*backend) *wire.Want {
+	if now.Sub(b.requestedLoads[w.Adapter].at) < loadRequestInterval {
 		return nil
 	}
-	if b.wanted == nil {
-		b.wanted = map[string]asked{}
+	if b.requestedLoads == nil {
+		b.requestedLoads = map[string]requestedLoad{}
 	}
-	b.wanted[w.Adapter] = asked{at: now, until: w.Deadline}
-	want := &wire.Want{Adapter: w.Adapter, LeftMs: uint32(max(1, w.Deadline.Sub(now).Milliseconds()))}
+	b.requestedLoads[w.Adapter] = requestedLoad{at: now, until: w.Deadline}
+	pending := &wire.Want{Adapter: w.Adapter, LeftMs: uint32(max(1, w.Deadline.Sub(now).Milliseconds()))}
 	for _, k := range b.byService[w.Service] {
 		if !slices.Contains(candidates, k) {
-			want.Avoid = append(want.Avoid, k.info.GetId())
+			pending.Avoid = append(pending.Avoid, k.info.GetId())
 		}
 	}
-	return want
+	return pending
 }
 
 const (
-	// crowdedLoad is the part of its slots, and crowdedRatio the load against the mean of
-	// its peers, from which an engine is too busy to serve an adapter alone.
-	crowdedLoad  = 0.3
-	crowdedRatio = 1.6
+	// An engine is too busy to be the only one with an adapter if its load is above
+	// overloadedLoad, as a fraction of its slots, and above overloadedRatio times the mean of
+	// its peers.
+	overloadedLoad  = 0.3
+	overloadedRatio = 1.6
 )
--- a/pkg/balancer/balancer_test.go
+++ b/pkg/balancer/balancer_test.go
@@ -39,8 +39,8 @@
 
 func avoid(ids ...string) func(*Waiter) { return func(w *Waiter) { w.Avoid = ids } }
 
-// decide enqueues waiters and returns what became of each: a backend server, "refused",
-// or "waits".
+// decide enqueues waiters and returns the outcome for each: a backend server, "refused", or
+// "waits".
 func decide(b *Balancer, now time.Time, waiters ...*Waiter) map[string]string {
 	result := map[string]string{}
 	for _, w := range waiters {
@@ -79,14 +79,14 @@
 		at      time.Duration
 		want    string
 	}{
-		"nobody serves it":                {func(*Balancer) {}, waiter("w", func(w *Waiter) { w.Service = "t" }), 0, "refused"},
-		"all are leaving":                 {func(b *Balancer) { drain(b, "a", "b") }, waiter("w"), 0, "refused"},
-		"all are full":                    {func(b *Balancer) { fill(b, "a", "b") }, waiter("w"), 0, "waits"},
-		"all are full for too long":       {func(b *Balancer) { fill(b, "a", "b") }, waiter("w"), time.Second, "refused"},
-		"the adapter is nowhere":          {func(*Balancer) {}, waiter("w", adapter("m/x")), 0, "waits"},
-		"the adapter is nowhere for long": {func(*Balancer) {}, waiter("w", adapter("m/x")), time.Second, "refused"},
-		"one is left":                     {func(b *Balancer) { drain(b, "a") }, waiter("w"), 0, "b"},
-		"one has failed it":               {func(*Balancer) {}, waiter("w", avoid("a")), 0, "b"},
+		"nobody serves it":                   {func(*Balancer) {}, waiter("w", func(w *Waiter) { w.Service = "t" }), 0, "refused"},
+		"all are draining":                   {func(b *Balancer) { drain(b, "a", "b") }, waiter("w"), 0, "refused"},
+		"all are full":                       {func(b *Balancer) { fill(b, "a", "b") }, waiter("w"), 0, "waits"},
+		"all are full for too long":          {func(b *Balancer) { fill(b, "a", "b") }, waiter("w"), time.Second, "refused"},
+		"no engine has the adapter":          {func(*Balancer) {}, waiter("w", adapter("m/x")), 0, "waits"},
+		"no engine has the adapter for long": {func(*Balancer) {}, waiter("w", adapter("m/x")), time.Second, "refused"},
+		"one is left":                        {func(b *Balancer) { drain(b, "a") }, waiter("w"), 0, "b"},
+		"one has failed it":                  {func(*Balancer) {}, waiter("w", avoid("a")), 0, "b"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -113,17 +113,17 @@
 	b.SetLoads(loads)
 }
 
-// Forty gateways hear of each other's requests only every 150 ms. They must not all send
-// to the backend server that was the least loaded when they heard.
+// Forty gateways receive each other's loads only every 150 ms. They must not all send to the
+// backend server that was the least loaded at that time.
 func TestGatewaysDoNotMeetAtOneBackend(t *testing.T) {
 	for seed := range uint64(20) {
 		c := qt.New(t)
 		random := rand.New(rand.NewPCG(seed, 1))
 		const (
-			gateways = 40
-			step     = 5 * time.Millisecond
-			news     = 150 * time.Millisecond
-			lasts    = 200 * time.Millisecond
+			gateways     = 40
+			step         = 5 * time.Millisecond
+			loadInterval = 150 * time.Millisecond
+			duration     = 200 * time.Millisecond
 		)
 		ids := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 		var all []*Balancer
@@ -145,12 +145,12 @@
 		now, peak := begin(), 0
 		for n := range 400 {
 			now = now.Add(step)
-			for len(running) > 0 && !now.Before(running[0].at.Add(lasts)) {
+			for len(running) > 0 && !now.Before(running[0].at.Add(duration)) {
 				all[running[0].by].Done(now, running[0].id, "", 0, Served)
 				running = running[1:]
 			}
-			if n%int(news/step) == 0 {
-				tellLoads(all)
+			if n%int(loadInterval/step) == 0 {
+				shareLoads(all)
 			}
 			by := n * 7 % gateways
 			id := decide(all[by], now, waiter("w", func(w *Waiter) { w.Deadline = now.Add(time.Second) }))["w"]
@@ -163,13 +163,13 @@
 			}
 			peak = max(peak, there)
 		}
-		// Five on average: a request every 5 ms that lasts 200 ms, at eight servers.
+		// The average is five: a request every 5 ms that lasts 200 ms, at eight servers.
 		c.Check(peak <= 15, qt.IsTrue, qt.Commentf("%d requests at one backend server", peak))
 	}
 }
 
-// Where owners grant slots, known loads are too old to choose by: backend servers that were busy
-// then get their part.
+// Where owners grant slots, known loads are too old to choose by: backend servers that were
+// busy at the time get their share of requests.
 func TestOldLoadsDoNotSteerRequestsForGrantedSlots(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b", "c", "d")
@@ -186,8 +186,8 @@
 	}
 }
 
-// tellLoads tells each gateway what the others have.
-func tellLoads(all []*Balancer) {
+// shareLoads sends each gateway the loads of the others.
+func shareLoads(all []*Balancer) {
 	for i, b := range all {
 		sums := map[string]uint32{}
 		for j, other := range all {
@@ -205,10 +205,10 @@
 	}
 }
 
-// After all instances were without power, controllers know versions before any backend
-// server has announced itself, and gateways hear of them first.
-func TestNewsInAnyOrder(t *testing.T) {
-	for name, news := range map[string]func(*Balancer){
+// After a power failure of all instances, controllers know versions before any backend server
+// has announced itself, and gateways receive them first.
+func TestUpdatesInAnyOrder(t *testing.T) {
+	for name, update := range map[string]func(*Balancer){
 		"a version": func(b *Balancer) {
 			b.SetVersion(&wire.AdapterVersion{Model: "m", Adapter: "a", Version: 2})
 		},
@@ -225,29 +225,29 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := &Balancer{Zone: "z"}
-			news(b)
+			update(b)
 			qt.New(t).Check(b.Ready(), qt.IsFalse)
 		})
 	}
 }
 
-// A backend server whose request limit has no room is passed over, and a request that nobody
-// else can serve is refused at once if there will be none in time.
-func TestRequestLimitsHoldRequestsBack(t *testing.T) {
+// A backend server whose request limit has no room is skipped, and a request that no other can
+// serve is refused at once if there will be no room in time.
+func TestPausedBackendsAreSkipped(t *testing.T) {
 	soon, late := 100*time.Millisecond, 2*time.Second
 	for name, test := range map[string]struct {
-		paused map[string]time.Duration
-		w      *Waiter
-		at     time.Duration
-		want   string
-		other  bool
+		paused      map[string]time.Duration
+		w           *Waiter
+		at          time.Duration
+		want        string
+		alternative bool
 	}{
-		"another has room":       {map[string]time.Duration{"a": late}, waiter("w"), 0, "b", true},
-		"all, but not for long":  {map[string]time.Duration{"a": late, "b": soon}, waiter("w"), 0, "waits", false},
-		"the pause is over":      {map[string]time.Duration{"a": late, "b": soon}, waiter("w"), soon, "b", true},
-		"all for too long":       {map[string]time.Duration{"a": late, "b": late}, waiter("w"), 0, "refused", false},
-		"the holder, not others": {map[string]time.Duration{"a": late}, waiter("w", adapter("m/x")), 0, "waits", false},
-		"an idle slot is given":  {map[string]time.Duration{"a": late}, waiter("w", func(w *Waiter) { w.UsesSlotGrants = true }), 0, "b", true},
+		"another has room":        {map[string]time.Duration{"a": late}, waiter("w"), 0, "b", true},
+		"all, but not for long":   {map[string]time.Duration{"a": late, "b": soon}, waiter("w"), 0, "waits", false},
+		"the pause is over":       {map[string]time.Duration{"a": late, "b": soon}, waiter("w"), soon, "b", true},
+		"all for too long":        {map[string]time.Duration{"a": late, "b": late}, waiter("w"), 0, "refused", false},
+		"the holder, not others":  {map[string]time.Duration{"a": late}, waiter("w", adapter("m/x")), 0, "waits", false},
+		"an idle slot is granted": {map[string]time.Duration{"a": late}, waiter("w", func(w *Waiter) { w.UsesSlotGrants = true }), 0, "b", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -257,21 +257,21 @@
 				b.Pause(id, begin().Add(pause))
 			}
 			now := begin().Add(test.at)
-			c.Check(b.HasAlternative(now, test.w, "a"), qt.Equals, test.other)
+			c.Check(b.HasAlternative(now, test.w, "a"), qt.Equals, test.alternative)
 			c.Check(decide(b, now, test.w)["w"], qt.Equals, test.want)
 		})
 	}
 }
 
-// The leader is not asked to load an adapter where the request limit has no room.
-func TestCopiesAreWantedWhereThereIsRoom(t *testing.T) {
+// No load is requested on engines whose request limit has no room.
+func TestReplicasAreRequestedWhereThereIsRoom(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b", "d")
 	b.SetLoadedAdapters(1, &wire.Holding{Backend: "a", Adapters: []string{"m/x@1"}})
 	b.Pause("a", begin().Add(time.Second))
 	b.Pause("b", begin().Add(time.Second))
 	b.Enqueue(waiter("w", adapter("m/x")))
-	_, wants := b.Next(begin())
-	c.Assert(wants, qt.HasLen, 1)
-	c.Check(wants[0].GetAvoid(), qt.ContentEquals, []string{"a", "b"})
+	_, pendingLoads := b.Next(begin())
+	c.Assert(pendingLoads, qt.HasLen, 1)
+	c.Check(pendingLoads[0].GetAvoid(), qt.ContentEquals, []string{"a", "b"})
 }
--- a/pkg/balancer/chooser.go
+++ b/pkg/balancer/chooser.go
@@ -8,144 +8,145 @@
 	"bronzelead.example/pkg/ablator"
 )
 
-// choose returns the backend server to send to, or nil, and those that could serve the
-// request if they had room.
+// choose returns the backend server to send to, or nil, and those that could serve the request
+// if they had room.
 func (b *Balancer) choose(now time.Time, w *Waiter, c candidates) (best *backend, holders []*backend) {
-	for _, list := range [][]*backend{c.preferred, c.tried, c.suspects} {
-		able := b.able(now, list, w.Adapter)
-		if best := b.best(now, able, w.UsesSlotGrants); best != nil {
-			return best, append(holders, able...)
+	for _, list := range [][]*backend{c.preferred, c.alreadyTried, c.suspected} {
+		eligible := b.eligible(now, list, w.Adapter)
+		if best := b.pick(now, eligible, w.UsesSlotGrants); best != nil {
+			return best, append(holders, eligible...)
 		}
-		holders = append(holders, able...)
-		if len(holders) > 0 && len(c.suspects) == 0 && !b.Off.Has(ablator.FullHolder) {
-			// It has its places full; that is no reason to go where a try has failed.
+		holders = append(holders, eligible...)
+		if len(holders) > 0 && len(c.suspected) == 0 && !b.Off.Has(ablator.FullHolder) {
+			// A holder without room is no reason to use one where an attempt has failed.
 			return nil, holders
 		}
 	}
 	return nil, holders
 }
 
-// candidates are the backend servers that may get a request, full or not, in the order in
-// which they are asked.
+// candidates are the backend servers that may get a request, full or not, in the order in which
+// they are considered.
 type candidates struct {
 	preferred []*backend
-	// tried have failed this request, but nothing else speaks against them. With the only
-	// engine that holds an adapter among them, a repeat there is better than a load.
-	tried []*backend
-	// suspects are used while the others are full and few: when most seem to have failed,
-	// the fault may be nearer than they are.
-	suspects []*backend
+	// alreadyTried have failed this request, but are healthy otherwise. If the only engine that
+	// holds an adapter is among them, a retry there is better than a load.
+	alreadyTried []*backend
+	// suspected are used only while the healthy ones are full and a minority: when most appear
+	// to fail, the fault may be on the gateway's side.
+	suspected []*backend
 }
 
 func (b *Balancer) candidates(now time.Time, w *Waiter) candidates {
 	var c candidates
 	for _, k := range b.byService[w.Service] {
 		switch {
-		case !k.open():
+		case !k.accepting():
 		case k.silent(now), k.ejected(now) && !b.Off.Has(ablator.Ejection):
-			c.suspects = append(c.suspects, k)
+			c.suspected = append(c.suspected, k)
 		case slices.Contains(w.Avoid, k.info.GetId()):
-			c.tried = append(c.tried, k)
+			c.alreadyTried = append(c.alreadyTried, k)
 		default:
 			c.preferred = append(c.preferred, k)
 		}
 	}
-	sound := len(c.preferred) + len(c.tried)
-	if sound*maxEjectedShare >= sound+len(c.suspects) {
-		c.suspects = nil
+	healthy := len(c.preferred) + len(c.alreadyTried)
+	if healthy*minInUseDivisor >= healthy+len(c.suspected) {
+		c.suspected = nil
 	}
 	return c
 }
 
-// able returns those that have what a request needs: its adapter, or the base model.
-func (b *Balancer) able(now time.Time, list []*backend, adapter string) []*backend {
+// eligible returns those that have what a request needs: its adapter, or the base model.
+func (b *Balancer) eligible(now time.Time, list []*backend, adapter string) []*backend {
 	if adapter == "" {
 		return withModel(now, list)
 	}
-	return b.holding(now, list, adapter)
+	return b.withAdapter(now, list, adapter)
 }
 
-// withModel returns those that have not said just now that they lack their base model.
+// withModel returns those that have not recently reported their base model as absent.
 func withModel(now time.Time, from []*backend) []*backend {
-	return slices.DeleteFunc(slices.Clone(from), func(k *backend) bool { return now.Before(k.absent[""]) })
+	return slices.DeleteFunc(slices.Clone(from), func(k *backend) bool { return now.Before(k.absentUntil[""]) })
 }
 
-// holding returns those that have the adapter in the wanted version.
-func (b *Balancer) holding(now time.Time, from []*backend, adapter string) []*backend {
+// withAdapter returns those that hold the adapter in the required version.
+func (b *Balancer) withAdapter(now time.Time, from []*backend, adapter string) []*backend {
 	version := b.versions[adapter]
 	var holders []*backend
 	for _, k := range from {
-		held, ok := k.holds[adapter]
-		if ok && (version == 0 || held >= version) && !now.Before(k.absent[adapter]) {
+		held, ok := k.adapters[adapter]
+		if ok && (version == 0 || held >= version) && !now.Before(k.absentUntil[adapter]) {
 			holders = append(holders, k)
 		}
 	}
 	return holders
 }
 
-// best returns the less loaded of two that are picked at random among those with room, or
-// nil. What is known of the other gateways' requests is up to a few hundred milliseconds
-// old: if all took the least loaded, they would meet there.
-func (b *Balancer) best(now time.Time, from []*backend, dispensed bool) *backend {
-	able := make([]*backend, 0, len(from))
+// pick returns the better scored of two random backend servers with room, or nil. The known
+// loads of the other gateways are up to a few hundred milliseconds old: if all gateways chose
+// the least loaded backend server, their requests would collide there.
+func (b *Balancer) pick(now time.Time, from []*backend, usesSlotGrants bool) *backend {
+	available := make([]*backend, 0, len(from))
 	for _, k := range from {
-		if !k.paused(now) && (dispensed || !now.Before(k.fullUntil) && k.hasRoom()) {
-			able = append(able, k)
+		if !k.paused(now) && (usesSlotGrants || !now.Before(k.fullUntil) && k.hasRoom()) {
+			available = append(available, k)
 		}
 	}
-	if len(able) == 0 {
+	if len(available) == 0 {
 		return nil
 	}
 	score := b.score
-	if dispensed {
-		score = b.scoreDispensed
+	if usesSlotGrants {
+		score = b.scoreForSlotGrant
 	}
 	if b.Off.Has(ablator.TwoChoices) {
-		return slices.MinFunc(able, func(one, other *backend) int { return cmp.Compare(score(now, one), score(now, other)) })
+		return slices.MinFunc(available, func(one, other *backend) int { return cmp.Compare(score(now, one), score(now, other)) })
 	}
-	first := b.intN(len(able))
-	best := able[first]
-	if len(able) == 1 {
+	first := b.intN(len(available))
+	best := available[first]
+	if len(available) == 1 {
 		return best
 	}
-	other := able[(first+1+b.intN(len(able)-1))%len(able)]
+	other := available[(first+1+b.intN(len(available)-1))%len(available)]
 	if score(now, other) < score(now, best) {
 		return other
 	}
 	return best
 }
 
-// score is the load of a backend server with what else speaks against it.
+// score returns the load of a backend server plus the penalties for failures, unread prompts
+// and another zone.
 func (b *Balancer) score(now time.Time, k *backend) float64 {
-	score := k.load() + k.failing(now)*failurePenalty + b.float64()*jitter
-	score += float64(k.reading(now)) / float64(fullReading)
+	score := k.load() + k.currentFailureRate(now)*failurePenalty + b.float64()*jitter
+	score += float64(k.remainingBacklog(now)) / float64(fullBacklog)
 	if k.info.GetZone() != b.Zone && !b.Off.Has(ablator.ZonePenalty) {
 		score += zonePenalty
 	}
 	return score
 }
 
-// scoreDispensed is the score of a backend server whose slots its owner grants. The known loads
-// are older than the time of a request: by them all gateways would choose the same backend
-// servers while slots of others are idle.
-func (b *Balancer) scoreDispensed(now time.Time, k *backend) float64 {
-	return k.failing(now)*failurePenalty + b.float64()*jitter
+// scoreForSlotGrant is the score of a backend server whose slots are granted by an owner. The
+// known loads are older than a request takes: with them, all gateways would choose the same
+// backend servers while slots of others are idle.
+func (b *Balancer) scoreForSlotGrant(now time.Time, k *backend) float64 {
+	return k.currentFailureRate(now)*failurePenalty + b.float64()*jitter
 }
 
 const (
-	// contendedLoad is the part of a service's slots that are taken from which its backend
-	// servers' slots are given out: below, requests rarely meet.
+	// contendedLoad is the fraction of a service's slots in use from which its backend servers'
+	// slots are granted by owners: below it, requests rarely collide.
 	contendedLoad = 0.55
-	// contendedFor is how long a service counts as contended after that.
-	contendedFor = 2 * time.Second
+	// contendedDuration is how long a service counts as contended after that.
+	contendedDuration = 2 * time.Second
 )
 
-// Contended reports whether gateways have so much work for the backend servers of a service
-// that they would meet there.
+// Contended reports whether gateways send so much work to the backend servers of a service that
+// their requests would collide.
 func (b *Balancer) Contended(now time.Time, service string) bool {
 	taken, slots := 0.0, 0.0
 	for _, k := range b.byService[service] {
-		if k.open() && !k.silent(now) && !k.ejected(now) {
+		if k.accepting() && !k.silent(now) && !k.ejected(now) {
 			taken += min(k.own+k.others, k.slots())
 			slots += k.slots()
 		}
@@ -157,17 +158,17 @@
 		b.contended[service] = now
 	}
 	at, ok := b.contended[service]
-	return ok && now.Sub(at) < contendedFor
+	return ok && now.Sub(at) < contendedDuration
 }
 
-// crowded reports whether the holder of an adapter that was chosen is much busier than the
-// engines on the whole. If all are busy, a further copy would help nobody.
-func (b *Balancer) crowded(best *backend, peers []*backend) bool {
+// overloaded reports whether the chosen holder of an adapter is much busier than the engines on
+// average. If all are busy, another replica would not help.
+func (b *Balancer) overloaded(best *backend, peers []*backend) bool {
 	sum := 0.0
 	for _, k := range peers {
 		sum += k.load()
 	}
-	return best.load() > crowdedLoad && best.load()*float64(len(peers)) > crowdedRatio*sum
+	return best.load() > overloadedLoad && best.load()*float64(len(peers)) > overloadedRatio*sum
 }
 
 // without returns the backend servers of a list that are not in another.
@@ -175,18 +176,18 @@
 	return slices.DeleteFunc(slices.Clone(list), func(k *backend) bool { return slices.Contains(others, k) })
 }
 
-// HasAlternative reports whether a request could go to another backend server than the one with an
-// id at once.
+// HasAlternative reports whether a request could be sent at once to a backend server other than
+// the one with the id.
 func (b *Balancer) HasAlternative(now time.Time, w *Waiter, id string) bool {
-	able := b.able(now, b.candidates(now, w).preferred, w.Adapter)
-	return slices.ContainsFunc(able, func(k *backend) bool {
+	eligible := b.eligible(now, b.candidates(now, w).preferred, w.Adapter)
+	return slices.ContainsFunc(eligible, func(k *backend) bool {
 		return k.info.GetId() != id && !k.paused(now) && (w.UsesSlotGrants || !now.Before(k.fullUntil) && k.hasRoom())
 	})
 }
 
-// roomAgain returns when the first of some backend servers has room in its request limit
-// again, and false if one of them is not held back by its limit.
-func roomAgain(now time.Time, list []*backend) (time.Time, bool) {
+// earliestPauseEnd returns when the first of the backend servers has room in its request limit
+// again, and false if one of them is not paused.
+func earliestPauseEnd(now time.Time, list []*backend) (time.Time, bool) {
 	var first time.Time
 	for _, k := range list {
 		if !k.paused(now) {
@@ -199,7 +200,7 @@
 	return first, len(list) > 0
 }
 
-// unpaused returns the backend servers of a list whose request limits do not hold them back,
+// unpaused returns the backend servers of a list that are not paused by their request limits,
 // or all if there are none.
 func unpaused(now time.Time, list []*backend) []*backend {
 	rest := slices.DeleteFunc(slices.Clone(list), func(k *backend) bool { return k.paused(now) })
--- a/pkg/balancer/failures_test.go
+++ b/pkg/balancer/failures_test.go
@@ -10,9 +10,9 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// A backend server that fails part of its requests while it looks healthy gets fewer,
-// and gets them back once it has recovered.
-func TestFailingBackendsAreLeftOutForAWhile(t *testing.T) {
+// A backend server that fails part of its requests while it appears healthy gets fewer, and its
+// full share again once it has recovered.
+func TestFailingBackendsAreEjectedTemporarily(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b", "c", "d")
 	now := begin()
@@ -33,15 +33,15 @@
 		}
 		return float64(bad) / float64(total)
 	}
-	grey := share(func(id string, n int) bool { return id == "a" && n%5 < 2 })
-	c.Check(grey < 0.15, qt.IsTrue, qt.Commentf("%v of the requests", grey))
+	failing := share(func(id string, n int) bool { return id == "a" && n%5 < 2 })
+	c.Check(failing < 0.15, qt.IsTrue, qt.Commentf("%v of the requests", failing))
 	share(func(string, int) bool { return false })
-	healed := share(func(string, int) bool { return false })
-	c.Check(healed > 0.15, qt.IsTrue, qt.Commentf("%v of the requests", healed))
+	recovered := share(func(string, int) bool { return false })
+	c.Check(recovered > 0.15, qt.IsTrue, qt.Commentf("%v of the requests", recovered))
 }
 
-// When all fail, none is left out: the fault may be nearer than they are.
-func TestNotAllAreLeftOut(t *testing.T) {
+// When all fail, none is ejected: the fault may be on the gateway's side.
+func TestNotAllBackendsAreEjected(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b")
 	b.Done(begin(), "a", "", 0, Unreachable)
@@ -49,7 +49,7 @@
 	c.Check(decide(b, begin(), waiter("w"))["w"], qt.Not(qt.Equals), "waits")
 }
 
-// Silent ones are used only as long as answers come from them.
+// Silent backend servers are used only as long as they answer.
 func TestSilentBackends(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b")
@@ -63,9 +63,9 @@
 	}
 }
 
-// Two of three servers fail all that they get, and the third has room for everything:
-// almost nothing is sent to the two, though they are more than half of the service.
-func TestSoundBackendsWithRoomComeFirst(t *testing.T) {
+// Two of three servers fail all requests, and the third has room for everything: almost nothing
+// is sent to the two, though they are more than half of the service.
+func TestHealthyBackendsWithRoomComeFirst(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b", "c")
 	now := begin()
@@ -88,8 +88,9 @@
 	c.Check(failed < 15, qt.IsTrue, qt.Commentf("%d of 200", failed))
 }
 
-// While the sound ones are full and few, the others are used: the fault may be nearer.
-func TestSuspectsHelpWhenTheSoundAreFull(t *testing.T) {
+// While the healthy backend servers are full and a minority, the suspected ones are used: the
+// fault may be on the gateway's side.
+func TestSuspectedBackendsServeWhenHealthyOnesAreFull(t *testing.T) {
 	c := qt.New(t)
 	b := newBalancer("a", "b", "c")
 	b.Done(begin(), "a", "", 0, Unreachable)
@@ -103,14 +104,14 @@
 	c.Check(result["waits"], qt.Equals, 0)
 }
 
-// Slots of backend servers that refuse connections are not free: half a service with all of its
-// slots taken is contended.
+// Slots of backend servers that refuse connections are not free: half of a service with all of
+// its slots taken is contended.
 func TestSlotsOfEjectedBackendsAreNotFree(t *testing.T) {
 	c := qt.New(t)
-	b := newBalancer("a", "b", "gone 1", "gone 2")
+	b := newBalancer("a", "b", "exited 1", "exited 2")
 	b.SetLoads([]*wire.Load{{Backend: "a", Requests: 4}, {Backend: "b", Requests: 4}})
 	c.Check(b.Contended(begin(), "s"), qt.IsFalse)
-	for _, id := range []string{"gone 1", "gone 2"} {
+	for _, id := range []string{"exited 1", "exited 2"} {
 		b.Done(begin(), id, "", 0, Unreachable)
 	}
 	c.Check(b.Contended(begin(), "s"), qt.IsTrue)
