--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -68,7 +68,7 @@
 	grantLater func(at time.Time)
 	pacer      pacer.Pacer
 	// dispenser gives out the slots of a plain service's backend server.
-	dispenser slotgranter.Dispenser
+	dispenser slotgranter.Granter
 	// waiting are the channels on which the asks that wait hear whether they are granted.
 	waiting map[string]chan bool
 	askedAt time.Time
@@ -94,8 +94,8 @@
 }
 
 // slot returns what the dispenser is asked for a request of a plain service.
-func (p *Prompt) slot() slotgranter.Ask {
-	return slotgranter.Ask{Key: p.Key, Urgency: p.Urgency, InTimeUntil: p.OnTimeUntil, GiveUp: p.Deadline, Slots: p.Slots, Elsewhere: p.HasAlternative}
+func (p *Prompt) slot() slotgranter.GrantRequest {
+	return slotgranter.GrantRequest{Key: p.Key, Urgency: p.Urgency, OnTimeUntil: p.OnTimeUntil, Deadline: p.Deadline, Slots: p.Slots, HasAlternative: p.HasAlternative}
 }
 
 // Result is what became of an ask.
@@ -189,7 +189,7 @@
 	}
 	r.Log.Info("slots granted", "Backend", backend, "Granted", s.Granted, "GrantedLate", s.Late, "Refused", s.Refused,
 		"Slow", s.Slow, "Evicted", s.Evicted, "Withdrawn", s.Withdrawn, "Expired", s.Expired, "Waiting", s.Waiting, "Running", s.Running,
-		"ServiceUs", s.Service.Microseconds())
+		"ServiceUs", s.ServiceTime.Microseconds())
 }
 
 // Acquire waits until the prompt may be sent, or for a time at most.
@@ -297,7 +297,7 @@
 		return
 	}
 	now := r.Clock.Now()
-	e.dispenser.End(now, key, read)
+	e.dispenser.Release(now, key, read)
 	if read {
 		e.pacer.Read(now, key)
 	} else {
--- a/pkg/slotgranter/fleet_test.go
+++ b/pkg/slotgranter/fleet_test.go
@@ -20,21 +20,23 @@
 	retryTime = 250 * ms
 	slots     = 6
 	queue     = 24
-	// hop is the time of a message between two instances.
+	// hop is the latency of a message between two instances.
 	hop      = ms
 	meanWork = 30 * ms
-	// safeShare is the share of the requests that may run twice, of which failShare fail in a run.
-	safeShare, failShare = 0.18, 0.14
-	// keptShare is the share of first tries that come over connections that callers keep.
-	keptShare = 0.85
-	newsEvery = 50 * ms
-	// maxAsks is how many owners are asked for a slot by one try.
-	maxAsks = 2
-	// maxSlow is how many more are asked because others are too slow.
+	// idempotentShare is the share of requests that may run twice, of which failShare fail in a
+	// run.
+	idempotentShare, failShare = 0.18, 0.14
+	// reusedShare is the share of first attempts over connections that callers keep open.
+	reusedShare  = 0.85
+	loadInterval = 50 * ms
+	// maxGrantRequests is how many owners one attempt requests a slot from.
+	maxGrantRequests = 2
+	// maxSlow is how many more are tried because others are too slow.
 	maxSlow = 2
 )
 
-// fleet is a plain service behind many gateways, with their real decisions, in virtual time.
+// fleet simulates a plain service behind many gateways, with their real decisions, in virtual
+// time.
 type fleet struct {
 	random   *rand.Rand
 	now      time.Time
@@ -42,51 +44,51 @@
 	order    int
 	gateways []*gateway
 	servers  []*server
-	// newsAge is how old the loads of other gateways are by which a gateway chooses.
-	newsAge time.Duration
-	past    []map[string]int
-	results map[int]*result
-	begun   time.Time
+	// loadAge is the age of the other gateways' loads that a gateway chooses by.
+	loadAge   time.Duration
+	past      []map[string]int
+	results   map[int]*result
+	startedAt time.Time
 }
 
-// result is what became of the requests that were first sent within one second, by class: those
-// that may run once, and those that may run twice.
-type result struct{ asked, inTime [2]int }
+// result counts the requests that were first sent within one second, by class: those that may
+// run once, and those that may run twice.
+type result struct{ sent, onTime [2]int }
 
 type gateway struct {
 	balancer  *balancer.Balancer
-	backdater ageestimator.Estimator
+	estimator ageestimator.Estimator
 }
 
 type server struct {
-	id        string
-	dispenser slotgranter.Dispenser
-	running   int
-	queued    []func()
-	slowness  float64
-	gone      bool
-	grant     map[string]func(bool)
+	id       string
+	granter  slotgranter.Granter
+	running  int
+	queued   []func()
+	slowness float64
+	removed  bool
+	grant    map[string]func(bool)
 }
 
-// request is what one caller wants, through its tries.
+// request is a request of one caller, with all its attempts.
 type request struct {
-	first    time.Time
-	patience time.Duration
-	safe     bool
-	retries  int
+	first         time.Time
+	clientTimeout time.Duration
+	idempotent    bool
+	retries       int
 }
 
-// try is one try of a request at one gateway.
-type try struct {
+// attempt is one attempt of a request at one gateway.
+type attempt struct {
 	*request
-	gateway  *gateway
-	received time.Time
-	asked    time.Time
-	avoid    []string
-	asks     int
-	slow     int
-	runs     int
-	key      string
+	gateway       *gateway
+	received      time.Time
+	sentAt        time.Time
+	avoid         []string
+	grantRequests int
+	slow          int
+	runs          int
+	key           string
 }
 
 type event struct {
@@ -112,20 +114,20 @@
 	return last
 }
 
-func newFleet(seed uint64, gateways, servers int, newsAge time.Duration) *fleet {
-	begun := time.Unix(1e9, 0)
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), now: begun, begun: begun, newsAge: newsAge, results: map[int]*result{}}
+func newFleet(seed uint64, gateways, servers int, loadAge time.Duration) *fleet {
+	startedAt := time.Unix(1e9, 0)
+	f := &fleet{random: rand.New(rand.NewPCG(seed, 1)), now: startedAt, startedAt: startedAt, loadAge: loadAge, results: map[int]*result{}}
 	for i := range servers {
 		f.servers = append(f.servers, &server{id: fmt.Sprint("b", i), slowness: 1, grant: map[string]func(bool){}})
 	}
 	for range gateways {
 		g := &gateway{balancer: &balancer.Balancer{Zone: "z", Rand: f.random}}
 		for _, s := range f.servers {
-			g.balancer.UpdateBackend(begun, &wire.Announcement{Id: s.id, Service: "s", Address: s.id, Zone: "z", Slots: slots, Sequence: 1})
+			g.balancer.UpdateBackend(startedAt, &wire.Announcement{Id: s.id, Service: "s", Address: s.id, Zone: "z", Slots: slots, Sequence: 1})
 		}
 		f.gateways = append(f.gateways, g)
 	}
-	f.tellLoads()
+	f.shareLoads()
 	return f
 }
 
@@ -134,8 +136,8 @@
 	heap.Push(&f.events, event{at: f.now.Add(d), order: f.order, run: run})
 }
 
-// tellLoads tells each gateway what the others had under way a while ago.
-func (f *fleet) tellLoads() {
+// shareLoads sends each gateway the loads of the others as of a while ago.
+func (f *fleet) shareLoads() {
 	sum := map[string]int{}
 	for _, g := range f.gateways {
 		for _, l := range g.balancer.Loads() {
@@ -143,7 +145,7 @@
 		}
 	}
 	f.past = append(f.past, sum)
-	if age := int(f.newsAge / newsEvery); len(f.past) > age {
+	if age := int(f.loadAge / loadInterval); len(f.past) > age {
 		old := f.past[len(f.past)-1-age]
 		for _, g := range f.gateways {
 			own := map[string]int{}
@@ -157,11 +159,10 @@
 			g.balancer.SetLoads(loads)
 		}
 	}
-	f.after(newsEvery, f.tellLoads)
+	f.after(loadInterval, f.shareLoads)
 }
 
-// load lets callers send requests for a time, at a share of what all backend servers that were
-// there at first can run.
+// load sends requests for a time, at a share of the capacity of the given number of servers.
 func (f *fleet) load(d time.Duration, share float64, servers int) {
 	perSecond := share * float64(servers*slots) / meanWork.Seconds()
 	end := f.now.Add(d)
@@ -186,48 +187,48 @@
 }
 
 func (f *fleet) arrive() {
-	r := &request{first: f.now, patience: 1275*ms + time.Duration(f.random.Int64N(int64(225*ms))), safe: f.random.Float64() < safeShare}
-	f.result(r).asked[r.class()]++
-	f.send(r, f.random.Float64() < keptShare)
+	r := &request{first: f.now, clientTimeout: 1275*ms + time.Duration(f.random.Int64N(int64(225*ms))), idempotent: f.random.Float64() < idempotentShare}
+	f.result(r).sent[r.class()]++
+	f.send(r, f.random.Float64() < reusedShare)
 }
 
 func (r *request) class() int {
-	if r.safe {
+	if r.idempotent {
 		return 1
 	}
 	return 0
 }
 
 func (f *fleet) result(r *request) *result {
-	second := int(r.first.Sub(f.begun) / time.Second)
+	second := int(r.first.Sub(f.startedAt) / time.Second)
 	if f.results[second] == nil {
 		f.results[second] = &result{}
 	}
 	return f.results[second]
 }
 
-// send is one try of a caller.
+// send makes one attempt of a caller.
 func (f *fleet) send(r *request, reused bool) {
 	g := f.gateways[f.random.IntN(len(f.gateways))]
-	left := r.patience - f.now.Sub(r.first)
+	left := r.clientTimeout - f.now.Sub(r.first)
 	f.order++
-	t := &try{request: r, gateway: g, received: f.now, asked: f.now, key: fmt.Sprint(f.order)}
+	t := &attempt{request: r, gateway: g, received: f.now, sentAt: f.now, key: fmt.Sprint(f.order)}
 	if reused {
-		g.backdater.Observe(left)
+		g.estimator.Observe(left)
 	} else {
-		t.asked = f.now.Add(-g.backdater.Age(left))
+		t.sentAt = f.now.Add(-g.estimator.Age(left))
 	}
 	f.choose(t)
 }
 
-func (f *fleet) choose(t *try) {
-	dispensed := t.gateway.balancer.Contended(f.now, "s")
-	w := &balancer.Waiter{ID: t.key, Service: "s", Deadline: t.received.Add(timeout), Avoid: t.avoid, UsesSlotGrants: dispensed}
+func (f *fleet) choose(t *attempt) {
+	usesSlotGrants := t.gateway.balancer.Contended(f.now, "s")
+	w := &balancer.Waiter{ID: t.key, Service: "s", Deadline: t.received.Add(timeout), Avoid: t.avoid, UsesSlotGrants: usesSlotGrants}
 	t.gateway.balancer.Enqueue(w)
 	f.decide(t, w)
 }
 
-func (f *fleet) decide(t *try, w *balancer.Waiter) {
+func (f *fleet) decide(t *attempt, w *balancer.Waiter) {
 	decisions, _ := t.gateway.balancer.Next(f.now)
 	for _, d := range decisions {
 		if d.Waiter != w {
@@ -239,13 +240,14 @@
 		}
 		s := f.server(d.Backend.GetId())
 		if w.UsesSlotGrants {
-			f.after(hop, func() { f.ask(t, s) })
+			f.after(hop, func() { f.requestSlot(t, s) })
 			return
 		}
 		f.after(hop, func() { f.reach(t, s) })
 		return
 	}
-	// Alone in the queue of its gateway, or nearly: it is looked at again as by the pump.
+	// The request is alone in its gateway's queue, or nearly: it is decided on again after a
+	// while, as the pump would do.
 	t.gateway.balancer.Cancel(w)
 	f.after(20*ms, func() {
 		t.gateway.balancer.Enqueue(w)
@@ -262,14 +264,14 @@
 	return nil
 }
 
-// ask asks the owner of a backend server for a slot.
-func (f *fleet) ask(t *try, s *server) {
+// requestSlot requests a slot from the owner of a backend server.
+func (f *fleet) requestSlot(t *attempt, s *server) {
 	key := fmt.Sprint(t.key, "/", len(t.avoid), "/", t.runs)
-	ask := slotgranter.Ask{Key: key, InTimeUntil: t.asked.Add(objective), GiveUp: t.received.Add(timeout), Slots: slots}
-	ask.Elsewhere = t.slow < maxSlow && f.now.Before(t.asked.Add(objective)) &&
+	grantRequest := slotgranter.GrantRequest{Key: key, OnTimeUntil: t.sentAt.Add(objective), Deadline: t.received.Add(timeout), Slots: slots}
+	grantRequest.HasAlternative = t.slow < maxSlow && f.now.Before(t.sentAt.Add(objective)) &&
 		t.gateway.balancer.HasAlternative(f.now, &balancer.Waiter{Service: "s", Avoid: t.avoid, UsesSlotGrants: true}, s.id)
-	if !s.dispenser.Add(f.now, ask) {
-		slow := ask.Elsewhere && s.dispenser.TooSlow(f.now, ask)
+	if !s.granter.Add(f.now, grantRequest) {
+		slow := grantRequest.HasAlternative && s.granter.TooSlow(f.now, grantRequest)
 		f.after(hop, func() { f.noSlot(t, s, slow) })
 		return
 	}
@@ -284,7 +286,7 @@
 		})
 	}
 	f.after(max(0, t.received.Add(timeout).Sub(f.now)), func() {
-		if s.dispenser.Withdraw(key) {
+		if s.granter.Withdraw(key) {
 			delete(s.grant, key)
 			f.noSlot(t, s, false)
 		}
@@ -293,54 +295,54 @@
 }
 
 func (f *fleet) grant(s *server) {
-	tell := func(asks []slotgranter.Ask, granted bool) {
-		for _, a := range asks {
-			told := s.grant[a.Key]
+	notify := func(requests []slotgranter.GrantRequest, granted bool) {
+		for _, a := range requests {
+			callback := s.grant[a.Key]
 			delete(s.grant, a.Key)
-			told(granted)
+			callback(granted)
 		}
 	}
-	tell(s.dispenser.Evict(f.now), false)
-	tell(s.dispenser.Next(f.now), true)
+	notify(s.granter.Evict(f.now), false)
+	notify(s.granter.Next(f.now), true)
 }
 
-func (f *fleet) noSlot(t *try, s *server, slow bool) {
+func (f *fleet) noSlot(t *attempt, s *server, slow bool) {
 	t.gateway.balancer.Done(f.now, s.id, "", 0, balancer.Abandoned)
 	t.avoid = append(t.avoid, s.id)
 	if slow {
 		t.slow++
 	} else {
-		t.asks++
+		t.grantRequests++
 	}
-	if t.asks < maxAsks {
+	if t.grantRequests < maxGrantRequests {
 		f.choose(t)
 		return
 	}
 	f.refuse(t)
 }
 
-// reach lets a try come to a backend server.
-func (f *fleet) reach(t *try, s *server) {
+// reach delivers an attempt to a backend server.
+func (f *fleet) reach(t *attempt, s *server) {
 	switch {
-	case s.gone:
-		f.after(hop, func() { f.end(t, s, balancer.Unreachable, false) })
+	case s.removed:
+		f.after(hop, func() { f.complete(t, s, balancer.Unreachable, false) })
 	case s.running < slots:
 		f.run(t, s)
 	case len(s.queued) < queue:
 		s.queued = append(s.queued, func() { f.run(t, s) })
 	default:
-		f.after(hop, func() { f.end(t, s, balancer.Full, false) })
+		f.after(hop, func() { f.complete(t, s, balancer.Full, false) })
 	}
 }
 
-func (f *fleet) run(t *try, s *server) {
+func (f *fleet) run(t *attempt, s *server) {
 	s.running++
 	t.runs++
 	work := float64(meanWork) * s.slowness * math.Exp(0.5*f.random.NormFloat64()-0.125)
 	if f.random.Float64() < 0.01 {
 		work *= 5
 	}
-	fails := t.safe && f.random.Float64() < failShare
+	fails := t.idempotent && f.random.Float64() < failShare
 	f.after(time.Duration(work), func() {
 		s.running--
 		if len(s.queued) > 0 {
@@ -352,21 +354,21 @@
 		if fails {
 			outcome = balancer.Failed
 		}
-		f.after(hop, func() { f.end(t, s, outcome, true) })
+		f.after(hop, func() { f.complete(t, s, outcome, true) })
 	})
 }
 
-func (f *fleet) end(t *try, s *server, outcome balancer.Outcome, ran bool) {
+func (f *fleet) complete(t *attempt, s *server, outcome balancer.Outcome, ran bool) {
 	t.gateway.balancer.Done(f.now, s.id, "", 0, outcome)
 	key := t.key
 	f.after(hop, func() {
-		s.dispenser.End(f.now, key, ran)
+		s.granter.Release(f.now, key, ran)
 		f.grant(s)
 	})
 	switch {
 	case outcome == balancer.Served:
 		if f.now.Sub(t.first) <= objective {
-			f.result(t.request).inTime[t.class()]++
+			f.result(t.request).onTime[t.class()]++
 		}
 	case outcome == balancer.Failed && t.runs >= 2:
 		f.retry(t.request)
@@ -376,7 +378,7 @@
 	}
 }
 
-func (f *fleet) refuse(t *try) { f.retry(t.request) }
+func (f *fleet) refuse(t *attempt) { f.retry(t.request) }
 
 // retry lets a caller send its request once more.
 func (f *fleet) retry(r *request) {
