--- /dev/null
+++ b/pkg/retrylimiter/retrylimiter.go
@@ -0,0 +1,63 @@
+// Package retrylimiter limits how many requests are sent a second time. A failure that affects
+// many requests at the same time must not multiply the load on the backend servers that still
+// work. It has no side effects.
+package retrylimiter
+
+import "time"
+
+// bucketsPerWindow is the number of buckets that a window is counted in.
+const bucketsPerWindow = 10
+
+// Limiter limits the retries to one service. Set the exported fields before use.
+type Limiter struct {
+	// Window is the span over which retries are counted.
+	Window time.Duration
+	// Ratio is the fraction of the requests that may be retried.
+	Ratio float64
+
+	counts   [bucketsPerWindow + 1]count
+	position int64
+}
+
+type count struct{ requests, retries int }
+
+// RecordRequest counts a request of a caller.
+func (l *Limiter) RecordRequest(now time.Time) {
+	l.advance(now)
+	l.current().requests++
+}
+
+// AllowRetry counts a retry and returns true if the limit allows it. Slack is this gateway's
+// share of the retries that are allowed beyond the ratio.
+func (l *Limiter) AllowRetry(now time.Time, slack float64) bool {
+	l.advance(now)
+	sum := count{}
+	for i, c := range l.counts {
+		sum.retries += c.retries
+		if int64(i) != (l.position+1)%int64(len(l.counts)) {
+			// The oldest bucket may lie outside of the window: its retries count, and its
+			// requests don't.
+			sum.requests += c.requests
+		}
+	}
+	if float64(sum.retries+1) > l.Ratio*float64(sum.requests)+slack {
+		return false
+	}
+	l.current().retries++
+	return true
+}
+
+func (l *Limiter) current() *count { return &l.counts[l.position%int64(len(l.counts))] }
+
+// advance clears the buckets that are older than a window.
+func (l *Limiter) advance(now time.Time) {
+	position := now.UnixNano() / int64(l.Window/bucketsPerWindow)
+	if position-l.position > int64(len(l.counts)) {
+		l.counts = [bucketsPerWindow + 1]count{}
+		l.position = position
+	}
+	for l.position < position {
+		l.position++
+		*l.current() = count{}
+	}
+}
