--- a/pkg/retrier/retrier.go
+++ b/pkg/retrier/retrier.go
@@ -1,11 +1,11 @@
-// Package retrier says when something that failed is tried again.
+// Package retrier computes when a failed operation is tried again.
 package retrier
 
 import "time"
 
-// Backoff is a wait that doubles with each failure in a row, up to a bound.
+// Backoff is a delay that doubles with each failure in a row, up to a maximum.
 type Backoff struct {
-	// Initial is the wait after one failure, and Most the longest.
+	// Initial is the delay after one failure, and Max the longest.
 	Initial time.Duration
 	Max     time.Duration
 }
@@ -13,9 +13,9 @@
 // maxDoublings keeps the shift within the range of time.Duration.
 const maxDoublings = 16
 
-// Delay returns the time until the next try after some failures in a row. Spread is a
-// random number from 0 to 1: up to half of the wait is left away, so that what has failed
-// together is not tried again together.
+// Delay returns the time until the next attempt after a number of failures in a row. Spread is
+// a random number from 0 to 1 that shortens the delay by up to half, so that operations that
+// failed together are not retried together.
 func (b Backoff) Delay(failures int, spread float64) time.Duration {
 	if failures <= 0 {
 		return 0
