--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -299,7 +299,7 @@
 	now := r.Clock.Now()
 	e.dispenser.Release(now, key, read)
 	if read {
-		e.pacer.Read(now, key)
+		e.pacer.MarkRead(now, key)
 	} else {
 		e.pacer.Drop(key)
 	}
@@ -332,7 +332,7 @@
 
 func (e *engine) grant(now time.Time) {
 	defer func() {
-		if at := e.pacer.LookAt(); !at.IsZero() {
+		if at := e.pacer.NextCheck(); !at.IsZero() {
 			e.grantLater(at)
 		}
 	}()
--- a/pkg/pacer/need.go
+++ b/pkg/pacer/need.go
@@ -2,79 +2,81 @@
 
 import "time"
 
-// Pacing makes prompts wait, and where the places for adapters are what is short, a request
-// that waits with its adapter in a place makes others wait too: before engines that read 44
-// tokens in a ms, and whose streams hardly ever paused for long, 15% of the streams were late
-// for want of an adapter with pacing and 12% without. So prompts are paced only once streams
-// do pause for too long.
+// Pacing makes prompts wait. If adapter slots are the bottleneck, a request that waits while
+// its adapter occupies a slot delays others too: with engines that read 44 tokens per ms, whose
+// streams rarely had long pauses, 15% of the streams were late for lack of an adapter with
+// pacing and 12% without. So prompts are paced only once streams do have long pauses.
 const (
-	// pauseMemory is the weight of one stream in the share of those that paused for too long,
-	// and tooMany the share from which prompts are paced: two of the last twenty.
-	pauseMemory = 0.05
-	tooMany     = 0.08
-	// firstHold is how long prompts are paced at least, and longestHold the longest. It doubles
-	// when pauses come back within comeBack of the end. To see that they do takes a second or
-	// two of pauses, 3% of the first hold.
-	firstHold   = 60 * time.Second
-	longestHold = 10 * time.Minute
-	comeBack    = 10 * time.Second
-	// enoughOthers is how many other gateways must have seen pauses of their own, as told
-	// within heardFor, for this one to pace too: one that has just started would take seconds
-	// to see them itself, and a single one may have been mistaken.
-	enoughOthers = 2
-	heardFor     = 3 * time.Second
+	// streamWeight is the weight of one stream in the share of streams with a long pause, and
+	// activationThreshold the share from which prompts are paced: two of the last twenty.
+	streamWeight        = 0.05
+	activationThreshold = 0.08
+	// minActiveTime is the shortest time for which prompts are paced, and maxActiveTime the
+	// longest. The time doubles when long pauses recur within recurrenceWindow of the end.
+	// Detecting them takes a second or two of pauses, 3% of the shortest time.
+	minActiveTime    = 60 * time.Second
+	maxActiveTime    = 10 * time.Minute
+	recurrenceWindow = 10 * time.Second
+	// minPeers is how many other gateways must have reported long pauses of their own within
+	// peerValidity for this one to pace too: a gateway that has just started would take seconds
+	// to observe them itself, and a single one may be mistaken.
+	minPeers     = 2
+	peerValidity = 3 * time.Second
 )
 
-// Activation tells whether prompts for a service have to be paced. The zero value is ready for use.
+// Activation decides whether prompts for a service are paced. The zero value is ready for use.
 type Activation struct {
-	share float64
-	hold  time.Duration
-	until time.Time
-	// others are the gateways that have seen pauses of their own, and when they said so.
-	others map[string]time.Time
+	pausedShare float64
+	activeTime  time.Duration
+	activeUntil time.Time
+	// peers are the gateways that have observed long pauses themselves, with the time of their
+	// last report.
+	peers map[string]time.Time
 }
 
-// ObserveStream takes a stream that has paused for too long, or that has ended without.
-func (n *Activation) ObserveStream(now time.Time, paused bool) {
+// ObserveStream records a stream that had a long pause, or that ended without one.
+func (a *Activation) ObserveStream(now time.Time, paused bool) {
 	outcome := 0.0
 	if paused {
 		outcome = 1
 	}
-	n.share += pauseMemory * (outcome - n.share)
-	if n.share < tooMany {
+	a.pausedShare += streamWeight * (outcome - a.pausedShare)
+	if a.pausedShare < activationThreshold {
 		return
 	}
-	n.share = 0
+	a.pausedShare = 0
 	switch {
-	case n.hold == 0:
-		n.hold = firstHold
-	case now.Sub(n.until) < comeBack && now.After(n.until):
-		n.hold = min(2*n.hold, longestHold)
+	case a.activeTime == 0:
+		a.activeTime = minActiveTime
+	case now.Sub(a.activeUntil) < recurrenceWindow && now.After(a.activeUntil):
+		a.activeTime = min(2*a.activeTime, maxActiveTime)
 	}
-	n.until = now.Add(n.hold)
+	a.activeUntil = now.Add(a.activeTime)
 }
 
-// ObservePeer notes that another gateway paces prompts for what it has seen itself.
-func (n *Activation) ObservePeer(now time.Time, gateway string) {
-	if n.others == nil {
-		n.others = map[string]time.Time{}
+// ObservePeer records that another gateway paces prompts because of pauses that it has observed
+// itself.
+func (a *Activation) ObservePeer(now time.Time, gateway string) {
+	if a.peers == nil {
+		a.peers = map[string]time.Time{}
 	}
-	n.others[gateway] = now
+	a.peers[gateway] = now
 }
 
-// PausesObserved reports whether prompts have to be paced for what was seen here. Only this is told to
-// others, or gateways would keep each other at it for ever.
-func (n *Activation) PausesObserved(now time.Time) bool { return now.Before(n.until) }
+// PausesObserved reports whether prompts are paced because of pauses that were observed here.
+// Only this is reported to other gateways, which would otherwise keep each other pacing
+// forever.
+func (a *Activation) PausesObserved(now time.Time) bool { return now.Before(a.activeUntil) }
 
-// Active reports whether prompts have to be paced now.
-func (n *Activation) Active(now time.Time) bool {
-	if n.PausesObserved(now) {
+// Active reports whether prompts are paced now.
+func (a *Activation) Active(now time.Time) bool {
+	if a.PausesObserved(now) {
 		return true
 	}
-	for gateway, at := range n.others {
-		if now.Sub(at) > heardFor {
-			delete(n.others, gateway)
+	for gateway, at := range a.peers {
+		if now.Sub(at) > peerValidity {
+			delete(a.peers, gateway)
 		}
 	}
-	return len(n.others) >= enoughOthers
+	return len(a.peers) >= minPeers
 }
--- a/pkg/pacer/need_test.go
+++ b/pkg/pacer/need_test.go
@@ -7,11 +7,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// streams lets a hundred streams end in a second, one of several of them with a long pause;
-// none if one of 0.
-func streams(n *Activation, now time.Time, oneOf int) time.Time {
+// endStreams ends a hundred streams within a second, of which every oneOf-th had a long pause;
+// none if oneOf is 0.
+func endStreams(a *Activation, now time.Time, oneOf int) time.Time {
 	for i := range 100 {
-		n.ObserveStream(now.Add(time.Duration(i)*10*time.Millisecond), oneOf > 0 && i%oneOf == 0)
+		a.ObserveStream(now.Add(time.Duration(i)*10*time.Millisecond), oneOf > 0 && i%oneOf == 0)
 	}
 	return now.Add(time.Second)
 }
@@ -28,43 +28,43 @@
 		"one of twenty-five": {25, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			var n Activation
+			var a Activation
 			now := begin()
 			for range 5 {
-				now = streams(&n, now, test.oneOf)
+				now = endStreams(&a, now, test.oneOf)
 			}
-			qt.New(t).Check(n.Active(now), qt.Equals, test.want)
+			qt.New(t).Check(a.Active(now), qt.Equals, test.want)
 		})
 	}
 }
 
-// Paced streams do not pause, which says nothing of what they would do otherwise. So pacing
-// ends after a while, longer each time that the pauses come back at once.
-func TestPacingEndsAndComesBack(t *testing.T) {
+// Paced streams do not pause, which does not show whether they would without pacing. So pacing
+// ends after a while, and lasts longer each time that long pauses recur at once.
+func TestPacingEndsAndResumes(t *testing.T) {
 	c := qt.New(t)
-	var n Activation
+	var a Activation
 	now := begin()
-	for _, hold := range []time.Duration{firstHold, 2 * firstHold, 4 * firstHold} {
-		for !n.Active(now) {
-			now = streams(&n, now, 3)
+	for _, activeTime := range []time.Duration{minActiveTime, 2 * minActiveTime, 4 * minActiveTime} {
+		for !a.Active(now) {
+			now = endStreams(&a, now, 3)
 		}
-		ends := 0 * time.Second
-		for n.Active(now) {
-			now = streams(&n, now, 0)
-			ends += time.Second
+		lasted := 0 * time.Second
+		for a.Active(now) {
+			now = endStreams(&a, now, 0)
+			lasted += time.Second
 		}
-		c.Check(ends <= hold+time.Second && ends >= hold-2*time.Second, qt.IsTrue, qt.Commentf("%v", ends))
+		c.Check(lasted <= activeTime+time.Second && lasted >= activeTime-2*time.Second, qt.IsTrue, qt.Commentf("%v", lasted))
 	}
 	now = now.Add(time.Hour)
-	for !n.Active(now) {
-		now = streams(&n, now, 3)
+	for !a.Active(now) {
+		now = endStreams(&a, now, 3)
 	}
-	c.Check(n.hold <= longestHold, qt.IsTrue)
+	c.Check(a.activeTime <= maxActiveTime, qt.IsTrue)
 }
 
-// A gateway that has just started paces as others do, if more than one has seen pauses, and
-// ends with them.
-func TestOthersAreBelieved(t *testing.T) {
+// A gateway that has just started paces if more than one other gateway has observed long
+// pauses, and stops when they do.
+func TestPeerReportsActivatePacing(t *testing.T) {
 	for name, test := range map[string]struct {
 		gateways []string
 		after    time.Duration
@@ -77,12 +77,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			var n Activation
+			var a Activation
 			for _, gateway := range test.gateways {
-				n.ObservePeer(begin(), gateway)
+				a.ObservePeer(begin(), gateway)
 			}
-			c.Check(n.Active(begin().Add(test.after)), qt.Equals, test.want)
-			c.Check(n.PausesObserved(begin().Add(test.after)), qt.IsFalse)
+			c.Check(a.Active(begin().Add(test.after)), qt.Equals, test.want)
+			c.Check(a.PausesObserved(begin().Add(test.after)), qt.IsFalse)
 		})
 	}
 }
--- a/pkg/pacer/pace.go
+++ b/pkg/pacer/pace.go
@@ -3,83 +3,85 @@
 import "time"
 
 const (
-	// firstPace is assumed until prompts have shown the engine's pace, in tokens a second.
-	// It is a low one: too low a pace costs a little waiting, too high a one long pauses.
-	firstPace = 10000
-	// firstTokens is the size of the prompts that are taken to have shown it, and firstTimes
-	// their number.
-	firstTokens = 1000
-	firstTimes  = 4
-	// paceMemory is the weight that a time keeps with each later one: some fifty count, which
-	// come within seconds at a busy engine.
-	paceMemory = 0.98
-	// caution is the number of times that speak for the pace of whole prompts beside the line,
-	// which is often flat where few times are known. steepest is how far above that pace the
-	// line's may be: small prompts are mostly the way there and back.
-	caution  = 4
-	steepest = 4
-	// keptShare is the part of the expected time below which an engine has not read a prompt
-	// but kept it, as of one that is sent again after everything was lost. Three such times
-	// made a pace of 40 tokens in a ms from one of 19, and pauses of 0.7 s.
-	keptShare = 0.6
+	// initialRate is assumed until prompts have shown the engine's rate, in tokens per second.
+	// It is low: too low a rate costs a little waiting, too high a one long pauses.
+	initialRate = 10000
+	// initialTokens is the prompt size of the samples that stand for initialRate, and
+	// initialSamples their number.
+	initialTokens  = 1000
+	initialSamples = 4
+	// sampleDecay is the factor by which the weight of a sample decays with each later one:
+	// some fifty count, which arrive within seconds at a busy engine.
+	sampleDecay = 0.98
+	// priorSamples is the number of samples by which the rate of whole prompts is weighted
+	// against the fitted line, which is often flat with few samples. maxRateRatio bounds the
+	// ratio of the line's rate to that of whole prompts: the time of small prompts is mostly
+	// the round trip.
+	priorSamples = 4
+	maxRateRatio = 4
+	// cachedShare is the fraction of the expected time below which an engine must have cached a
+	// prompt instead of reading it, such as one that is sent again after all state was lost.
+	// Three such samples raised the estimate from 19 to 40 tokens per ms, and caused pauses of
+	// 0.7 s.
+	cachedShare = 0.6
 )
 
-// pace is how fast an engine reads, learnt from the times until first events: a part that
-// each takes whatever its size (the way there and back, a step), and one for each token.
-// Both follow from a line through the times, of which old ones count less and less.
-type pace struct {
+// rateEstimator estimates how fast an engine reads prompts from the times until first events: a
+// part that is independent of the size (the round trip, a step), and a part per token. Both
+// follow from a linear fit, in which the weight of old samples decays.
+type rateEstimator struct {
 	weight, x, y, xx, xy float64
 }
 
-// note takes the time in which an engine has read some tokens.
-func (p *pace) note(tokens int, took time.Duration) {
+// observe records the time in which an engine has read the given number of tokens.
+func (p *rateEstimator) observe(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	p.begin()
+	p.addInitialSamples()
 	x := float64(tokens)
-	whole, perToken := p.line()
+	whole, perToken := p.fit()
 	expected := whole*p.x/p.weight + perToken*(x-p.x/p.weight)
-	p.add(x, max(took.Seconds(), keptShare*expected))
+	p.add(x, max(took.Seconds(), cachedShare*expected))
 }
 
-// begin takes what is assumed before anything was seen.
-func (p *pace) begin() {
+// addInitialSamples adds the samples that are assumed before the first measurement.
+func (p *rateEstimator) addInitialSamples() {
 	if p.weight > 0 {
 		return
 	}
-	for range firstTimes {
-		p.add(firstTokens, firstTokens/float64(firstPace))
+	for range initialSamples {
+		p.add(initialTokens, initialTokens/float64(initialRate))
 	}
 }
 
-func (p *pace) add(x, y float64) {
-	p.weight = p.weight*paceMemory + 1
-	p.x = p.x*paceMemory + x
-	p.y = p.y*paceMemory + y
-	p.xx = p.xx*paceMemory + x*x
-	p.xy = p.xy*paceMemory + x*y
+func (p *rateEstimator) add(x, y float64) {
+	p.weight = p.weight*sampleDecay + 1
+	p.x = p.x*sampleDecay + x
+	p.y = p.y*sampleDecay + y
+	p.xx = p.xx*sampleDecay + x*x
+	p.xy = p.xy*sampleDecay + x*y
 }
 
-// line returns the seconds that a token takes, with its share of what each prompt takes
-// whatever its size, and without it.
-func (p *pace) line() (whole, perToken float64) {
+// fit returns the seconds per token, with and without the part of a prompt's time that is
+// independent of its size.
+func (p *rateEstimator) fit() (whole, perToken float64) {
 	meanX, meanY := p.x/p.weight, p.y/p.weight
 	whole = meanY / meanX
 	variance := p.xx/p.weight - meanX*meanX
 	covariance := p.xy/p.weight - meanX*meanY
-	doubt := caution / p.weight * meanX * meanX
-	perToken = (covariance + doubt*whole) / (variance + doubt)
-	return whole, min(max(perToken, whole/steepest), whole)
+	prior := priorSamples / p.weight * meanX * meanX
+	perToken = (covariance + prior*whole) / (variance + prior)
+	return whole, min(max(perToken, whole/maxRateRatio), whole)
 }
 
-// perSecond returns the tokens that are read in a second.
-func (p *pace) perSecond() float64 {
-	p.begin()
-	_, perToken := p.line()
+// tokensPerSecond returns the number of tokens that are read in a second.
+func (p *rateEstimator) tokensPerSecond() float64 {
+	p.addInitialSamples()
+	_, perToken := p.fit()
 	return 1 / perToken
 }
 
-func (p *pace) time(tokens int) time.Duration {
-	return time.Duration(float64(tokens) / p.perSecond() * float64(time.Second))
+func (p *rateEstimator) readTime(tokens int) time.Duration {
+	return time.Duration(float64(tokens) / p.tokensPerSecond() * float64(time.Second))
 }
--- a/pkg/pacer/pacer.go
+++ b/pkg/pacer/pacer.go
@@ -1,13 +1,13 @@
-// Package pacer decides when prompts may be sent to one engine. It is pure: asks, notices
-// and the time go in, grants come out.
+// Package pacer decides when prompts may be sent to one engine. It has no side effects: grant
+// requests, events and the time are passed in, grants are returned.
 //
-// An engine reads prompts between the steps of all that it runs, so each prompt delays the
-// next event of every stream there by the time that its reading takes. Prompts that come
-// together, though each is short, make one long pause for all. The load pattern that this
-// answers: many gateways send at random, an engine is busy reading for 40% of the time, and
-// in two seconds of a stream some of them meet. So an engine has no more tokens to read at
-// once than fit into the longest pause that a stream may have; what comes beyond waits some
-// tens of milliseconds, which a first event can spare.
+// An engine reads prompts between the steps of all its running requests, so each prompt delays
+// the next event of every stream there by its reading time. Several prompts at the same time,
+// though each is short, cause one long pause for all streams. This happens when many gateways
+// send independently: an engine that reads for 40% of the time gets coinciding prompts within
+// any two seconds of a stream. So an engine is given no more unread tokens than fit into the
+// longest pause that a stream may have; further prompts wait some tens of milliseconds, which a
+// first event can afford.
 package pacer
 
 import (
@@ -17,115 +17,116 @@
 )
 
 const (
-	// pauseShare is the part of the longest pause that reading may take. The rest is for
-	// the engine's steps between two events and for prompts that were sent without asking.
+	// pauseShare is the fraction of the longest pause that reading may take. The rest is for
+	// the engine's steps between two events and for prompts that were sent without a grant.
 	pauseShare = 0.8
-	// firstEventTime is assumed between two events until it is told.
-	firstEventTime = 30 * time.Millisecond
-	// leastEvents is how many events fit into the longest pause at least, whatever is told:
-	// where few streams run, all gaps may have prompts in them.
-	leastEvents = 4
-	// forgetFactor times the expected time to read all that was ahead of a prompt, and
-	// forgetAfter at least, is how long a prompt counts as unread of which no word comes: its
-	// gateway may be lost.
-	forgetFactor = 3
-	forgetAfter  = 500 * time.Millisecond
+	// initialEventInterval is assumed between two events until it is reported.
+	initialEventInterval = 30 * time.Millisecond
+	// minEvents is how many events fit into the longest pause at least, whatever is reported:
+	// with few streams, all gaps may include the reading of prompts.
+	minEvents = 4
+	// A prompt whose completion is not reported counts as unread for expiryFactor times the
+	// expected time to read all tokens ahead of it, and for minExpiry at least: its gateway may
+	// be lost.
+	expiryFactor = 3
+	minExpiry    = 500 * time.Millisecond
 )
 
 // GrantRequest is a prompt that is to be sent to the engine.
 type GrantRequest struct {
-	// Key tells asks apart.
+	// Key identifies the grant request.
 	Key string
 	// Tokens is the size of the prompt.
 	Tokens int
 	// Urgency is the route's priority; 0 goes first.
 	Urgency uint32
-	// ReceivedAt is when the request came from its caller, and InTimeUntil until when its
-	// first event would be in time.
+	// ReceivedAt is when the gateway received the request, and OnTimeUntil until when its first
+	// event would be on time.
 	ReceivedAt  time.Time
 	OnTimeUntil time.Time
-	// MaxPause is the longest pause that streams at the engine may have; 0 if there is none.
+	// MaxPause is the longest pause that streams at the engine may have; 0 if there is no
+	// limit.
 	MaxPause time.Duration
-	// EventInterval is the time between two events of a stream there while nothing is read; 0 if
-	// it is not known.
+	// EventInterval is the time between two events of a stream there while no prompt is read; 0
+	// if it is not known.
 	EventInterval time.Duration
 }
 
-// sent is a prompt that the engine has not read yet, as far as is known.
-type sent struct {
+// unreadPrompt is a prompt that the engine has not read yet, as far as is known.
+type unreadPrompt struct {
 	tokens int
-	// ahead are the tokens that the engine had to read when it was sent, with its own.
-	ahead int
-	at    time.Time
-	// alone is set while no other prompt has been unread since then. The time of one that
-	// was not says little: prompts that are read in one step are ready together.
+	// tokensAhead is the number of unread tokens when it was sent, including its own.
+	tokensAhead int
+	at          time.Time
+	// alone is set while no other prompt has been unread since it was sent. Otherwise its time
+	// says little: prompts that are read in one step are ready together.
 	alone bool
 }
 
-// settling is a prompt that was read, but some stream's next event was held up by it and
-// has not come yet.
+// settling is a prompt that was read, but still delays the next event of some stream.
 type settling struct {
 	tokens int
 	until  time.Time
 }
 
-// Pacer holds what is known of the prompts at one engine. The zero value is ready for use.
+// Pacer holds the state of the prompts at one engine. The zero value is ready for use.
 type Pacer struct {
-	pace     pace
-	unread   map[string]sent
+	rate     rateEstimator
+	unread   map[string]unreadPrompt
 	settling []settling
 	waiting  []GrantRequest
-	// tokens are those unread, and settled those of the prompts that settle.
-	tokens    int
-	settled   int
-	pause     time.Duration
-	eventTime time.Duration
+	// unreadTokens is the size of the unread prompts, and settlingTokens that of the settling
+	// ones.
+	unreadTokens   int
+	settlingTokens int
+	maxPause       time.Duration
+	eventInterval  time.Duration
 }
 
-// Add lets a prompt wait for its grant.
+// Add queues a prompt for a grant.
 func (p *Pacer) Add(a GrantRequest) {
 	p.waiting = append(p.waiting, a)
 	if a.MaxPause > 0 {
-		p.pause = a.MaxPause
+		p.maxPause = a.MaxPause
 	}
 	if a.EventInterval > 0 {
-		p.eventTime = min(a.EventInterval, p.pause/leastEvents)
+		p.eventInterval = min(a.EventInterval, p.maxPause/minEvents)
 	}
 }
 
-// Withdraw takes back an ask that waits, and reports whether it did.
+// Withdraw removes a waiting grant request, and reports whether it was waiting.
 func (p *Pacer) Withdraw(key string) bool {
 	before := len(p.waiting)
 	p.waiting = slices.DeleteFunc(p.waiting, func(a GrantRequest) bool { return a.Key == key })
 	return len(p.waiting) < before
 }
 
-// Read notes that the first event of a prompt has come. An event holds the tokens of several
-// steps, and a first one may come after a single step: for the time of an event the prompt
-// still counts. Without that the next one is read before the streams' next events, and the
-// pause is that of both: long pauses fell from 860 to 264 in a minute of 3,600 streams.
-func (p *Pacer) Read(now time.Time, key string) {
+// MarkRead records the first event of a prompt. An event holds the tokens of several steps, and
+// a first one may follow a single step, so the prompt still counts for the time of an event.
+// Otherwise the next prompt is read before the streams' next events, and both add up to one
+// pause: counting it reduced long pauses from 860 to 264 in a minute of 3,600 streams.
+func (p *Pacer) MarkRead(now time.Time, key string) {
 	s, ok := p.unread[key]
 	if !ok {
 		return
 	}
 	if s.alone {
-		p.pace.note(s.tokens, now.Sub(s.at))
+		p.rate.observe(s.tokens, now.Sub(s.at))
 	}
 	p.drop(key, s)
-	eventTime := p.eventTime
-	if eventTime == 0 {
-		eventTime = firstEventTime
+	eventInterval := p.eventInterval
+	if eventInterval == 0 {
+		eventInterval = initialEventInterval
 	}
-	// What is read meanwhile comes on top of the steps that an event takes.
-	until := now.Add(eventTime + p.pace.time(p.tokens))
+	// Reading in the meantime adds to the steps that an event takes.
+	until := now.Add(eventInterval + p.rate.readTime(p.unreadTokens))
 	p.settling = append(p.settling, settling{tokens: s.tokens, until: until})
-	p.settled += s.tokens
+	p.settlingTokens += s.tokens
 }
 
-// LookAt returns when a waiting prompt may be granted though nothing happens until then; the
-// zero time if there is none.
-func (p *Pacer) LookAt() time.Time {
+// NextCheck returns when a waiting prompt may be granted without any further event; the zero
+// time if there is none.
+func (p *Pacer) NextCheck() time.Time {
 	if len(p.waiting) == 0 || len(p.settling) == 0 {
 		return time.Time{}
 	}
@@ -138,21 +139,21 @@
 	return first
 }
 
-// Drop notes that a prompt need not be read any more.
+// Drop records that a prompt will not be read any more.
 func (p *Pacer) Drop(key string) {
 	if s, ok := p.unread[key]; ok {
 		p.drop(key, s)
 	}
 }
 
-func (p *Pacer) drop(key string, s sent) {
+func (p *Pacer) drop(key string, s unreadPrompt) {
 	delete(p.unread, key)
-	p.tokens -= s.tokens
+	p.unreadTokens -= s.tokens
 }
 
-// Next returns the asks that are granted now.
+// Next returns the grant requests that are granted now.
 func (p *Pacer) Next(now time.Time) []GrantRequest {
-	p.forget(now)
+	p.expire(now)
 	if len(p.waiting) == 0 {
 		return nil
 	}
@@ -167,8 +168,8 @@
 	return list
 }
 
-// compare puts those first that can still be in time, among them the urgent, and among
-// equals the one that came first.
+// compare orders those that can still be on time first, then by urgency, then by the time of
+// receipt.
 func compare(now time.Time, a, b GrantRequest) int {
 	lateA, lateB := now.After(a.OnTimeUntil), now.After(b.OnTimeUntil)
 	if lateA != lateB {
@@ -180,59 +181,59 @@
 	return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), a.ReceivedAt.Compare(b.ReceivedAt))
 }
 
-// fits reports whether the engine can read a prompt now without too long a pause. One that
-// is larger than that is read alone.
+// fits reports whether the engine can read a prompt now without too long a pause. A larger
+// prompt is read alone.
 func (p *Pacer) fits(a GrantRequest) bool {
-	none := len(p.unread) == 0 && len(p.settling) == 0
-	return none || p.tokens+p.settled+a.Tokens <= p.limit()
+	idle := len(p.unread) == 0 && len(p.settling) == 0
+	return idle || p.unreadTokens+p.settlingTokens+a.Tokens <= p.limit()
 }
 
-// limit is how many tokens the engine may have to read at once.
+// limit returns the maximum number of unread tokens at the engine.
 func (p *Pacer) limit() int {
-	return int(p.pace.perSecond() * p.pause.Seconds() * pauseShare)
+	return int(p.rate.tokensPerSecond() * p.maxPause.Seconds() * pauseShare)
 }
 
 func (p *Pacer) send(now time.Time, a GrantRequest) {
 	if p.unread == nil {
-		p.unread = map[string]sent{}
+		p.unread = map[string]unreadPrompt{}
 	}
 	for i := range p.settling {
-		p.settling[i].until = p.settling[i].until.Add(p.pace.time(a.Tokens))
+		p.settling[i].until = p.settling[i].until.Add(p.rate.readTime(a.Tokens))
 	}
 	for key, other := range p.unread {
 		other.alone = false
 		p.unread[key] = other
 	}
-	p.tokens += a.Tokens
-	p.unread[a.Key] = sent{tokens: a.Tokens, ahead: p.tokens, at: now, alone: len(p.unread) == 0}
+	p.unreadTokens += a.Tokens
+	p.unread[a.Key] = unreadPrompt{tokens: a.Tokens, tokensAhead: p.unreadTokens, at: now, alone: len(p.unread) == 0}
 }
 
-func (p *Pacer) forget(now time.Time) {
+func (p *Pacer) expire(now time.Time) {
 	p.settling = slices.DeleteFunc(p.settling, func(s settling) bool {
 		if now.Before(s.until) {
 			return false
 		}
-		p.settled -= s.tokens
+		p.settlingTokens -= s.tokens
 		return true
 	})
 	for key, s := range p.unread {
-		if now.Sub(s.at) > max(forgetAfter, forgetFactor*p.pace.time(s.ahead)) {
+		if now.Sub(s.at) > max(minExpiry, expiryFactor*p.rate.readTime(s.tokensAhead)) {
 			p.drop(key, s)
 		}
 	}
 }
 
-// Backlog is about how long the engine takes to read what it has and what waits.
+// Backlog returns about how long the engine takes to read its unread and the waiting prompts.
 func (p *Pacer) Backlog() time.Duration {
-	tokens := p.tokens
+	tokens := p.unreadTokens
 	for _, a := range p.waiting {
 		tokens += a.Tokens
 	}
-	return p.pace.time(tokens)
+	return p.rate.readTime(tokens)
 }
 
-// Waiting returns the number of prompts that wait.
+// Waiting returns the number of waiting prompts.
 func (p *Pacer) Waiting() int { return len(p.waiting) }
 
-// Idle reports whether nothing waits and nothing is unread.
+// Idle reports whether no prompt is waiting or unread.
 func (p *Pacer) Idle() bool { return len(p.waiting) == 0 && len(p.unread) == 0 }
--- a/pkg/pacer/pacer_test.go
+++ b/pkg/pacer/pacer_test.go
@@ -14,7 +14,7 @@
 
 func begin() time.Time { return time.Unix(1000, 0) }
 
-func ask(key string, tokens int, change ...func(*GrantRequest)) GrantRequest {
+func request(key string, tokens int, change ...func(*GrantRequest)) GrantRequest {
 	a := GrantRequest{Key: key, Tokens: tokens, ReceivedAt: begin(), OnTimeUntil: begin().Add(time.Second), MaxPause: 300 * ms}
 	for _, c := range change {
 		c(&a)
@@ -28,32 +28,32 @@
 }
 func late(a *GrantRequest) { a.OnTimeUntil = begin().Add(-ms) }
 
-func keys(asks []GrantRequest) []string {
+func keys(requests []GrantRequest) []string {
 	list := []string{}
-	for _, a := range asks {
+	for _, a := range requests {
 		list = append(list, a.Key)
 	}
 	return list
 }
 
-// The pace is not known yet, so that 10 tokens are read in a ms and 2,400 may be unread.
+// At the initial rate 10 tokens are read per ms and 2,400 may be unread.
 func TestGrants(t *testing.T) {
 	for name, test := range map[string]struct {
-		asks []GrantRequest
-		want []string
+		requests []GrantRequest
+		want     []string
 	}{
-		"what fits":                  {[]GrantRequest{ask("a", 1000), ask("b", 1400)}, []string{"a", "b"}},
-		"not what doesn't":           {[]GrantRequest{ask("a", 1000), ask("b", 1401)}, []string{"a"}},
-		"a large one, alone":         {[]GrantRequest{ask("a", 9000), ask("b", 1)}, []string{"a"}},
-		"nothing overtakes the next": {[]GrantRequest{ask("a", 1000), ask("b", 9000), ask("c", 1)}, []string{"a"}},
-		"urgent ones first":          {[]GrantRequest{ask("a", 1500, urgency(1)), ask("b", 1500)}, []string{"b"}},
-		"who came first":             {[]GrantRequest{ask("a", 1500, received(2*ms)), ask("b", 1500, received(ms))}, []string{"b"}},
-		"late ones last":             {[]GrantRequest{ask("a", 1500, late), ask("b", 1500, urgency(3))}, []string{"b"}},
-		"late ones in the end":       {[]GrantRequest{ask("a", 1500, late)}, []string{"a"}},
+		"what fits":                  {[]GrantRequest{request("a", 1000), request("b", 1400)}, []string{"a", "b"}},
+		"not what doesn't":           {[]GrantRequest{request("a", 1000), request("b", 1401)}, []string{"a"}},
+		"a large one, alone":         {[]GrantRequest{request("a", 9000), request("b", 1)}, []string{"a"}},
+		"nothing overtakes the next": {[]GrantRequest{request("a", 1000), request("b", 9000), request("c", 1)}, []string{"a"}},
+		"urgent ones first":          {[]GrantRequest{request("a", 1500, urgency(1)), request("b", 1500)}, []string{"b"}},
+		"the first received one":     {[]GrantRequest{request("a", 1500, received(2*ms)), request("b", 1500, received(ms))}, []string{"b"}},
+		"late ones last":             {[]GrantRequest{request("a", 1500, late), request("b", 1500, urgency(3))}, []string{"b"}},
+		"late ones in the end":       {[]GrantRequest{request("a", 1500, late)}, []string{"a"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var p Pacer
-			for _, a := range test.asks {
+			for _, a := range test.requests {
 				p.Add(a)
 			}
 			qt.New(t).Check(keys(p.Next(begin())), qt.DeepEquals, test.want)
@@ -62,24 +62,24 @@
 }
 
 func TestWhatMakesRoom(t *testing.T) {
-	for name, happens := range map[string]func(*Pacer) time.Time{
-		"its first event":        func(p *Pacer) time.Time { p.Read(begin(), "a"); return p.LookAt() },
-		"its end without one":    func(p *Pacer) time.Time { p.Drop("a"); return begin() },
-		"no word of it for long": func(*Pacer) time.Time { return begin().Add(time.Second) },
+	for name, event := range map[string]func(*Pacer) time.Time{
+		"its first event":          func(p *Pacer) time.Time { p.MarkRead(begin(), "a"); return p.NextCheck() },
+		"its end without one":      func(p *Pacer) time.Time { p.Drop("a"); return begin() },
+		"no report of it for long": func(*Pacer) time.Time { return begin().Add(time.Second) },
 		"(not before streams have had an event)": func(p *Pacer) time.Time {
-			p.Read(begin(), "a")
-			return p.LookAt().Add(-ms)
+			p.MarkRead(begin(), "a")
+			return p.NextCheck().Add(-ms)
 		},
-		"(not another's)":            func(p *Pacer) time.Time { p.Read(begin(), "x"); p.Drop("y"); return begin() },
-		"(not a word of it waiting)": func(p *Pacer) time.Time { p.Read(begin(), "b"); return begin() },
+		"(not another's)":                 func(p *Pacer) time.Time { p.MarkRead(begin(), "x"); p.Drop("y"); return begin() },
+		"(not a report of a waiting one)": func(p *Pacer) time.Time { p.MarkRead(begin(), "b"); return begin() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			var p Pacer
-			p.Add(ask("a", 2000))
-			p.Add(ask("b", 2000))
+			p.Add(request("a", 2000))
+			p.Add(request("b", 2000))
 			c.Assert(keys(p.Next(begin())), qt.DeepEquals, []string{"a"})
-			now := happens(&p)
+			now := event(&p)
 			want := []string{"b"}
 			if name[0] == '(' {
 				want = []string{}
@@ -89,19 +89,19 @@
 	}
 }
 
-func TestWithdrawnAsksAreNotGranted(t *testing.T) {
+func TestWithdrawnRequestsAreNotGranted(t *testing.T) {
 	c := qt.New(t)
 	var p Pacer
-	p.Add(ask("a", 10))
+	p.Add(request("a", 10))
 	c.Check(p.Withdraw("a"), qt.IsTrue)
 	c.Check(p.Withdraw("a"), qt.IsFalse)
 	c.Check(p.Next(begin()), qt.HasLen, 0)
 	c.Check(p.Idle(), qt.IsTrue)
 }
 
-// engine works in steps: each reads what is queued of prompts, up to a bound, and makes a
-// token for all that run. It notes the longest time of three steps, which is the pause of a
-// stream whose events hold three tokens.
+// engine works in steps: each reads queued prompts up to a bound, and makes a token for all
+// running streams. It records the longest time of three steps, which is the pause of a stream
+// whose events hold three tokens.
 type engine struct {
 	queue   []GrantRequest
 	left    int
@@ -115,7 +115,7 @@
 	stepTime      = 9 * ms
 )
 
-// step returns how long the next step takes, and the prompts that are read with it.
+// step returns how long the next step takes, and the prompts that are read in it.
 func (e *engine) step() (took time.Duration, read []string) {
 	room := tokensPerStep
 	for len(e.queue) > 0 && room > 0 {
@@ -148,15 +148,15 @@
 	}
 }
 
-// A load like that of streams with prompts of 1,460 tokens on the mean, large ones among
-// them, for which an engine reads 40% of the time. Sent as they come, prompts meet and hold
-// up all streams beyond 300 ms. Paced, they don't, and wait little.
-func TestPromptsDoNotMeet(t *testing.T) {
+// At a load of prompts of 1,460 tokens on average, some of them large, an engine reads for 40%
+// of the time. Sent at once, prompts coincide and delay all streams for more than 300 ms. With
+// pacing they don't, and wait little.
+func TestPacedPromptsDoNotCoincide(t *testing.T) {
 	for name, test := range map[string]struct {
 		paced bool
 		check func(c *qt.C, longest, wait time.Duration)
 	}{
-		"sent as they come": {false, func(c *qt.C, longest, _ time.Duration) {
+		"sent at once": {false, func(c *qt.C, longest, _ time.Duration) {
 			c.Check(longest > 500*ms, qt.IsTrue, qt.Commentf("%v", longest))
 		}},
 		"paced": {true, func(c *qt.C, longest, wait time.Duration) {
@@ -165,15 +165,15 @@
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			longest, wait := play(test.paced)
+			longest, wait := simulate(test.paced)
 			test.check(qt.New(t), longest, wait)
 		})
 	}
 }
 
-// play sends a minute of prompts to an engine, and returns the longest pause of a stream
-// there and the mean wait. First events come with the step that reads the prompt.
-func play(paced bool) (longest, wait time.Duration) {
+// simulate sends a minute of prompts to an engine, and returns the longest pause of a stream
+// there and the mean wait. First events follow the step that reads the prompt.
+func simulate(paced bool) (longest, wait time.Duration) {
 	const perSecond = 5.3
 	random := rand.New(rand.NewPCG(1, 2))
 	var p Pacer
@@ -183,12 +183,12 @@
 	for now := begin(); now.Before(begin().Add(time.Minute)); {
 		for !next.After(now) {
 			size := min(350+int(1110*random.ExpFloat64()), 4140)
-			p.Add(ask(fmt.Sprint(count), size, func(a *GrantRequest) { a.ReceivedAt = next }))
+			p.Add(request(fmt.Sprint(count), size, func(a *GrantRequest) { a.ReceivedAt = next }))
 			count++
 			next = next.Add(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second)))
 		}
 		for _, key := range readBefore {
-			p.Read(now, key)
+			p.MarkRead(now, key)
 		}
 		granted := p.Next(now)
 		if !paced {
@@ -206,16 +206,16 @@
 	return e.longest, wait / time.Duration(count)
 }
 
-// The pace is learnt from first events, also when it changes, and whatever time each takes
-// for the way.
-func TestPaceIsLearnt(t *testing.T) {
-	const way = 30 * ms
+// The rate is learnt from first events, also when it changes, and independently of the round
+// trip.
+func TestReadRateIsLearnt(t *testing.T) {
+	const roundTrip = 30 * ms
 	for name, test := range map[string]struct {
 		sizes []int
-		// perSecond are the paces in their order, each for a hundred prompts.
+		// perSecond are the successive rates, each for a hundred prompts.
 		perSecond []float64
-		least     float64
-		most      float64
+		minRate   float64
+		maxRate   float64
 	}{
 		"many sizes":          {[]int{300, 1500, 700, 4000, 2200}, []float64{20000}, 17500, 20000},
 		"it slows down":       {[]int{300, 1500, 700, 4000, 2200}, []float64{20000, 5000}, 4700, 5500},
@@ -224,36 +224,36 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			var p pace
-			c.Check(math.Round(p.perSecond()), qt.Equals, float64(firstPace))
+			var p rateEstimator
+			c.Check(math.Round(p.tokensPerSecond()), qt.Equals, float64(initialRate))
 			for _, perSecond := range test.perSecond {
 				for i := range 100 {
 					tokens := test.sizes[i%len(test.sizes)]
-					p.note(tokens, way+time.Duration(float64(tokens)/perSecond*float64(time.Second)))
+					p.observe(tokens, roundTrip+time.Duration(float64(tokens)/perSecond*float64(time.Second)))
 				}
 			}
-			learnt := p.perSecond()
-			c.Check(learnt >= test.least && learnt <= test.most, qt.IsTrue, qt.Commentf("%v", learnt))
-			p.note(0, time.Second)
-			p.note(2000, 0)
-			c.Check(p.perSecond(), qt.Equals, learnt)
-			c.Check(p.time(int(learnt)).Round(10*ms), qt.Equals, time.Second)
+			learnt := p.tokensPerSecond()
+			c.Check(learnt >= test.minRate && learnt <= test.maxRate, qt.IsTrue, qt.Commentf("%v", learnt))
+			p.observe(0, time.Second)
+			p.observe(2000, 0)
+			c.Check(p.tokensPerSecond(), qt.Equals, learnt)
+			c.Check(p.readTime(int(learnt)).Round(10*ms), qt.Equals, time.Second)
 		})
 	}
 }
 
-// After the loss of everything callers send their prompts again, and engines have kept them:
-// their first events come at once, which says nothing of the pace.
-func TestKeptPromptsDoNotLookLikeAFastEngine(t *testing.T) {
+// After all state was lost callers send their prompts again, and engines have them cached:
+// their first events come at once, which does not show the rate.
+func TestCachedPromptsDoNotLookLikeAFastEngine(t *testing.T) {
 	c := qt.New(t)
-	var p pace
+	var p rateEstimator
 	for _, tokens := range []int{1500, 2600, 900, 4000} {
-		p.note(tokens, 30*ms)
+		p.observe(tokens, 30*ms)
 	}
-	c.Check(p.perSecond() < 22000, qt.IsTrue, qt.Commentf("%v", p.perSecond()))
+	c.Check(p.tokensPerSecond() < 22000, qt.IsTrue, qt.Commentf("%v", p.tokensPerSecond()))
 	for range 50 {
-		p.note(1500, 105*ms)
-		p.note(3000, 184*ms)
+		p.observe(1500, 105*ms)
+		p.observe(3000, 184*ms)
 	}
-	c.Check(p.perSecond() > 14000 && p.perSecond() < 20000, qt.IsTrue, qt.Commentf("%v", p.perSecond()))
+	c.Check(p.tokensPerSecond() > 14000 && p.tokensPerSecond() < 20000, qt.IsTrue, qt.Commentf("%v", p.tokensPerSecond()))
 }
