--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -18,7 +18,7 @@
 		j.answer <- verdict{refusal: &Refusal{Reason: NoQuorum, RetryAfter: noSessionFor}}
 		return
 	}
-	admitted, refusal := s.admitter.Arrive(now, admitter.Request{
+	admitted, refusal := s.admitter.Submit(now, admitter.Request{
 		ID: j.id, Customer: j.Customer, Priority: j.Priority, Deadline: j.Deadline,
 	})
 	switch {
@@ -114,7 +114,7 @@
 func (s *Scheduler) leave(now time.Time, j *Job) {
 	j.phase = gone
 	delete(s.jobs, j.id)
-	s.admitter.Leave(j.Customer, now.Sub(j.admitted))
+	s.admitter.Complete(j.Customer, now.Sub(j.admitted))
 }
 
 func (s *Scheduler) refuse(now time.Time, j *Job, refusal *Refusal) {
@@ -201,13 +201,13 @@
 		s.refuseAll(now, &Refusal{Reason: NoQuorum, RetryAfter: noSessionFor})
 		return
 	}
-	for _, r := range s.admitter.Expired(now) {
+	for _, r := range s.admitter.RefuseExpired(now) {
 		s.refuseQueued(r)
 	}
 	s.retryWaiting(now)
 	s.advance(now)
 	s.Router.GiveBackIdle(now)
-	if s.admitter.Unmet() || s.Router.Unmet() {
+	if s.admitter.HasUnmetDemand() || s.Router.Unmet() {
 		s.RequestRenewal()
 	}
 }
--- a/pkg/admitter/admitter.go
+++ b/pkg/admitter/admitter.go
@@ -1,8 +1,8 @@
-// Package admitter decides which requests of a customer may go on: as many at once
-// as the gateway's share of the customer's limit, the rest in queues by priority,
-// and those that can't be served in time refused at once with a retry time.
+// Package admitter decides which requests of a customer are admitted: as many run concurrently
+// as the gateway's share of the customer's limit allows, the rest wait in queues by priority,
+// and those that can't be served in time are refused at once with a retry time.
 //
-// It is pure and not safe for concurrent use.
+// It has no side effects and is not safe for concurrent use.
 package admitter
 
 import (
@@ -12,10 +12,10 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// RequestID names a request within one gateway.
+// RequestID identifies a request within one gateway.
 type RequestID uint64
 
-// Request is what admission needs to know of a request.
+// Request holds the attributes of a request that admission depends on.
 type Request struct {
 	ID       RequestID
 	Customer string
@@ -25,10 +25,10 @@
 	Deadline time.Time
 }
 
-// Reason tells why a request was refused.
+// Reason is why a request was refused.
 type Reason int
 
-// The reasons for a refusal.
+// Reasons for a refusal.
 const (
 	// QueueFull means that as many requests wait as the contract allows.
 	QueueFull Reason = iota + 1
@@ -49,10 +49,10 @@
 const (
 	minRetryAfter = time.Second
 	maxRetryAfter = time.Minute
-	// smoothing is the weight of a new sample in the mean time of a request.
-	smoothing = 0.1
-	// samples before the mean is trusted to refuse a request early.
-	trustedSamples = 20
+	// sampleWeight is the weight of a new sample in the mean duration of a request.
+	sampleWeight = 0.1
+	// minSamples is the number of samples from which requests are refused early by the mean.
+	minSamples = 20
 )
 
 // Admitter holds the queues of all customers. The zero value is ready to use.
@@ -63,26 +63,26 @@
 }
 
 type customer struct {
-	contract *wire.Contract
-	share    uint32
-	running  uint32
-	queue    queue
-	mean     time.Duration
-	samples  int
-	touched  bool
+	contract     *wire.Contract
+	share        uint32
+	running      uint32
+	queue        queue
+	meanDuration time.Duration
+	samples      int
+	changed      bool
 }
 
-// SetContract puts a contract into force.
+// SetContract sets the contract of a customer.
 func (a *Admitter) SetContract(c *wire.Contract) {
 	a.customer(c.GetCustomer()).contract = c
 }
 
-// SetShare sets how many requests of a customer may run here at once. It takes
-// effect for new requests; what runs goes on.
+// SetShare sets how many requests of a customer may run here concurrently. It affects new
+// requests; running ones are not stopped.
 func (a *Admitter) SetShare(name string, share uint32) {
 	c := a.customer(name)
 	c.share = share
-	c.touched = true
+	c.changed = true
 }
 
 func (a *Admitter) customer(name string) *customer {
@@ -98,11 +98,10 @@
 	return c
 }
 
-// Arrive takes a request in. It is admitted at once, queued (neither result set),
-// or refused.
-func (a *Admitter) Arrive(now time.Time, r Request) (admitted bool, refusal *Refusal) {
+// Submit takes a new request. It is admitted at once, queued (neither result set), or refused.
+func (a *Admitter) Submit(now time.Time, r Request) (admitted bool, refusal *Refusal) {
 	c := a.customer(r.Customer)
-	c.touched = true
+	c.changed = true
 	switch {
 	case c.contract == nil:
 		return false, &Refusal{ID: r.ID, Reason: NoContract}
@@ -111,9 +110,9 @@
 	case c.queue.Len() == 0 && c.running < c.share:
 		c.running++
 		return true, nil
-	case c.queue.Len() >= c.places():
+	case c.queue.Len() >= c.queueCapacity():
 		return false, &Refusal{ID: r.ID, Reason: QueueFull, RetryAfter: c.retryAfter()}
-	case c.hopeless(now, r):
+	case c.cannotMeetDeadline(now, r):
 		return false, &Refusal{ID: r.ID, Reason: TooLate, RetryAfter: c.retryAfter()}
 	}
 	a.arrivals++
@@ -123,19 +122,19 @@
 	return false, nil
 }
 
-// Leave notes that an admitted request has ended, after a time that it ran.
-func (a *Admitter) Leave(name string, took time.Duration) {
+// Complete records that an admitted request has ended, and how long it ran.
+func (a *Admitter) Complete(name string, took time.Duration) {
 	c := a.customer(name)
 	c.running--
-	c.touched = true
+	c.changed = true
 	if c.samples == 0 {
-		c.mean = took
+		c.meanDuration = took
 	}
 	c.samples++
-	c.mean += time.Duration(smoothing * float64(took-c.mean))
+	c.meanDuration += time.Duration(sampleWeight * float64(took-c.meanDuration))
 }
 
-// Cancel takes a queued request out. It reports false if it was not queued.
+// Cancel removes a queued request. It reports false if it was not queued.
 func (a *Admitter) Cancel(id RequestID) bool {
 	w := a.queued[id]
 	if w == nil {
@@ -144,18 +143,18 @@
 	c := a.customers[w.request.Customer]
 	heap.Remove(&c.queue, w.position)
 	delete(a.queued, id)
-	c.touched = true
+	c.changed = true
 	return true
 }
 
-// Next returns the queued requests that may go on now, and those that are refused
-// because their deadline has passed.
+// Next returns the queued requests that are admitted now, and those that are refused because
+// their deadline has passed.
 func (a *Admitter) Next(now time.Time) (admitted []RequestID, refused []Refusal) {
 	for _, c := range a.customers {
 		for c.queue.Len() > 0 && (c.running < c.share || !c.queue[0].request.Deadline.After(now)) {
 			w := heap.Pop(&c.queue).(*waiter)
 			delete(a.queued, w.request.ID)
-			c.touched = true
+			c.changed = true
 			if !w.request.Deadline.After(now) {
 				refused = append(refused, Refusal{ID: w.request.ID, Reason: TooLate, RetryAfter: c.retryAfter()})
 				continue
@@ -167,9 +166,9 @@
 	return admitted, refused
 }
 
-// Expired returns the queued requests whose deadline has passed, wherever they
-// stand in their queues.
-func (a *Admitter) Expired(now time.Time) []Refusal {
+// RefuseExpired removes and refuses the queued requests whose deadline has passed, at any
+// position in their queues.
+func (a *Admitter) RefuseExpired(now time.Time) []Refusal {
 	var refused []Refusal
 	for id, w := range a.queued {
 		if w.request.Deadline.After(now) {
@@ -182,7 +181,7 @@
 	return refused
 }
 
-// RefuseAll empties the queues, when the gateway may not serve at all.
+// RefuseAll empties the queues when the gateway may not serve any request.
 func (a *Admitter) RefuseAll() []RequestID {
 	var refused []RequestID
 	for id := range a.queued {
@@ -194,29 +193,29 @@
 	return refused
 }
 
-// Demand is what a customer uses and wants at this gateway.
+// Demand is the share that a customer holds at this gateway and the share that it needs.
 type Demand struct {
 	Customer string
 	Held     uint32
 	Wanted   uint32
 }
 
-// Demands returns the demands that changed since the last call, and those that are
-// not met. A share that is not used may be handed back by setting it lower.
+// Demands returns the demands that changed since the last call, and those that are not met. An
+// unused share may be returned by setting it lower.
 func (a *Admitter) Demands(all bool) []Demand {
 	var demands []Demand
 	for name, c := range a.customers {
 		wanted := c.running + uint32(c.queue.Len())
-		if all && c.share+c.running > 0 || c.touched || wanted > c.share {
+		if all && c.share+c.running > 0 || c.changed || wanted > c.share {
 			demands = append(demands, Demand{Customer: name, Held: max(c.share, c.running), Wanted: wanted})
-			c.touched = false
+			c.changed = false
 		}
 	}
 	return demands
 }
 
-// Unmet reports whether requests wait for a larger share.
-func (a *Admitter) Unmet() bool {
+// HasUnmetDemand reports whether requests wait for a larger share.
+func (a *Admitter) HasUnmetDemand() bool {
 	for _, w := range a.queued {
 		c := a.customers[w.request.Customer]
 		if c.running+uint32(c.queue.Len()) > c.share {
@@ -229,21 +228,21 @@
 // Running returns the number of admitted requests of a customer.
 func (a *Admitter) Running(name string) uint32 { return a.customer(name).running }
 
-// places is how many requests may wait: the contract's queue, and as many as a
-// larger share of the limit would let run.
-func (c *customer) places() int {
+// queueCapacity is how many requests may wait: the contract's queue, and as many as a larger
+// share of the limit would let run.
+func (c *customer) queueCapacity() int {
 	growth := max(0, int(c.contract.GetRequestsAtOnce())-int(c.share))
 	return int(c.contract.GetQueueLength()) + growth
 }
 
-// hopeless reports whether the requests ahead will take longer than the deadline.
-func (c *customer) hopeless(now time.Time, r Request) bool {
-	return c.samples >= trustedSamples && c.expectedWait() > r.Deadline.Sub(now)
+// cannotMeetDeadline reports whether the requests ahead will take longer than the deadline.
+func (c *customer) cannotMeetDeadline(now time.Time, r Request) bool {
+	return c.samples >= minSamples && c.expectedWait() > r.Deadline.Sub(now)
 }
 
 func (c *customer) expectedWait() time.Duration {
 	share := max(1, c.share)
-	return time.Duration(c.queue.Len()+1) * c.mean / time.Duration(share)
+	return time.Duration(c.queue.Len()+1) * c.meanDuration / time.Duration(share)
 }
 
 func (c *customer) retryAfter() time.Duration {
--- a/pkg/admitter/admitter_test.go
+++ b/pkg/admitter/admitter_test.go
@@ -26,7 +26,7 @@
 	return admitter.Request{ID: admitter.RequestID(id), Customer: name, Priority: priority, Deadline: start().Add(deadline)}
 }
 
-func TestArrive(t *testing.T) {
+func TestSubmit(t *testing.T) {
 	cases := map[string]struct {
 		share, limit, queue uint32
 		before              int
@@ -47,9 +47,9 @@
 			c := qt.New(t)
 			a := newAdmitter(tc.share, tc.limit, tc.queue)
 			for i := range tc.before {
-				a.Arrive(start(), request(i+1, 0, time.Minute))
+				a.Submit(start(), request(i+1, 0, time.Minute))
 			}
-			admitted, refusal := a.Arrive(start(), request(99, 0, tc.deadline))
+			admitted, refusal := a.Submit(start(), request(99, 0, tc.deadline))
 			c.Assert(admitted, qt.Equals, tc.admitted)
 			c.Assert(refusal != nil, qt.Equals, tc.reason != 0)
 			if refusal != nil {
@@ -60,42 +60,42 @@
 	}
 }
 
-func TestOrderOfTheQueue(t *testing.T) {
+func TestQueueOrder(t *testing.T) {
 	c := qt.New(t)
 	a := newAdmitter(1, 1, 10)
-	a.Arrive(start(), request(1, 0, time.Minute))
-	a.Arrive(start(), request(2, 1, time.Minute))
-	a.Arrive(start(), request(3, 9, time.Minute))
-	a.Arrive(start(), request(4, 1, time.Minute))
-	a.Arrive(start(), request(5, 9, time.Second))
+	a.Submit(start(), request(1, 0, time.Minute))
+	a.Submit(start(), request(2, 1, time.Minute))
+	a.Submit(start(), request(3, 9, time.Minute))
+	a.Submit(start(), request(4, 1, time.Minute))
+	a.Submit(start(), request(5, 9, time.Second))
 	var order []admitter.RequestID
 	for range 4 {
-		a.Leave(name, time.Second)
+		a.Complete(name, time.Second)
 		admitted, _ := a.Next(start().Add(2 * time.Second))
 		order = append(order, admitted...)
 	}
-	// The fifth's deadline passed in the queue.
+	// The deadline of request 5 passed in the queue.
 	c.Assert(order, qt.DeepEquals, []admitter.RequestID{3, 2, 4})
 }
 
-func TestHopelessIsRefusedAtOnce(t *testing.T) {
+func TestRequestsThatCannotMeetTheirDeadlineAreRefusedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	a := newAdmitter(1, 1, 1000)
 	for i := range 30 {
-		a.Arrive(start(), request(i, 0, time.Hour))
-		a.Leave(name, 2*time.Second)
+		a.Submit(start(), request(i, 0, time.Hour))
+		a.Complete(name, 2*time.Second)
 	}
-	a.Arrive(start(), request(100, 0, time.Hour))
+	a.Submit(start(), request(100, 0, time.Hour))
 	for i := range 10 {
-		a.Arrive(start(), request(200+i, 0, time.Hour))
+		a.Submit(start(), request(200+i, 0, time.Hour))
 	}
-	_, refusal := a.Arrive(start(), request(300, 0, 5*time.Second))
+	_, refusal := a.Submit(start(), request(300, 0, 5*time.Second))
 	c.Assert(refusal, qt.IsNotNil)
 	c.Assert(refusal.Reason, qt.Equals, admitter.TooLate)
-	c.Assert(refusal.RetryAfter > 15*time.Second, qt.IsTrue, qt.Commentf("come back in %s", refusal.RetryAfter))
+	c.Assert(refusal.RetryAfter > 15*time.Second, qt.IsTrue, qt.Commentf("retry after %s", refusal.RetryAfter))
 }
 
-func TestNeverMoreThanTheShare(t *testing.T) {
+func TestRunningNeverExceedsTheShare(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		a := newAdmitter(3, 10, 5)
 		running, next := 0, 0
@@ -106,13 +106,13 @@
 			switch rapid.IntRange(0, 3).Draw(rt, "event") {
 			case 0:
 				next++
-				if admitted, _ := a.Arrive(now, request(next, 0, time.Minute)); admitted {
+				if admitted, _ := a.Submit(now, request(next, 0, time.Minute)); admitted {
 					running++
 				}
 			case 1:
 				if running > 0 {
 					running--
-					a.Leave(name, time.Second)
+					a.Complete(name, time.Second)
 				}
 			case 2:
 				a.Cancel(admitter.RequestID(rapid.IntRange(1, 200).Draw(rt, "id")))
