--- a/gateway/regulator/peer.go
+++ b/gateway/regulator/peer.go
@@ -13,35 +13,35 @@
 )
 
 const (
-	// endTimeout bounds the telling of prompts that were read; one that is not told is
-	// forgotten in the end.
-	endTimeout = 300 * time.Millisecond
-	// maxEnds bounds the prompts that wait to be told of.
-	maxEnds = 256
+	// releaseTimeout bounds a call that reports completed prompts; one that is not reported
+	// expires at the owner.
+	releaseTimeout = 300 * time.Millisecond
+	// maxReleases bounds the completed prompts that wait to be reported.
+	maxReleases = 256
 )
 
 // peer is another gateway.
 type peer struct {
 	transport *http.Transport
-	// failures counts the calls in a row that it has not answered, and aloneUntil is until
-	// when it is not asked.
-	failures   int
-	aloneUntil time.Time
-	// ends are prompts that it is to be told of, and telling is set while a call does that.
-	ends    []*wire.PromptEnd
-	telling bool
+	// failures counts the failed calls in a row, and backoffUntil is until when the peer is not
+	// called.
+	failures     int
+	backoffUntil time.Time
+	// releases are prompts to report to the peer, and sending is set while a call does that.
+	releases []*wire.PromptEnd
+	sending  bool
 }
 
-// owner returns the address of the gateway that owns an engine: of those that answer,
-// the one with the highest number of all that are made from an engine and a gateway, so
-// that each gateway owns some, and the loss of one moves only its own.
+// owner returns the address of the gateway that owns an engine: of the reachable gateways, the
+// one with the highest rendezvous hash of engine and gateway, so that each gateway owns some
+// engines, and the loss of one moves only its own.
 func (r *Regulator) owner(backend string) string {
 	now := r.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	best, highest := "", uint64(0)
 	for _, address := range r.gateways {
-		if known := r.peers[address]; known != nil && now.Before(known.aloneUntil) {
+		if known := r.peers[address]; known != nil && now.Before(known.backoffUntil) {
 			continue
 		}
 		if n := ranker.Preference(backend, address); best == "" || n > highest {
@@ -51,8 +51,8 @@
 	return best
 }
 
-// RankedOwners returns the first two gateways in the order of owner, whether they answer or not;
-// "" where there is none.
+// RankedOwners returns the first two gateways in the order of owner, reachable or not; "" where
+// there is none.
 func (r *Regulator) RankedOwners(backend string) (first, second string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -73,11 +73,11 @@
 func (r *Regulator) peer(address string) *peer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.known(address)
+	return r.knownPeer(address)
 }
 
-// known returns a peer. The caller holds the lock.
-func (r *Regulator) known(address string) *peer {
+// knownPeer returns a peer. The caller holds the lock.
+func (r *Regulator) knownPeer(address string) *peer {
 	p := r.peers[address]
 	if p == nil {
 		p = &peer{transport: connector.NewTransport(nil)}
@@ -86,8 +86,8 @@
 	return p
 }
 
-// forgetPeers drops those that are no longer listed. The caller holds the lock.
-func (r *Regulator) forgetPeers() {
+// removeUnlistedPeers removes peers that are no longer listed. The caller holds the lock.
+func (r *Regulator) removeUnlistedPeers() {
 	for address, p := range r.peers {
 		if !slices.Contains(r.gateways, address) {
 			p.transport.CloseIdleConnections()
@@ -96,23 +96,23 @@
 	}
 }
 
-func (r *Regulator) unanswered(ctx context.Context, address string, err error) {
+func (r *Regulator) recordFailure(ctx context.Context, address string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	now := r.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.known(address)
-	if now.Before(p.aloneUntil) {
+	p := r.knownPeer(address)
+	if now.Before(p.backoffUntil) {
 		return
 	}
 	p.failures++
-	p.aloneUntil = now.Add(retrier.Backoff{Initial: firstAlone, Max: longestAlone}.Delay(p.failures, 0))
+	p.backoffUntil = now.Add(retrier.Backoff{Initial: minBackoff, Max: maxBackoff}.Delay(p.failures, 0))
 	r.Log.Info("owner of engines does not answer", "Gateway", address, "Error", err.Error())
 }
 
-func (r *Regulator) answered(address string) {
+func (r *Regulator) recordSuccess(address string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p := r.peers[address]; p != nil {
@@ -120,36 +120,37 @@
 	}
 }
 
-// tellPeer passes a note on. One call at a time takes all that has come up meanwhile.
-func (r *Regulator) tellPeer(address string, end *wire.PromptEnd) {
+// queueRelease reports a completed prompt to a peer. Calls are sequential, each with all
+// prompts queued meanwhile.
+func (r *Regulator) queueRelease(address string, release *wire.PromptEnd) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	p := r.known(address)
-	if len(p.ends) >= maxEnds {
+	p := r.knownPeer(address)
+	if len(p.releases) >= maxReleases {
 		return
 	}
-	p.ends = append(p.ends, end)
-	if !p.telling {
-		p.telling = true
-		go r.tell(address, p)
+	p.releases = append(p.releases, release)
+	if !p.sending {
+		p.sending = true
+		go r.sendReleases(address, p)
 	}
 }
 
-func (r *Regulator) tell(address string, p *peer) {
-	client := &connector.Client{Timeout: endTimeout, Transport: p.transport}
+func (r *Regulator) sendReleases(address string, p *peer) {
+	client := &connector.Client{Timeout: releaseTimeout, Transport: p.transport}
 	for {
 		r.mu.Lock()
-		ends := p.ends
-		p.ends = nil
-		if len(ends) == 0 {
-			p.telling = false
+		releases := p.releases
+		p.releases = nil
+		if len(releases) == 0 {
+			p.sending = false
 			r.mu.Unlock()
 			return
 		}
 		r.mu.Unlock()
-		_, err := wire.NewPacingProtobufClient("http://"+address, client).End(context.Background(), &wire.EndRequest{Prompts: ends})
+		_, err := wire.NewPacingProtobufClient("http://"+address, client).End(context.Background(), &wire.EndRequest{Prompts: releases})
 		if err != nil {
-			r.unanswered(context.Background(), address, err)
+			r.recordFailure(context.Background(), address, err)
 		}
 	}
 }
--- a/gateway/regulator/regulator.go
+++ b/gateway/regulator/regulator.go
@@ -1,7 +1,7 @@
-// Package regulator asks the owner of an engine for a grant before it lets a prompt be sent
-// there, and grants prompts for the engines that this gateway owns. It does the same for the
-// slots of plain services that many gateways contend for. Owners follow from the list of gateways
-// by rendezvous hashing. While lists differ, or an owner does not answer, several gateways grant
+// Package regulator requests a grant from the owner of an engine before a prompt is sent there,
+// and grants prompts for the engines that this gateway owns. It does the same for the slots of
+// plain services that many gateways contend for. Owners follow from the list of gateways by
+// rendezvous hashing. While lists differ, or an owner does not answer, several gateways grant
 // for one engine, each a part of its prompts.
 package regulator
 
@@ -22,92 +22,93 @@
 )
 
 const (
-	// lookEvery is the time between two looks at engines when nothing happens.
-	lookEvery = 20 * time.Millisecond
-	// answerMargin is the time that a call may take beyond its wait: some round trips within
-	// a region, at an instance that is busy.
+	// checkInterval is the time between two checks of engines without any event.
+	checkInterval = 20 * time.Millisecond
+	// answerMargin is the time that a call may take beyond its wait: some round trips within a
+	// region, to a busy instance.
 	answerMargin = 80 * time.Millisecond
-	// firstAlone is how long a gateway is not asked that has not answered once; it doubles up
-	// to longestAlone. After the loss of everything gateways listen within some hundred ms of
-	// each other, and while they don't ask the same one, each paces for itself.
-	firstAlone   = 100 * time.Millisecond
-	longestAlone = 2 * time.Second
-	// maxAsked is how many gateways are asked for one prompt at most.
-	maxAsked = 3
-	// logSlotsEvery is the time between two log lines on the slots of one backend server.
-	logSlotsEvery = 5 * time.Second
-	// keepFor is how long an engine's pace is remembered of which nobody asks: longer than
-	// quiet spells, and short against the time in which many starts come and go.
-	keepFor = time.Minute
+	// minBackoff is how long a gateway is not called after one failed call; it doubles up to
+	// maxBackoff. After a failure of all instances, gateways start to listen within some
+	// hundred ms of each other, and while they don't call the same owner, each paces for
+	// itself.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 2 * time.Second
+	// maxAttempts is how many gateways are called for one prompt at most.
+	maxAttempts = 3
+	// logSlotsInterval is the time between two log lines on the slots of one backend server.
+	logSlotsInterval = 5 * time.Second
+	// engineTTL is how long the state of an unused engine is kept: longer than quiet periods,
+	// and short against the time in which many incarnations come and go.
+	engineTTL = time.Minute
 )
 
 // Regulator paces prompts. Set the exported fields, call Init, then Run.
 type Regulator struct {
 	Clock clockwork.Clock
 	Log   *slog.Logger
-	// Self is where the other gateways reach this one.
+	// Self is the address of this gateway for the others.
 	Self string
-	// OnPeerPauses notes that another gateway paces prompts for an engine for long pauses that it has
-	// seen itself.
+	// OnPeerPauses is called when another gateway paces prompts for an engine because of long
+	// pauses that it has observed itself.
 	OnPeerPauses func(backend, gateway string)
 
-	asks  atomic.Uint64
-	mu    sync.Mutex
-	peers map[string]*peer
-	// gateways are the addresses of all gateways; lists are what each controller says that
-	// they are, and leader is the one that counts.
+	requestCount atomic.Uint64
+	mu           sync.Mutex
+	peers        map[string]*peer
+	// gateways are the addresses of all gateways; lists holds the list of each controller, and
+	// leader is the controller whose list is used.
 	gateways []string
 	lists    map[string][]string
 	leader   string
 	engines  map[string]*engine
 }
 
-// engine is one that this gateway owns, or did.
+// engine is an engine or backend server that this gateway owns, or did.
 type engine struct {
-	// grantLater has it looked at when a prompt may be granted though nothing happens.
-	grantLater func(at time.Time)
-	pacer      pacer.Pacer
-	// dispenser gives out the slots of a plain service's backend server.
-	dispenser slotgranter.Granter
-	// waiting are the channels on which the asks that wait hear whether they are granted.
-	waiting map[string]chan bool
-	askedAt time.Time
-	// lookAt is when it is looked at next, whatever happens.
-	lookAt time.Time
-	// loggedAt is when the statistics of its slots were logged last.
+	// scheduleGrant schedules a check for when a prompt may be granted without any event.
+	scheduleGrant func(at time.Time)
+	pacer         pacer.Pacer
+	// granter grants the slots of a plain service's backend server.
+	granter slotgranter.Granter
+	// waiting are the channels on which waiting grant requests receive their decision.
+	waiting       map[string]chan bool
+	lastRequestAt time.Time
+	// nextCheck is the time of the next scheduled check.
+	nextCheck time.Time
+	// loggedAt is when the statistics of its slots were last logged.
 	loggedAt time.Time
 }
 
-// Prompt is what is to be sent to an engine.
+// Prompt is a prompt to be sent to an engine, or a request of a plain service.
 type Prompt struct {
 	Backend string
-	// PausesObserved is set if this gateway has seen long pauses itself.
+	// PausesObserved is set if this gateway has observed long pauses itself.
 	PausesObserved bool
-	// Ask is what its engine's pacer is asked; its key is set by Ask.
+	// GrantRequest is the request to the engine's pacer; Acquire sets its key.
 	pacer.GrantRequest
-	// Slots is set for a request of a plain service: the number that its backend server runs
-	// at once. GiveUp is when it is no use to wait longer.
+	// Slots is set for a request of a plain service: the number of requests that its backend
+	// server runs concurrently. Deadline is when waiting longer is of no use.
 	Slots    int
 	Deadline time.Time
-	// HasAlternative is set if another backend server can be asked next.
+	// HasAlternative is set if another backend server can be tried next.
 	HasAlternative bool
 }
 
-// slot returns what the dispenser is asked for a request of a plain service.
-func (p *Prompt) slot() slotgranter.GrantRequest {
+// slotRequest returns the slot request for a request of a plain service.
+func (p *Prompt) slotRequest() slotgranter.GrantRequest {
 	return slotgranter.GrantRequest{Key: p.Key, Urgency: p.Urgency, OnTimeUntil: p.OnTimeUntil, Deadline: p.Deadline, Slots: p.Slots, HasAlternative: p.HasAlternative}
 }
 
-// Result is what became of an ask.
+// Result is the outcome of a grant request.
 type Result struct {
 	// Granted means that the prompt may be sent.
 	Granted bool
-	// Key names the prompt for End.
+	// Key identifies the prompt for Release.
 	Key string
-	// Backlog is about how long the engine takes to read what it has and what waits.
+	// Backlog is about how long the engine takes to read its unread and the waiting prompts.
 	Backlog time.Duration
-	// Slow means that the backend server takes too long for an answer in time, whatever it has
-	// to do.
+	// Slow means that the backend server takes too long for an answer on time even without
+	// load.
 	Slow bool
 }
 
@@ -118,9 +119,9 @@
 	r.lists = map[string][]string{}
 }
 
-// UpdateGateways takes a controller's list of gateways. The leader's counts. Before a leader is known
-// the longest does: after the loss of everything many requests come at once, and gateways
-// that did not know each other then would each send theirs.
+// UpdateGateways receives a controller's list of gateways. The leader's is used. Before a
+// leader is known the longest is: after a failure of all instances many requests arrive at
+// once, and gateways that do not know each other would each send theirs.
 func (r *Regulator) UpdateGateways(controller string, res *wire.SyncResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +140,7 @@
 		}
 	}
 	r.gateways = list
-	r.forgetPeers()
+	r.removeUnlistedPeers()
 }
 
 func addressesOf(list []*wire.GatewayEntry) []string {
@@ -150,40 +151,40 @@
 	return addresses
 }
 
-// Run lets time pass until ctx ends.
+// Run checks the engines periodically until ctx ends.
 func (r *Regulator) Run(ctx context.Context) {
-	ticker := r.Clock.NewTicker(lookEvery)
+	ticker := r.Clock.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-			r.look()
+			r.checkEngines()
 		}
 	}
 }
 
-func (r *Regulator) look() {
+func (r *Regulator) checkEngines() {
 	now := r.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for backend, e := range r.engines {
 		e.grant(now)
 		r.logSlots(now, backend, e)
-		if e.pacer.Idle() && e.dispenser.Idle() && now.Sub(e.askedAt) > keepFor {
+		if e.pacer.Idle() && e.granter.Idle() && now.Sub(e.lastRequestAt) > engineTTL {
 			delete(r.engines, backend)
 		}
 	}
 }
 
-// logSlots logs now and then what became of the asks for a backend server's slots.
+// logSlots periodically logs the outcomes of requests for a backend server's slots.
 func (r *Regulator) logSlots(now time.Time, backend string, e *engine) {
-	if now.Sub(e.loggedAt) < logSlotsEvery {
+	if now.Sub(e.loggedAt) < logSlotsInterval {
 		return
 	}
 	e.loggedAt = now
-	s := e.dispenser.TakeStats()
+	s := e.granter.TakeStats()
 	if s.Granted+s.Refused+s.Slow+s.Withdrawn == 0 {
 		return
 	}
@@ -194,33 +195,32 @@
 
 // Acquire waits until the prompt may be sent, or for a time at most.
 func (r *Regulator) Acquire(ctx context.Context, p *Prompt, wait time.Duration) Result {
-	// Ids of requests are the callers' to choose, and would not tell two of them apart.
-	p.Key = r.Self + "/" + strconv.FormatUint(r.asks.Add(1), 10)
-	for range maxAsked {
+	// Callers choose request ids, which need not be unique.
+	p.Key = r.Self + "/" + strconv.FormatUint(r.requestCount.Add(1), 10)
+	for range maxAttempts {
 		address := r.owner(p.Backend)
 		if address == r.Self || address == "" || ctx.Err() != nil {
 			break
 		}
-		if answer, ok := r.askPeer(ctx, address, p, wait); ok {
-			return answer
+		if result, ok := r.acquireFromPeer(ctx, address, p, wait); ok {
+			return result
 		}
 	}
-	return r.wait(ctx, p, wait)
+	return r.acquireLocally(ctx, p, wait)
 }
 
-// Release notes that an engine has a prompt to read no longer: its first event has come, or it
-// has failed.
+// Release reports that an engine does not have to read a prompt any more: its first event has
+// been received, or it has failed.
 func (r *Regulator) Release(backend, key string, read bool) {
 	address := r.owner(backend)
 	if address == r.Self || address == "" {
-		r.end(backend, key, read)
+		r.release(backend, key, read)
 		return
 	}
-	r.tellPeer(address, &wire.PromptEnd{Backend: backend, Key: key, Read: read})
+	r.queueRelease(address, &wire.PromptEnd{Backend: backend, Key: key, Read: read})
 }
 
-// Waiting returns the number of prompts that wait for the engines that this gateway is in
-// charge of.
+// Waiting returns the number of prompts that wait for the engines that this gateway owns.
 func (r *Regulator) Waiting() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -231,18 +231,18 @@
 	return n
 }
 
-// wait is Ask at the owner.
-func (r *Regulator) wait(ctx context.Context, p *Prompt, wait time.Duration) Result {
+// acquireLocally is Acquire at the owner.
+func (r *Regulator) acquireLocally(ctx context.Context, p *Prompt, wait time.Duration) Result {
 	decided := make(chan bool, 1)
 	r.mu.Lock()
 	e := r.engine(p.Backend)
-	e.askedAt = r.Clock.Now()
-	if !e.add(e.askedAt, p) {
+	e.lastRequestAt = r.Clock.Now()
+	if !e.add(e.lastRequestAt, p) {
 		defer r.mu.Unlock()
-		return Result{Backlog: e.backlog(p), Slow: p.HasAlternative && e.dispenser.TooSlow(e.askedAt, p.slot())}
+		return Result{Backlog: e.backlog(p), Slow: p.HasAlternative && e.granter.TooSlow(e.lastRequestAt, p.slotRequest())}
 	}
 	e.waiting[p.Key] = decided
-	e.grant(e.askedAt)
+	e.grant(e.lastRequestAt)
 	backlog := e.backlog(p)
 	r.mu.Unlock()
 	select {
@@ -260,8 +260,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !e.pacer.Withdraw(p.Key) && !e.dispenser.Withdraw(p.Key) {
-		// It was decided meanwhile, or a call that came twice has taken its place.
+	if !e.pacer.Withdraw(p.Key) && !e.granter.Withdraw(p.Key) {
+		// It was decided meanwhile, or a duplicate call has replaced it.
 		select {
 		case granted := <-decided:
 			return Result{Granted: granted, Key: p.Key, Backlog: backlog}
@@ -273,10 +273,10 @@
 	return Result{Backlog: e.backlog(p)}
 }
 
-// add lets a request wait, and reports whether it does.
+// add queues a request, and reports whether it did.
 func (e *engine) add(now time.Time, p *Prompt) bool {
 	if p.Slots > 0 {
-		return e.dispenser.Add(now, p.slot())
+		return e.granter.Add(now, p.slotRequest())
 	}
 	e.pacer.Add(p.GrantRequest)
 	return true
@@ -284,12 +284,12 @@
 
 func (e *engine) backlog(p *Prompt) time.Duration {
 	if p.Slots > 0 {
-		return e.dispenser.Backlog()
+		return e.granter.Backlog()
 	}
 	return e.pacer.Backlog()
 }
 
-func (r *Regulator) end(backend, key string, read bool) {
+func (r *Regulator) release(backend, key string, read bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := r.engines[backend]
@@ -297,7 +297,7 @@
 		return
 	}
 	now := r.Clock.Now()
-	e.dispenser.Release(now, key, read)
+	e.granter.Release(now, key, read)
 	if read {
 		e.pacer.MarkRead(now, key)
 	} else {
@@ -306,23 +306,23 @@
 	e.grant(now)
 }
 
-// engine returns what is known of an engine. The caller holds the lock.
+// engine returns the state of an engine. The caller holds the lock.
 func (r *Regulator) engine(backend string) *engine {
 	e := r.engines[backend]
 	if e == nil {
 		e = &engine{waiting: map[string]chan bool{}}
-		e.grantLater = func(at time.Time) { r.grantLater(e, at) }
+		e.scheduleGrant = func(at time.Time) { r.scheduleGrant(e, at) }
 		r.engines[backend] = e
 	}
 	return e
 }
 
-// grantLater looks at an engine at a time. The caller holds the lock.
-func (r *Regulator) grantLater(e *engine, at time.Time) {
-	if e.lookAt.Equal(at) {
+// scheduleGrant checks an engine at a time. The caller holds the lock.
+func (r *Regulator) scheduleGrant(e *engine, at time.Time) {
+	if e.nextCheck.Equal(at) {
 		return
 	}
-	e.lookAt = at
+	e.nextCheck = at
 	r.Clock.AfterFunc(at.Sub(r.Clock.Now()), func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -333,23 +333,23 @@
 func (e *engine) grant(now time.Time) {
 	defer func() {
 		if at := e.pacer.NextCheck(); !at.IsZero() {
-			e.grantLater(at)
+			e.scheduleGrant(at)
 		}
 	}()
 	for _, a := range e.pacer.Next(now) {
-		e.tell(a.Key, true)
+		e.notify(a.Key, true)
 	}
-	for _, a := range e.dispenser.Evict(now) {
-		e.tell(a.Key, false)
+	for _, a := range e.granter.Evict(now) {
+		e.notify(a.Key, false)
 	}
-	for _, a := range e.dispenser.Next(now) {
-		e.tell(a.Key, true)
+	for _, a := range e.granter.Next(now) {
+		e.notify(a.Key, true)
 	}
 }
 
-// tell lets a request know whether it may be sent.
-func (e *engine) tell(key string, granted bool) {
-	// A peer's call that comes twice has one key and one waiter.
+// notify sends a request its decision.
+func (e *engine) notify(key string, granted bool) {
+	// Duplicate calls of a peer share one key and one waiter.
 	if decided, ok := e.waiting[key]; ok {
 		decided <- granted
 		delete(e.waiting, key)
@@ -361,33 +361,33 @@
 	Regulator *Regulator
 }
 
-// Admit answers as soon as the prompt may be sent.
+// Admit returns as soon as the prompt may be sent.
 func (s *Server) Admit(ctx context.Context, req *wire.AdmitRequest) (*wire.AdmitResponse, error) {
 	r := s.Regulator
 	now := r.Clock.Now()
 	if req.GetSeen() && r.OnPeerPauses != nil {
 		r.OnPeerPauses(req.GetBackend(), req.GetGateway())
 	}
-	answer := r.wait(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), Deadline: now.Add(milliseconds(req.GetGiveUpMs())), HasAlternative: req.GetElsewhere(), GrantRequest: pacer.GrantRequest{
+	result := r.acquireLocally(ctx, &Prompt{Backend: req.GetBackend(), Slots: int(req.GetSlots()), Deadline: now.Add(milliseconds(req.GetGiveUpMs())), HasAlternative: req.GetElsewhere(), GrantRequest: pacer.GrantRequest{
 		Key: req.GetKey(), Tokens: int(req.GetTokens()), Urgency: req.GetUrgency(),
 		ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())), OnTimeUntil: now.Add(milliseconds(req.GetInTimeForMs())),
 		MaxPause: milliseconds(req.GetPauseMs()), EventInterval: time.Duration(req.GetEventUs()) * time.Microsecond,
 	}}, milliseconds(req.GetWaitMs()))
-	return &wire.AdmitResponse{Granted: answer.Granted, BacklogMs: uint32(answer.Backlog.Milliseconds()), Slow: answer.Slow}, nil
+	return &wire.AdmitResponse{Granted: result.Granted, BacklogMs: uint32(result.Backlog.Milliseconds()), Slow: result.Slow}, nil
 }
 
-// End notes prompts that were read or given up.
+// End releases prompts that were read or abandoned.
 func (s *Server) End(_ context.Context, req *wire.EndRequest) (*wire.EndResponse, error) {
 	for _, p := range req.GetPrompts() {
-		s.Regulator.end(p.GetBackend(), p.GetKey(), p.GetRead())
+		s.Regulator.release(p.GetBackend(), p.GetKey(), p.GetRead())
 	}
 	return &wire.EndResponse{}, nil
 }
 
 func milliseconds[T uint32 | int32](n T) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// askPeer asks another gateway. It reports false if that one does not answer.
-func (r *Regulator) askPeer(ctx context.Context, address string, p *Prompt, wait time.Duration) (Result, bool) {
+// acquireFromPeer requests a grant from another gateway. It returns false if the call failed.
+func (r *Regulator) acquireFromPeer(ctx context.Context, address string, p *Prompt, wait time.Duration) (Result, bool) {
 	now := r.Clock.Now()
 	client := &connector.Client{Timeout: wait + answerMargin, Transport: r.peer(address).transport}
 	res, err := wire.NewPacingProtobufClient("http://"+address, client).Admit(ctx, &wire.AdmitRequest{
@@ -398,9 +398,9 @@
 		Slots: uint32(p.Slots), GiveUpMs: uint32(max(0, p.Deadline.Sub(now).Milliseconds())), Elsewhere: p.HasAlternative,
 	})
 	if err != nil {
-		r.unanswered(ctx, address, err)
+		r.recordFailure(ctx, address, err)
 		return Result{}, false
 	}
-	r.answered(address)
+	r.recordSuccess(address)
 	return Result{Granted: res.GetGranted(), Key: p.Key, Backlog: milliseconds(res.GetBacklogMs()), Slow: res.GetSlow()}, true
 }
--- a/gateway/regulator/regulator_test.go
+++ b/gateway/regulator/regulator_test.go
@@ -17,7 +17,7 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// longWait is a wait that no test lets pass.
+// longWait is a wait that must not elapse in a test.
 const longWait = time.Minute
 
 func newRegulator(self string) *Regulator {
@@ -26,7 +26,7 @@
 	return r
 }
 
-// gateways returns regulators that reach each other, and all addresses.
+// gateways returns regulators that can call each other, and their addresses.
 func gateways(c *qt.C, n int) ([]*Regulator, []string) {
 	var all []*Regulator
 	var addresses []string
@@ -46,7 +46,7 @@
 	return all, addresses
 }
 
-// listOf is a leader's list of gateways.
+// listOf returns a leader's list of gateways.
 func listOf(addresses []string) *wire.SyncResponse {
 	return &wire.SyncResponse{Leads: true, GatewayList: entries(addresses)}
 }
@@ -60,7 +60,7 @@
 	}
 }
 
-// large is a prompt beside which no other fits.
+// large returns a prompt that leaves no room for another.
 func large(backend string) *Prompt {
 	now := time.Now()
 	return &Prompt{Backend: backend, GrantRequest: pacer.GrantRequest{
@@ -94,30 +94,30 @@
 	}
 }
 
-// The leader's list counts, and before one is known the longest; a list that is not sent
-// again holds.
-func TestWhoseListCounts(t *testing.T) {
-	hear := func(controller string, leads bool, addresses ...string) func(*Regulator) {
+// The leader's list is used, and before a leader is known the longest; a list stays valid if it
+// is not sent again.
+func TestWhichGatewayListCounts(t *testing.T) {
+	listFrom := func(controller string, leads bool, addresses ...string) func(*Regulator) {
 		return func(r *Regulator) {
 			r.UpdateGateways(controller, &wire.SyncResponse{Leads: leads, GatewayList: entries(addresses)})
 		}
 	}
 	for name, test := range map[string]struct {
-		news []func(*Regulator)
-		want []string
+		updates []func(*Regulator)
+		want    []string
 	}{
 		"nobody's":          {nil, nil},
-		"the longest":       {[]func(*Regulator){hear("a", false, "1", "2"), hear("b", false, "3")}, []string{"1", "2"}},
-		"the leader's":      {[]func(*Regulator){hear("a", false, "1", "2"), hear("b", true, "3")}, []string{"3"}},
-		"it leads later":    {[]func(*Regulator){hear("a", true, "1"), hear("b", false, "3"), hear("b", true)}, []string{"3"}},
-		"not sent again":    {[]func(*Regulator){hear("a", true, "1"), hear("a", true)}, []string{"1"}},
-		"followers change":  {[]func(*Regulator){hear("a", true, "1"), hear("b", false, "3", "4")}, []string{"1"}},
-		"a leader, no list": {[]func(*Regulator){hear("a", false, "1"), hear("b", true)}, []string{"1"}},
+		"the longest":       {[]func(*Regulator){listFrom("a", false, "1", "2"), listFrom("b", false, "3")}, []string{"1", "2"}},
+		"the leader's":      {[]func(*Regulator){listFrom("a", false, "1", "2"), listFrom("b", true, "3")}, []string{"3"}},
+		"it leads later":    {[]func(*Regulator){listFrom("a", true, "1"), listFrom("b", false, "3"), listFrom("b", true)}, []string{"3"}},
+		"not sent again":    {[]func(*Regulator){listFrom("a", true, "1"), listFrom("a", true)}, []string{"1"}},
+		"followers change":  {[]func(*Regulator){listFrom("a", true, "1"), listFrom("b", false, "3", "4")}, []string{"1"}},
+		"a leader, no list": {[]func(*Regulator){listFrom("a", false, "1"), listFrom("b", true)}, []string{"1"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRegulator("self")
-			for _, tell := range test.news {
-				tell(r)
+			for _, update := range test.updates {
+				update(r)
 			}
 			qt.New(t).Check(r.gateways, qt.DeepEquals, test.want)
 		})
@@ -144,21 +144,21 @@
 	}
 }
 
-// The loss of an owner stops nobody: another takes its place at once, and
-// paces on.
+// The loss of an owner blocks no gateway: another becomes the owner at once and continues
+// pacing.
 func TestLostGatewaysAreNotWaitedFor(t *testing.T) {
 	c := qt.New(t)
 	all, addresses := gateways(c, 2)
-	const nobody = "127.0.0.1:1"
-	all[0].UpdateGateways("controller", listOf(append(addresses, nobody)))
-	id := engineOf(all[0], nobody)
+	const unreachable = "127.0.0.1:1"
+	all[0].UpdateGateways("controller", listOf(append(addresses, unreachable)))
+	id := engineOf(all[0], unreachable)
 	c.Check(all[0].Acquire(context.Background(), large(id), longWait).Granted, qt.IsTrue)
-	c.Check(all[0].owner(id), qt.Not(qt.Equals), nobody)
+	c.Check(all[0].owner(id), qt.Not(qt.Equals), unreachable)
 	c.Check(all[0].Acquire(context.Background(), large(id), 0).Granted, qt.IsFalse)
 }
 
-// With nobody left to ask a gateway paces for itself.
-func TestAGatewayAloneStillPaces(t *testing.T) {
+// A gateway that can reach no other paces for itself.
+func TestIsolatedGatewayStillPaces(t *testing.T) {
 	c := qt.New(t)
 	r := newRegulator("self")
 	r.UpdateGateways("controller", listOf([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4"}))
@@ -166,8 +166,8 @@
 	c.Check(r.Acquire(context.Background(), large("engine"), 0).Granted, qt.IsFalse)
 }
 
-// A call that comes twice, with one key, ends no process and holds up nobody.
-func TestCallsThatComeTwice(t *testing.T) {
+// Duplicate calls with one key must neither crash the process nor block other calls.
+func TestDuplicateCalls(t *testing.T) {
 	c := qt.New(t)
 	r := newRegulator("self")
 	server := &Server{Regulator: r}
@@ -181,31 +181,31 @@
 			ended <- err == nil && res != nil
 		}()
 	}
-	for r.asked("engine") < 2 {
+	for r.waitingPrompts("engine") < 2 {
 		runtime.Gosched()
 	}
-	r.end("engine", "first", true)
-	r.end("engine", "twice", false)
+	r.release("engine", "first", true)
+	r.release("engine", "twice", false)
 	c.Check(<-ended, qt.IsTrue)
 	c.Check(<-ended, qt.IsTrue)
 }
 
-// admission asks for a prompt beside which no other fits.
+// admission returns a request for a prompt that leaves no room for another.
 func admission(key string, wait time.Duration) *wire.AdmitRequest {
 	return &wire.AdmitRequest{
 		Backend: "engine", Key: key, Tokens: 1 << 20, PauseMs: 300, InTimeForMs: 1000, WaitMs: uint32(wait.Milliseconds()),
 	}
 }
 
-// asked returns how many prompts wait in the pacer of an engine.
-func (r *Regulator) asked(backend string) int {
+// waitingPrompts returns how many prompts wait in the pacer of an engine.
+func (r *Regulator) waitingPrompts(backend string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.engine(backend).pacer.Waiting()
 }
 
-// A caller that leaves leaves nothing behind that others wait for.
-func TestLeavingCallersAreForgotten(t *testing.T) {
+// A caller that disconnects leaves no grant behind that others would wait for.
+func TestDisconnectedCallersAreRemoved(t *testing.T) {
 	c := qt.New(t)
 	all, addresses := gateways(c, 2)
 	id := engineOf(all[0], addresses[1])
@@ -223,17 +223,17 @@
 	c.Check(all[0].Acquire(context.Background(), large(id), longWait).Granted, qt.IsTrue)
 }
 
-func TestEnginesThatNobodyAsksForAreForgotten(t *testing.T) {
+func TestUnusedEnginesAreRemoved(t *testing.T) {
 	c := qt.New(t)
 	clock := clockwork.NewFakeClock()
 	r := newRegulator("self")
 	r.Clock = clock
 	answer := r.Acquire(context.Background(), large("engine"), longWait)
 	r.Release("engine", answer.Key, true)
-	r.look()
+	r.checkEngines()
 	c.Check(r.engines, qt.HasLen, 1)
-	clock.Advance(keepFor + time.Second)
-	r.look()
+	clock.Advance(engineTTL + time.Second)
+	r.checkEngines()
 	c.Check(r.engines, qt.HasLen, 0)
 }
 
@@ -245,27 +245,28 @@
 	return list
 }
 
-// A request that runs out of time while it waits hears so at once, and not when its wait ends.
-func TestAnEvictedRequestHearsAtOnce(t *testing.T) {
+// A request that runs out of time while it waits is notified at once, and not when its wait
+// ends.
+func TestEvictedRequestsAreNotifiedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	clock := clockwork.NewFakeClock()
 	r := newRegulator("self")
 	r.Clock = clock
-	ask := func(urgency uint32) Result {
+	acquire := func(urgency uint32) Result {
 		now := clock.Now()
 		return r.Acquire(context.Background(), &Prompt{Backend: "b", Slots: 1, Deadline: now.Add(time.Hour), GrantRequest: pacer.GrantRequest{
 			Urgency: urgency, ReceivedAt: now, OnTimeUntil: now.Add(100 * time.Millisecond),
 		}}, time.Hour)
 	}
-	c.Assert(ask(0).Granted, qt.IsTrue)
-	c.Assert(ask(0).Granted, qt.IsTrue)
+	c.Assert(acquire(0).Granted, qt.IsTrue)
+	c.Assert(acquire(0).Granted, qt.IsTrue)
 	answers := make(chan Result)
-	go func() { answers <- ask(1) }()
+	go func() { answers <- acquire(1) }()
 	for r.Waiting() == 0 {
 		runtime.Gosched()
 	}
 	for refused := false; !refused; {
-		// Urgent ones wait until there is no room for another.
+		// Urgent requests wait until there is no room for another.
 		waiting := r.Waiting()
 		ctx, cancel := context.WithCancel(context.Background())
 		c.Cleanup(cancel)
@@ -287,6 +288,6 @@
 		}
 	}
 	clock.Advance(90 * time.Millisecond)
-	r.look()
+	r.checkEngines()
 	c.Check((<-answers).Granted, qt.IsFalse)
 }
