--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -6,16 +6,16 @@
 	"bronzelead.example/pkg/admitter"
 )
 
-func (s *Scheduler) arrive(now time.Time, j *Job) {
+func (s *Scheduler) submit(now time.Time, j *Job) {
 	s.nextID++
 	j.id = admitter.RequestID(s.nextID)
 	j.arrived = now
 	switch {
 	case s.stopping:
-		j.answer <- verdict{refusal: &Refusal{Reason: Stopping, RetryAfter: time.Second}}
+		j.decided <- decision{refusal: &Refusal{Reason: Stopping, RetryAfter: time.Second}}
 		return
 	case !s.liveAt(now):
-		j.answer <- verdict{refusal: &Refusal{Reason: NoQuorum, RetryAfter: noSessionFor}}
+		j.decided <- decision{refusal: &Refusal{Reason: NoQuorum, RetryAfter: retryWithoutSession}}
 		return
 	}
 	admitted, refusal := s.admitter.Submit(now, admitter.Request{
@@ -23,7 +23,7 @@
 	})
 	switch {
 	case refusal != nil:
-		j.answer <- verdict{refusal: refusalOf(*refusal)}
+		j.decided <- decision{refusal: refusalOf(*refusal)}
 	case admitted:
 		s.jobs[j.id] = j
 		s.admit(now, j)
@@ -46,9 +46,9 @@
 	s.place(now, j)
 }
 
-// place sends an admitted job to a backend server, or lets it wait for one.
+// place sends an admitted job to a backend server, or makes it wait for one.
 func (s *Scheduler) place(now time.Time, j *Job) {
-	if refusal := s.stillAllowed(now, j); refusal != nil {
+	if refusal := s.recheckContract(now, j); refusal != nil {
 		s.refuse(now, j, refusal)
 		return
 	}
@@ -56,7 +56,7 @@
 		return
 	}
 	if !s.Router.Knows(j.BaseModel, j.Want.Service) {
-		s.refuse(now, j, &Refusal{Reason: NoBackend, RetryAfter: noBackendFor})
+		s.refuse(now, j, &Refusal{Reason: NoBackend, RetryAfter: retryWithoutBackend})
 		return
 	}
 	s.waiting = append(s.waiting, j)
@@ -66,9 +66,8 @@
 	s.RequestRenewal()
 }
 
-// stillAllowed looks at the contract once more: it may have changed while the job
-// was queued.
-func (s *Scheduler) stillAllowed(now time.Time, j *Job) *Refusal {
+// recheckContract checks the contract again, as it may have changed while the job was queued.
+func (s *Scheduler) recheckContract(now time.Time, j *Job) *Refusal {
 	t := s.Registrar.ByCustomer(j.Customer)
 	switch {
 	case t == nil, j.Want.Adapter != "" && t.Adapter(j.Want.Adapter) == nil,
@@ -83,7 +82,7 @@
 func (s *Scheduler) assign(now time.Time, j *Job) bool {
 	c := s.Router.Pick(now, j.Want)
 	if c == nil && len(j.Want.Avoid) > 0 {
-		// Every server failed once; the least bad of them is better than none.
+		// Every server has failed once; the best of them is better than none.
 		j.Want.Avoid = nil
 		c = s.Router.Pick(now, j.Want)
 	}
@@ -94,71 +93,71 @@
 	if j.Want.Adapter != "" {
 		s.Router.Started(j.Want.Adapter, j.BaseModel)
 	}
-	j.phase, j.current, j.assigned = assigned, c, now
-	j.answer <- verdict{candidate: c}
+	j.phase, j.candidate, j.assigned = assigned, c, now
+	j.decided <- decision{candidate: c}
 	return true
 }
 
-// end notes that a job's request at its present server is over.
-func (s *Scheduler) end(now time.Time, j *Job, failed, missing bool) {
-	s.Router.End(now, j.current, failed)
+// completeAttempt ends a job's request at its current server.
+func (s *Scheduler) completeAttempt(now time.Time, j *Job, failed, missing bool) {
+	s.Router.End(now, j.candidate, failed)
 	if missing {
-		s.Router.Missing(j.current)
+		s.Router.Missing(j.candidate)
 	}
 	if j.Want.Adapter != "" {
 		s.Router.Ended(j.Want.Adapter)
 	}
 }
 
-// leave takes a job out of the customer's limit.
-func (s *Scheduler) leave(now time.Time, j *Job) {
-	j.phase = gone
+// release removes a job from the customer's limit.
+func (s *Scheduler) release(now time.Time, j *Job) {
+	j.phase = finished
 	delete(s.jobs, j.id)
 	s.admitter.Complete(j.Customer, now.Sub(j.admitted))
 }
 
 func (s *Scheduler) refuse(now time.Time, j *Job, refusal *Refusal) {
-	s.leave(now, j)
-	j.answer <- verdict{refusal: refusal}
+	s.release(now, j)
+	j.decided <- decision{refusal: refusal}
 }
 
-// abandon takes out a job whose caller is gone, wherever it is.
-func (s *Scheduler) abandon(now time.Time, j *Job) {
+// cancel removes a job whose caller has disconnected, in any phase.
+func (s *Scheduler) cancel(now time.Time, j *Job) {
 	switch j.phase {
 	case queued:
 		if s.admitter.Cancel(j.id) {
 			delete(s.jobs, j.id)
-			j.phase = gone
+			j.phase = finished
 		}
 	case unassigned:
 		s.stopWaiting(j)
-		s.leave(now, j)
+		s.release(now, j)
 	case assigned:
-		s.end(now, j, false, false)
-		s.leave(now, j)
-	case gone:
+		s.completeAttempt(now, j, false, false)
+		s.release(now, j)
+	case finished:
 	}
-	s.advance(now)
+	s.admitQueued(now)
 }
 
 func (s *Scheduler) stopWaiting(j *Job) {
 	for i, other := range s.waiting {
 		if other == j {
 			s.waiting = append(s.waiting[:i], s.waiting[i+1:]...)
-			s.unwait(j)
+			s.stopAwaitingAdapter(j)
 			return
 		}
 	}
 }
 
-func (s *Scheduler) unwait(j *Job) {
+func (s *Scheduler) stopAwaitingAdapter(j *Job) {
 	if j.Want.Adapter != "" {
 		s.Router.Unwait(j.Want.Adapter)
 	}
 }
 
-// advance lets queued jobs go on where there is room now.
-func (s *Scheduler) advance(now time.Time) {
+// admitQueued admits queued jobs as far as there is room now.
+func (s *Scheduler) admitQueued(now time.Time) {
 	admitted, refused := s.admitter.Next(now)
 	for _, r := range refused {
 		s.refuseQueued(r)
@@ -174,22 +173,22 @@
 		return
 	}
 	delete(s.jobs, r.ID)
-	j.phase = gone
-	j.answer <- verdict{refusal: refusalOf(r)}
+	j.phase = finished
+	j.decided <- decision{refusal: refusalOf(r)}
 }
 
-// retryWaiting tries to place the jobs that wait for a backend server.
+// retryWaiting retries the assignment of jobs that wait for a backend server.
 func (s *Scheduler) retryWaiting(now time.Time) {
 	waiting := s.waiting
 	s.waiting = nil
 	for _, j := range waiting {
-		refusal := s.stillAllowed(now, j)
+		refusal := s.recheckContract(now, j)
 		switch {
 		case refusal != nil:
-			s.unwait(j)
+			s.stopAwaitingAdapter(j)
 			s.refuse(now, j, refusal)
 		case s.assign(now, j):
-			s.unwait(j)
+			s.stopAwaitingAdapter(j)
 		default:
 			s.waiting = append(s.waiting, j)
 		}
@@ -198,32 +197,32 @@
 
 func (s *Scheduler) tick(now time.Time) {
 	if !s.liveAt(now) {
-		s.refuseAll(now, &Refusal{Reason: NoQuorum, RetryAfter: noSessionFor})
+		s.refuseAll(now, &Refusal{Reason: NoQuorum, RetryAfter: retryWithoutSession})
 		return
 	}
 	for _, r := range s.admitter.RefuseExpired(now) {
 		s.refuseQueued(r)
 	}
 	s.retryWaiting(now)
-	s.advance(now)
+	s.admitQueued(now)
 	s.Router.GiveBackIdle(now)
 	if s.admitter.HasUnmetDemand() || s.Router.Unmet() {
 		s.RequestRenewal()
 	}
 }
 
-// refuseAll answers all that waits at once, when nothing may be sent.
+// refuseAll refuses all waiting jobs at once, when nothing may be sent.
 func (s *Scheduler) refuseAll(now time.Time, refusal *Refusal) {
 	for _, id := range s.admitter.RefuseAll() {
 		j := s.jobs[id]
 		delete(s.jobs, id)
-		j.phase = gone
-		j.answer <- verdict{refusal: refusal}
+		j.phase = finished
+		j.decided <- decision{refusal: refusal}
 	}
 	waiting := s.waiting
 	s.waiting = nil
 	for _, j := range waiting {
-		s.unwait(j)
+		s.stopAwaitingAdapter(j)
 		s.refuse(now, j, refusal)
 	}
 }
--- a/gateway/scheduler/scheduler.go
+++ b/gateway/scheduler/scheduler.go
@@ -1,7 +1,6 @@
-// Package scheduler owns a gateway's decisions: which request goes on, and to which
-// backend server. One goroutine holds the admitter, the router and the gateway's
-// side of its session; request handlers and the renewer call it through a bounded
-// ring.
+// Package scheduler makes a gateway's decisions: which request is admitted, and to which
+// backend server it is sent. One goroutine owns the admitter, the router and the gateway's side
+// of its session; request handlers and the renewer call it through a bounded channel.
 package scheduler
 
 import (
@@ -20,19 +19,19 @@
 )
 
 const (
-	callRing  = 16384
-	tickEvery = 20 * time.Millisecond
-	// driftDivisor is the part of a lease that is given up for clocks that run
-	// apart.
-	driftDivisor = 10
-	noSessionFor = 2 * time.Second
-	noBackendFor = 3 * time.Second
+	callQueueSize = 16384
+	tickInterval  = 20 * time.Millisecond
+	// clockDriftDivisor is the divisor for the part of a lease that is not used, as clocks may
+	// drift apart.
+	clockDriftDivisor   = 10
+	retryWithoutSession = 2 * time.Second
+	retryWithoutBackend = 3 * time.Second
 )
 
-// Reason tells why a request was refused.
+// Reason is why a request was refused.
 type Reason string
 
-// The reasons for a refusal by the scheduler.
+// Reasons for a refusal by the scheduler.
 const (
 	QueueFull  Reason = "QueueFull"
 	TooLate    Reason = "DeadlineTooShort"
@@ -50,7 +49,7 @@
 	RetryAfter time.Duration
 }
 
-// Job is a request on its way through the scheduler.
+// Job is a request in the scheduler.
 type Job struct {
 	Customer  string
 	Priority  int32
@@ -58,19 +57,19 @@
 	Want      router.Want
 	BaseModel string
 
-	id       admitter.RequestID
-	arrived  time.Time
-	admitted time.Time
-	assigned time.Time
-	phase    phase
-	answer   chan verdict
-	current  *router.Candidate
+	id        admitter.RequestID
+	arrived   time.Time
+	admitted  time.Time
+	assigned  time.Time
+	phase     phase
+	decided   chan decision
+	candidate *router.Candidate
 }
 
 // QueueWait is how long the job waited for its customer's limit.
 func (j *Job) QueueWait() time.Duration { return j.admitted.Sub(j.arrived) }
 
-// LoadStall is how long the job waited for its adapter to be usable somewhere.
+// LoadStall is how long the job waited for its adapter to be usable at a backend server.
 func (j *Job) LoadStall() time.Duration { return j.assigned.Sub(j.admitted) }
 
 type phase int
@@ -79,22 +78,21 @@
 	queued phase = iota
 	unassigned
 	assigned
-	gone
+	finished
 )
 
-type verdict struct {
+type decision struct {
 	candidate *router.Candidate
 	refusal   *Refusal
 }
 
-// Scheduler makes the gateway's decisions. Set the exported fields, call Init, then
-// Run.
+// Scheduler makes the gateway's decisions. Set the exported fields, call Init, then Run.
 type Scheduler struct {
 	Clock     clockwork.Clock
 	Log       *slog.Logger
 	Registrar *registrar.Registrar
 	Router    *router.Router
-	// RequestRenewal asks for a renewal soon; it must not block.
+	// RequestRenewal requests an early renewal; it must not block.
 	RequestRenewal func()
 
 	calls     chan func(now time.Time)
@@ -104,24 +102,24 @@
 	nextID    uint64
 	session   session
 	announced map[string]*wire.Backend
-	until     atomic.Int64
-	current   atomic.Uint64
+	liveUntil atomic.Int64
+	sessionID atomic.Uint64
 	origin    time.Time
 	stopping  bool
 }
 
 // Init prepares the scheduler for calls before Run.
 func (s *Scheduler) Init() {
-	s.calls = make(chan func(time.Time), callRing)
+	s.calls = make(chan func(time.Time), callQueueSize)
 	s.admitter = &admitter.Admitter{}
 	s.jobs = map[admitter.RequestID]*Job{}
 	s.announced = map[string]*wire.Backend{}
 	s.origin = s.Clock.Now()
 }
 
-// Run works until ctx ends.
+// Run processes calls until ctx ends.
 func (s *Scheduler) Run(ctx context.Context) {
-	ticker := s.Clock.NewTicker(tickEvery)
+	ticker := s.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -135,15 +133,15 @@
 	}
 }
 
-// HasLiveSession reports whether the gateway's session lets it send work. It may be called
+// HasLiveSession reports whether the gateway's session allows it to send work. It may be called
 // from any goroutine, directly before bytes are written.
 func (s *Scheduler) HasLiveSession() bool { return s.liveAt(s.Clock.Now()) }
 
 func (s *Scheduler) liveAt(now time.Time) bool {
-	return int64(now.Sub(s.origin)) < s.until.Load()
+	return int64(now.Sub(s.origin)) < s.liveUntil.Load()
 }
 
-// ErrNoSession is what Guard returns without a live session.
+// ErrNoSession is what CheckSession returns without a live session.
 var ErrNoSession = errors.New("scheduler: no live session; nothing was sent")
 
 // CheckSession returns an error unless the session is live.
@@ -154,23 +152,23 @@
 	return nil
 }
 
-// Acquire waits until a job may go to a backend server. Exactly one of the results is
-// set. After a candidate was returned, Leave must be called.
+// Acquire waits until a job may be sent to a backend server. Exactly one of the results is set.
+// After a candidate was returned, Complete must be called.
 func (s *Scheduler) Acquire(ctx context.Context, j *Job) (*router.Candidate, *Refusal) {
-	j.answer = make(chan verdict, 1)
-	if !s.try(func(now time.Time) { s.arrive(now, j) }) {
+	j.decided = make(chan decision, 1)
+	if !s.tryCall(func(now time.Time) { s.submit(now, j) }) {
 		return nil, &Refusal{Reason: Overloaded, RetryAfter: time.Second}
 	}
 	return s.await(ctx, j)
 }
 
-// Reassign asks for another backend server for a job whose request did not run at the
-// last one. The job keeps its place in the customer's limit.
+// Reassign requests another backend server for a job that did not run at the last one. The job
+// still counts against the customer's limit.
 func (s *Scheduler) Reassign(ctx context.Context, j *Job, failed, missing bool) (*router.Candidate, *Refusal) {
-	ok := s.try(func(now time.Time) {
-		s.end(now, j, failed, missing)
-		j.Want.Avoid = append(j.Want.Avoid, j.current.Backend.GetName())
-		j.current = nil
+	ok := s.tryCall(func(now time.Time) {
+		s.completeAttempt(now, j, failed, missing)
+		j.Want.Avoid = append(j.Want.Avoid, j.candidate.Backend.GetName())
+		j.candidate = nil
 		j.phase = unassigned
 		s.place(now, j)
 	})
@@ -182,26 +180,26 @@
 
 func (s *Scheduler) await(ctx context.Context, j *Job) (*router.Candidate, *Refusal) {
 	select {
-	case v := <-j.answer:
+	case v := <-j.decided:
 		return v.candidate, v.refusal
 	case <-ctx.Done():
 	}
-	s.call(func(now time.Time) { s.abandon(now, j) })
+	s.call(func(now time.Time) { s.cancel(now, j) })
 	return nil, &Refusal{Reason: CallerGone}
 }
 
-// Complete ends a job that went to a backend server. Failed marks that server as one
-// to try last.
+// Complete ends a job that was sent to a backend server. Failed marks that server as a last
+// choice.
 func (s *Scheduler) Complete(j *Job, failed bool) {
 	s.call(func(now time.Time) {
-		s.end(now, j, failed, false)
-		s.leave(now, j)
-		s.advance(now)
+		s.completeAttempt(now, j, failed, false)
+		s.release(now, j)
+		s.admitQueued(now)
 	})
 }
 
-// try passes a call on unless too many wait.
-func (s *Scheduler) try(f func(now time.Time)) bool {
+// tryCall queues a call unless the queue is full.
+func (s *Scheduler) tryCall(f func(now time.Time)) bool {
 	select {
 	case s.calls <- f:
 		return true
@@ -210,5 +208,5 @@
 	}
 }
 
-// call passes on a call that must not be lost.
+// call queues a call that must not be lost.
 func (s *Scheduler) call(f func(now time.Time)) { s.calls <- f }
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -8,20 +8,20 @@
 
 // session is the gateway's side of its session with the leader.
 type session struct {
-	id       uint64
-	sequence uint64
-	term     uint64
-	revision uint64
-	backends uint64
-	lease    time.Duration
+	id              uint64
+	sequence        uint64
+	term            uint64
+	revision        uint64
+	backendsVersion uint64
+	lease           time.Duration
 }
 
-// BeginSession begins a new session: nothing is held under it yet. Requests under an
-// earlier one go on until they end.
+// BeginSession begins a new session, which holds nothing yet. Requests of an earlier one
+// continue until they end.
 func (s *Scheduler) BeginSession(id uint64, lease time.Duration) {
-	s.wait(func(time.Time) {
+	s.callAndWait(func(time.Time) {
 		s.session = session{id: id, lease: lease, revision: s.session.revision}
-		s.current.Store(id)
+		s.sessionID.Store(id)
 		s.Router.Void()
 		for _, d := range s.admitter.Demands(true) {
 			s.admitter.SetShare(d.Customer, 0)
@@ -29,14 +29,14 @@
 	})
 }
 
-// BuildRenewal makes the next renewal. With full set it lists all that the session holds.
+// BuildRenewal builds the next renewal. With full set it lists all that the session holds.
 func (s *Scheduler) BuildRenewal(full bool) *wire.RenewRequest {
 	req := &wire.RenewRequest{Full: full}
-	s.wait(func(time.Time) {
+	s.callAndWait(func(time.Time) {
 		s.session.sequence++
 		req.Session, req.Sequence = s.session.id, s.session.sequence
 		req.Term, req.Revision = s.session.term, s.session.revision
-		req.BackendsVersion = s.session.backends
+		req.BackendsVersion = s.session.backendsVersion
 		for _, b := range s.announced {
 			req.Announced = append(req.Announced, b)
 		}
@@ -56,12 +56,12 @@
 	return req
 }
 
-// ApplyRenewal takes in the answer to a renewal that was sent at a time.
+// ApplyRenewal applies the response to a renewal that was sent at the given time.
 func (s *Scheduler) ApplyRenewal(sent time.Time, res *wire.RenewResponse) {
-	s.wait(func(now time.Time) {
+	s.callAndWait(func(now time.Time) {
 		s.session.term = res.GetTerm()
 		if res.GetNeedFull() {
-			// A full renewal follows at once and brings the rest.
+			// A full renewal follows at once, and its response has the rest.
 			return
 		}
 		s.Registrar.Apply(res.GetContracts())
@@ -69,9 +69,9 @@
 			s.admitter.SetContract(c)
 		}
 		s.session.revision = max(s.session.revision, res.GetRevision())
-		if res.GetBackendsVersion() != s.session.backends || len(res.GetBackends()) > 0 {
+		if res.GetBackendsVersion() != s.session.backendsVersion || len(res.GetBackends()) > 0 {
 			s.Router.Update(res.GetBackends(), res.GetGone(), res.GetDrained(), res.GetBackendsWhole())
-			s.session.backends = res.GetBackendsVersion()
+			s.session.backendsVersion = res.GetBackendsVersion()
 		}
 		s.Router.Recall(res.GetRecalls())
 		s.Router.Grant(now, res.GetGrants())
@@ -80,25 +80,25 @@
 		}
 		s.extend(sent)
 		s.retryWaiting(now)
-		s.advance(now)
+		s.admitQueued(now)
 	})
 }
 
-// extend lets the session live on, counted from when the renewal left.
+// extend extends the session by the lease, counted from when the renewal was sent.
 func (s *Scheduler) extend(sent time.Time) {
-	lease := s.session.lease - s.session.lease/driftDivisor
-	s.until.Store(max(s.until.Load(), int64(sent.Add(lease).Sub(s.origin))))
+	lease := s.session.lease - s.session.lease/clockDriftDivisor
+	s.liveUntil.Store(max(s.liveUntil.Load(), int64(sent.Add(lease).Sub(s.origin))))
 }
 
-// EndSession takes note that the leader has ended the session.
+// EndSession handles the end of the session by the leader.
 func (s *Scheduler) EndSession() {
-	s.wait(func(now time.Time) {
-		s.until.Store(0)
-		s.refuseAll(now, &Refusal{Reason: NoQuorum, RetryAfter: noSessionFor})
+	s.callAndWait(func(now time.Time) {
+		s.liveUntil.Store(0)
+		s.refuseAll(now, &Refusal{Reason: NoQuorum, RetryAfter: retryWithoutSession})
 	})
 }
 
-// AddAnnouncement takes in what a backend server tells of itself, for the next renewal.
+// AddAnnouncement adds a backend server's announcement to the next renewal.
 func (s *Scheduler) AddAnnouncement(b *wire.Backend) {
 	s.call(func(time.Time) {
 		s.announced[b.GetName()] = b
@@ -108,23 +108,23 @@
 	})
 }
 
-// SessionID returns the id of the present session.
-func (s *Scheduler) SessionID() uint64 { return s.current.Load() }
+// SessionID returns the id of the current session.
+func (s *Scheduler) SessionID() uint64 { return s.sessionID.Load() }
 
-// Stop refuses new requests from here on; those that were taken in are finished.
+// Stop refuses new requests from here on; those that were accepted before are finished.
 func (s *Scheduler) Stop() {
-	s.wait(func(time.Time) { s.stopping = true })
+	s.callAndWait(func(time.Time) { s.stopping = true })
 }
 
 // Idle reports whether no request runs or waits.
 func (s *Scheduler) Idle() bool {
 	idle := false
-	s.wait(func(time.Time) { idle = len(s.jobs) == 0 })
+	s.callAndWait(func(time.Time) { idle = len(s.jobs) == 0 })
 	return idle
 }
 
-// wait runs f in the scheduler's goroutine and waits for it.
-func (s *Scheduler) wait(f func(now time.Time)) {
+// callAndWait runs f in the scheduler's goroutine and waits for it.
+func (s *Scheduler) callAndWait(f func(now time.Time)) {
 	done := make(chan struct{})
 	s.call(func(now time.Time) {
 		f(now)
