--- a/pkg/quarantiner/quarantiner.go
+++ b/pkg/quarantiner/quarantiner.go
@@ -1,11 +1,11 @@
-// Package quarantiner finds the requests under which backend servers end, so that they can
-// be refused. It is pure: reports of how runs ended go in with the time, verdicts come out.
+// Package quarantiner finds the requests that crash backend servers, so that they can be
+// refused. It is pure: reports of runs go in with the time, decisions come out.
 //
-// A backend server runs many requests at once, and all of them are lost with its process:
-// the one that ended it, and others that happened to be there. So a request counts as the
-// cause only if several starts ended under it, none of its runs was completed since, and
-// nothing else explains these ends. Ends without a request to blame, as when a rack loses
-// its power, leave each request with one or two of them.
+// A backend server runs many requests concurrently, and a crash loses all of them: the one that
+// caused it, and others that happened to be there. So a request counts as the cause only if
+// several incarnations crashed under it, none of its runs was completed since, and no other
+// request accounts for these crashes. Crashes without a request to blame, such as a rack that
+// loses power, leave each request with one or two of them.
 package quarantiner
 
 import (
@@ -17,65 +17,64 @@
 )
 
 const (
-	// QuarantineThreshold is how many starts must have ended under a request. Two happen to a
-	// request that is repeated while backend servers fail for other reasons; each further
-	// one costs the streams of all callers there.
+	// QuarantineThreshold is how many incarnations must have crashed under a request. A request
+	// that is retried while backend servers fail for other reasons reaches two; each further
+	// crash costs the streams of all callers there.
 	QuarantineThreshold = 3
-	// SuspectThreshold is from how many on a request counts as suspect: it is not repeated
-	// without need, and runs that it completes are told of.
+	// SuspectThreshold is the number of crashes from which a request counts as suspected: it is
+	// not retried unless necessary, and its completed runs are reported.
 	SuspectThreshold = 2
-	// settle is how long reports of the other gateways are waited for, which tell what else
-	// ran there: they come with the next call, some 150 ms later.
-	settle = 400 * time.Millisecond
-	// settleTogether is the same if runs were not one after the other. A read that a caller
-	// sends many times a second may be at several backend servers that are lost at once; it
-	// is then completed elsewhere, which has the time to be told.
-	settleTogether = 1500 * time.Millisecond
-	// reportSkew is how far apart two gateways may see the same end.
+	// settleDelay is the wait for reports of the other gateways, which say what else ran there:
+	// they come with the next call, some 150 ms later.
+	settleDelay = 400 * time.Millisecond
+	// concurrentSettleDelay is the same if runs were not sequential. A read that a caller sends
+	// many times a second may be at several backend servers that are lost together; it is then
+	// completed elsewhere, and this leaves time for that report.
+	concurrentSettleDelay = 1500 * time.Millisecond
+	// reportSkew is how far apart two gateways may see the same crash.
 	reportSkew = 100 * time.Millisecond
-	// memory is how long ends count: longer than callers go on sending what they do not get
-	// served, as they come back after minutes.
-	memory = 10 * time.Minute
-	// maxEnds bounds the ends that are kept. At most so many starts end in memory at the
-	// largest size, but for outages; of more the oldest are forgotten.
-	maxEnds = 4096
-	// freshCompletion is how old the report of a completed run may be that ends a hold: it comes
-	// with the next call, and runs of what is held are few.
-	freshCompletion = 2 * time.Second
-	// repeatVerdict is when a verdict is given again that has not come into force.
-	repeatVerdict = time.Second
+	// retention is how long crashes count: longer than callers keep resending requests that
+	// fail, since they retry after minutes.
+	retention = 10 * time.Minute
+	// maxCrashes bounds the stored crashes. Except in outages, no more incarnations exit within
+	// the retention at the largest size; beyond it the oldest are discarded.
+	maxCrashes = 4096
+	// maxCompletionAge is the maximum age of a completion that releases a quarantined request:
+	// the report comes with the next call, and quarantined requests run rarely.
+	maxCompletionAge = 2 * time.Second
+	// decisionRetryInterval is when a decision that has not taken effect is repeated.
+	decisionRetryInterval = time.Second
 )
 
-// Quarantiner judges requests by the runs of all gateways that report here. Make one with
-// New.
+// Quarantiner evaluates requests by the runs that all gateways report here. Make one with New.
 type Quarantiner struct {
-	// ends are the starts that ended while they ran requests, by id.
-	ends map[string]*end
-	// runs are what is known of each request that was lost with a start.
-	runs map[string]*record
-	// held are the requests that are refused, by fingerprint.
+	// crashes are the incarnations that exited while they ran requests, by id.
+	crashes map[string]*crash
+	// records hold what is known of each request that was lost in a crash, by fingerprint.
+	records map[string]*record
+	// held are the quarantined requests, by fingerprint.
 	held map[string]*wire.HeldRequest
-	// trials is since when requests are on trial.
+	// trials holds since when requests are on trial.
 	trials map[string]time.Time
-	// given is when a verdict was given that is not in force yet.
-	given map[string]time.Time
-	order []*end
-	// cleared are requests that were completed though they are held.
+	// decided holds when a decision was made that has not taken effect yet.
+	decided map[string]time.Time
+	order   []*crash
+	// cleared are requests that were completed while quarantined.
 	cleared map[string]bool
-	// dropped counts ends that were forgotten early.
+	// dropped counts crashes that were discarded early.
 	dropped int
 }
 
-// end is the end of one start.
-type end struct {
+// crash is the exit of one incarnation with the requests that it ran.
+type crash struct {
 	backend string
 	at      time.Time
 	lost    map[string]*loss
-	// culprits are the requests that are held for it.
+	// culprits are the requests that are quarantined for it.
 	culprits map[string]bool
 }
 
-// loss is one request's part in an end.
+// loss is one request's run that was lost in a crash.
 type loss struct {
 	ran   time.Duration
 	begun bool
@@ -83,86 +82,86 @@
 
 // record is what is known of one request.
 type record struct {
-	about *wire.RunReport
-	ends  map[string]*end
-	// enoughAt is when enough ends had been reported.
-	enoughAt time.Time
+	lastReport *wire.RunReport
+	crashes    map[string]*crash
+	// thresholdAt is when enough crashes had been reported.
+	thresholdAt time.Time
 }
 
-// New returns a quarantiner that knows nothing.
+// New returns an empty quarantiner.
 func New() *Quarantiner {
 	return &Quarantiner{
-		ends: map[string]*end{}, runs: map[string]*record{}, held: map[string]*wire.HeldRequest{},
-		given: map[string]time.Time{}, trials: map[string]time.Time{}, cleared: map[string]bool{},
+		crashes: map[string]*crash{}, records: map[string]*record{}, held: map[string]*wire.HeldRequest{},
+		decided: map[string]time.Time{}, trials: map[string]time.Time{}, cleared: map[string]bool{},
 	}
 }
 
-// Observe takes a report. Reports that come twice, or late, count once.
+// Observe takes a report. Duplicate and delayed reports count once.
 func (q *Quarantiner) Observe(now time.Time, r *wire.RunReport) {
 	switch {
 	case r.GetFingerprint() == "" || r.GetBackend() == "":
 	case r.GetCompleted():
-		q.complete(now, r)
+		q.recordCompletion(now, r)
 	default:
-		q.lose(now, r)
+		q.recordLoss(now, r)
 	}
 }
 
-// complete lets a run that was answered whole speak for its request: against the ends before
-// it, and, if it has just been answered, against its being held. Reports are told again to
-// whoever has started anew, and old ones must not undo what was found out since.
-func (q *Quarantiner) complete(now time.Time, r *wire.RunReport) {
+// recordCompletion clears a request of the crashes before a completed run, and, if the run has
+// just been completed, marks a quarantined request as cleared. Reports are sent again to
+// restarted controllers, and old ones must not undo later findings.
+func (q *Quarantiner) recordCompletion(now time.Time, r *wire.RunReport) {
 	fingerprint, age := r.GetFingerprint(), time.Duration(r.GetAgoMs())*time.Millisecond
-	if q.held[fingerprint] != nil && age <= freshCompletion {
+	if q.held[fingerprint] != nil && age <= maxCompletionAge {
 		q.cleared[fingerprint] = true
 	}
-	q.forgetRunsUntil(fingerprint, now.Add(-age))
+	q.discardCrashesUntil(fingerprint, now.Add(-age))
 }
 
-// forgetRunsUntil lets the ends until then no longer speak against a request.
-func (q *Quarantiner) forgetRunsUntil(fingerprint string, until time.Time) {
-	known := q.runs[fingerprint]
+// discardCrashesUntil removes the crashes up to a time from the evidence against a request.
+func (q *Quarantiner) discardCrashesUntil(fingerprint string, until time.Time) {
+	known := q.records[fingerprint]
 	if known == nil {
 		return
 	}
-	for backend, e := range known.ends {
+	for backend, e := range known.crashes {
 		if !e.at.After(until) {
 			delete(e.lost, fingerprint)
-			delete(known.ends, backend)
+			delete(known.crashes, backend)
 		}
 	}
 	switch {
-	case len(known.ends) == 0:
-		delete(q.runs, fingerprint)
-		delete(q.given, fingerprint)
-	case len(known.ends) < q.enough(fingerprint):
-		known.enoughAt = time.Time{}
+	case len(known.crashes) == 0:
+		delete(q.records, fingerprint)
+		delete(q.decided, fingerprint)
+	case len(known.crashes) < q.threshold(fingerprint):
+		known.thresholdAt = time.Time{}
 	}
 }
 
-// forgetRuns lets the ends so far no longer speak against a request.
-func (q *Quarantiner) forgetRuns(fingerprint string) {
-	known := q.runs[fingerprint]
+// discardCrashes removes all crashes so far from the evidence against a request.
+func (q *Quarantiner) discardCrashes(fingerprint string) {
+	known := q.records[fingerprint]
 	if known == nil {
 		return
 	}
-	for _, e := range known.ends {
+	for _, e := range known.crashes {
 		delete(e.lost, fingerprint)
 	}
-	delete(q.runs, fingerprint)
+	delete(q.records, fingerprint)
 }
 
-func (q *Quarantiner) lose(now time.Time, r *wire.RunReport) {
+func (q *Quarantiner) recordLoss(now time.Time, r *wire.RunReport) {
 	at := now.Add(-time.Duration(r.GetAgoMs()) * time.Millisecond)
-	if now.Sub(at) > memory || q.beforeTrial(at, r) {
+	if now.Sub(at) > retention || q.beforeTrial(at, r) {
 		return
 	}
-	e := q.ends[r.GetBackend()]
+	e := q.crashes[r.GetBackend()]
 	if e == nil {
-		e = &end{backend: r.GetBackend(), at: at, lost: map[string]*loss{}, culprits: map[string]bool{}}
-		q.ends[e.backend] = e
+		e = &crash{backend: r.GetBackend(), at: at, lost: map[string]*loss{}, culprits: map[string]bool{}}
+		q.crashes[e.backend] = e
 		q.order = append(q.order, e)
-		q.bound()
+		q.trim()
 	}
 	if e.lost[r.GetFingerprint()] != nil {
 		return
@@ -171,68 +170,68 @@
 	if q.held[r.GetFingerprint()] != nil {
 		e.culprits[r.GetFingerprint()] = true
 	}
-	known := q.runs[r.GetFingerprint()]
+	known := q.records[r.GetFingerprint()]
 	if known == nil {
-		known = &record{ends: map[string]*end{}}
-		q.runs[r.GetFingerprint()] = known
+		known = &record{crashes: map[string]*crash{}}
+		q.records[r.GetFingerprint()] = known
 	}
-	known.about = r
-	known.ends[e.backend] = e
-	if known.enoughAt.IsZero() && len(known.ends) >= q.enough(r.GetFingerprint()) {
-		known.enoughAt = now
+	known.lastReport = r
+	known.crashes[e.backend] = e
+	if known.thresholdAt.IsZero() && len(known.crashes) >= q.threshold(r.GetFingerprint()) {
+		known.thresholdAt = now
 	}
 }
 
-// beforeTrial reports whether a run was sent before its request was put on trial: it says
-// nothing of the trial, however late it is reported.
+// beforeTrial reports whether a run was sent before its request was put on trial: it is no
+// evidence about the trial, however late it is reported.
 func (q *Quarantiner) beforeTrial(at time.Time, r *wire.RunReport) bool {
 	since, onTrial := q.trials[r.GetFingerprint()]
 	return onTrial && at.Add(-time.Duration(r.GetRanMs())*time.Millisecond).Before(since)
 }
 
-// bound forgets the oldest ends when there are too many.
-func (q *Quarantiner) bound() {
-	for len(q.order) > maxEnds {
+// trim discards the oldest crashes when there are too many.
+func (q *Quarantiner) trim() {
+	for len(q.order) > maxCrashes {
 		q.dropped++
-		q.forget(q.order[0])
+		q.discard(q.order[0])
 		q.order = q.order[1:]
 	}
 }
 
-// Empty reports whether it knows of no end.
-func (q *Quarantiner) Empty() bool { return len(q.ends) == 0 }
+// Empty reports whether no crash is known.
+func (q *Quarantiner) Empty() bool { return len(q.crashes) == 0 }
 
-// Dropped returns how many ends were forgotten early for want of room.
+// Dropped returns how many crashes were discarded early to stay within maxCrashes.
 func (q *Quarantiner) Dropped() int { return q.dropped }
 
-func (q *Quarantiner) forget(e *end) {
-	delete(q.ends, e.backend)
+func (q *Quarantiner) discard(e *crash) {
+	delete(q.crashes, e.backend)
 	for fingerprint := range e.lost {
-		known := q.runs[fingerprint]
-		delete(known.ends, e.backend)
-		if len(known.ends) == 0 {
-			delete(q.runs, fingerprint)
+		known := q.records[fingerprint]
+		delete(known.crashes, e.backend)
+		if len(known.crashes) == 0 {
+			delete(q.records, fingerprint)
 		}
 	}
 }
 
-// Tick forgets what is too old to count.
+// Tick discards expired crashes and decisions.
 func (q *Quarantiner) Tick(now time.Time) {
-	for len(q.order) > 0 && now.Sub(q.order[0].at) > memory {
-		q.forget(q.order[0])
+	for len(q.order) > 0 && now.Sub(q.order[0].at) > retention {
+		q.discard(q.order[0])
 		q.order = q.order[1:]
 	}
-	for fingerprint, at := range q.given {
-		if now.Sub(at) > repeatVerdict {
-			delete(q.given, fingerprint)
+	for fingerprint, at := range q.decided {
+		if now.Sub(at) > decisionRetryInterval {
+			delete(q.decided, fingerprint)
 		}
 	}
 }
 
-// SetHeld takes the requests that are refused, as the replicated state has them.
+// SetHeld sets the quarantined requests from the replicated state.
 func (q *Quarantiner) SetHeld(now time.Time, list []*wire.HeldRequest) {
 	before := q.held
-	defer q.released(before)
+	defer q.discardReleased(before)
 	q.held = make(map[string]*wire.HeldRequest, len(list))
 	for _, h := range list {
 		fingerprint := h.GetFingerprint()
@@ -242,29 +241,29 @@
 			delete(q.trials, fingerprint)
 		case !before[fingerprint].GetOnTrial():
 			q.trials[fingerprint] = now
-			q.forgetRuns(fingerprint)
-			delete(q.given, fingerprint)
+			q.discardCrashes(fingerprint)
+			delete(q.decided, fingerprint)
 		}
 		for _, backend := range h.GetBackends() {
-			if e := q.ends[backend]; e != nil {
+			if e := q.crashes[backend]; e != nil {
 				e.culprits[fingerprint] = true
 			}
 		}
 	}
 }
 
-// released lets the ends of requests no longer count that were held and are so no more.
-func (q *Quarantiner) released(before map[string]*wire.HeldRequest) {
+// discardReleased removes the evidence against requests that are no longer quarantined.
+func (q *Quarantiner) discardReleased(before map[string]*wire.HeldRequest) {
 	for fingerprint := range before {
 		if q.held[fingerprint] == nil {
-			q.forgetRuns(fingerprint)
+			q.discardCrashes(fingerprint)
 			delete(q.trials, fingerprint)
 			delete(q.cleared, fingerprint)
 		}
 	}
 }
 
-// TakeCleared returns the requests that were answered whole though they are held: they are
+// TakeCleared returns and clears the requests that were completed while quarantined: they are
 // not the cause.
 func (q *Quarantiner) TakeCleared() []string {
 	list := slices.Sorted(maps.Keys(q.cleared))
@@ -272,21 +271,20 @@
 	return list
 }
 
-// Crashes returns how many ends of starts speak against a request.
+// Crashes returns the number of crashes that are evidence against a request.
 func (q *Quarantiner) Crashes(fingerprint string) int {
-	known := q.runs[fingerprint]
+	known := q.records[fingerprint]
 	if known == nil {
 		return 0
 	}
-	return len(q.against(fingerprint, known).ends)
+	return len(q.evidenceAgainst(fingerprint, known).crashes)
 }
 
-// Suspects returns the requests that may turn out to be a cause, in the order of their
-// fingerprints.
+// Suspects returns the suspected requests, sorted by fingerprint.
 func (q *Quarantiner) Suspects() []string {
 	var list []string
-	for _, fingerprint := range slices.Sorted(maps.Keys(q.runs)) {
-		if len(q.runs[fingerprint].ends) >= SuspectThreshold && q.Crashes(fingerprint) >= SuspectThreshold {
+	for _, fingerprint := range slices.Sorted(maps.Keys(q.records)) {
+		if len(q.records[fingerprint].crashes) >= SuspectThreshold && q.Crashes(fingerprint) >= SuspectThreshold {
 			list = append(list, fingerprint)
 		}
 	}
--- a/pkg/quarantiner/quarantiner_test.go
+++ b/pkg/quarantiner/quarantiner_test.go
@@ -10,29 +10,30 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// story lets things happen to a quarantiner, a second apart.
-type story struct {
+// fixture drives a quarantiner with a clock that advances one second for each crash.
+type fixture struct {
 	*Quarantiner
 	now time.Time
 }
 
-func newStory() *story { return &story{Quarantiner: New(), now: begin()} }
+func newFixture() *fixture { return &fixture{Quarantiner: New(), now: begin()} }
 
-// lost lets a start end under some requests.
-func (s *story) lost(backend string, fingerprints ...string) {
+// crash reports that an incarnation crashed under some requests.
+func (s *fixture) crash(backend string, fingerprints ...string) {
 	s.now = s.now.Add(time.Second)
 	for _, fingerprint := range fingerprints {
 		s.Observe(s.now, lostAt(fingerprint, backend))
 	}
 }
 
-func (s *story) completed(fingerprint string) {
+func (s *fixture) completed(fingerprint string) {
 	s.Observe(s.now, &wire.RunReport{Fingerprint: fingerprint, Backend: "x", Completed: true})
 }
 
-// verdicts lets enough time pass, and returns what is to be held.
-func (s *story) verdicts() []string {
-	s.now = s.now.Add(settleTogether)
+// decisions advances the clock past the settle delay and returns the fingerprints to
+// quarantine.
+func (s *fixture) decisions() []string {
+	s.now = s.now.Add(concurrentSettleDelay)
 	var list []string
 	for _, h := range s.Evaluate(s.now) {
 		list = append(list, h.GetFingerprint())
@@ -40,7 +41,7 @@
 	return list
 }
 
-func (s *story) held(onTrial bool, fingerprints ...string) {
+func (s *fixture) held(onTrial bool, fingerprints ...string) {
 	var list []*wire.HeldRequest
 	for _, fingerprint := range fingerprints {
 		list = append(list, &wire.HeldRequest{Fingerprint: fingerprint, OnTrial: onTrial})
@@ -48,84 +49,84 @@
 	s.SetHeld(s.now, list)
 }
 
-func TestVerdicts(t *testing.T) {
-	three := func(s *story, with ...string) {
+func TestDecisions(t *testing.T) {
+	three := func(s *fixture, with ...string) {
 		for i := range QuarantineThreshold {
-			s.lost(fmt.Sprint(i), append(with, fmt.Sprint("other ", i))...)
+			s.crash(fmt.Sprint(i), append(with, fmt.Sprint("other ", i))...)
 		}
 	}
 	for name, test := range map[string]struct {
-		happens func(s *story)
-		want    []string
+		act  func(s *fixture)
+		want []string
 	}{
-		"three ends":                  {func(s *story) { three(s, "f") }, []string{"f"}},
-		"two ends":                    {func(s *story) { s.lost("a", "f"); s.lost("b", "f") }, nil},
-		"three runs at two starts":    {func(s *story) { s.lost("a", "f"); s.lost("b", "f"); s.lost("b", "f") }, nil},
-		"a run was completed between": {func(s *story) { s.lost("a", "f"); s.lost("b", "f"); s.completed("f"); s.lost("c", "f") }, nil},
-		"a run is completed after":    {func(s *story) { three(s, "f"); s.completed("f") }, nil},
-		"another has one end more": {func(s *story) {
+		"three crashes":                  {func(s *fixture) { three(s, "f") }, []string{"f"}},
+		"two crashes":                    {func(s *fixture) { s.crash("a", "f"); s.crash("b", "f") }, nil},
+		"three runs at two incarnations": {func(s *fixture) { s.crash("a", "f"); s.crash("b", "f"); s.crash("b", "f") }, nil},
+		"a run was completed between":    {func(s *fixture) { s.crash("a", "f"); s.crash("b", "f"); s.completed("f"); s.crash("c", "f") }, nil},
+		"a run is completed after":       {func(s *fixture) { three(s, "f"); s.completed("f") }, nil},
+		"another has one crash more": {func(s *fixture) {
 			three(s, "f", "g")
-			s.lost("d", "f")
+			s.crash("d", "f")
 		}, []string{"f"}},
-		"as much speaks against both": {func(s *story) { three(s, "f", "g") }, []string{"f", "g"}},
-		"a run from before the trial": {func(s *story) { s.held(true, "f"); s.Observe(s.now, lostAt("f", "a")) }, nil},
-		"one had begun to answer": {func(s *story) {
+		"equal evidence against both": {func(s *fixture) { three(s, "f", "g") }, []string{"f", "g"}},
+		"a run from before the trial": {func(s *fixture) { s.held(true, "f"); s.Observe(s.now, lostAt("f", "a")) }, nil},
+		"one had begun its answer": {func(s *fixture) {
 			for i := range QuarantineThreshold {
-				s.lost(fmt.Sprint(i), "f")
+				s.crash(fmt.Sprint(i), "f")
 				s.Observe(s.now, &wire.RunReport{Fingerprint: "g", Backend: fmt.Sprint(i), Begun: true})
 			}
 		}, []string{"f"}},
-		"what is held explains the others": {func(s *story) {
+		"a quarantined request accounts for the crashes": {func(s *fixture) {
 			s.held(false, "f")
 			three(s, "f", "g")
 		}, nil},
-		"what was held first": {func(s *story) {
+		"the request quarantined first accounts for them": {func(s *fixture) {
 			three(s, "f", "g")
 			s.SetHeld(s.now, []*wire.HeldRequest{{Fingerprint: "f", Backends: []string{"0", "1", "2"}}})
 		}, nil},
-		"the trial is lost":        {func(s *story) { s.held(true, "f"); s.lost("a", "f", "g") }, []string{"f"}},
-		"what came before a trial": {func(s *story) { three(s, "f"); s.held(false, "f"); s.held(true, "f") }, nil},
-		"it was released":          {func(s *story) { three(s, "f"); s.held(false, "f"); s.held(false) }, nil},
-		"too long ago": {func(s *story) {
-			s.lost("a", "f")
-			s.now = s.now.Add(memory + time.Second)
+		"the trial is lost":      {func(s *fixture) { s.held(true, "f"); s.crash("a", "f", "g") }, []string{"f"}},
+		"crashes before a trial": {func(s *fixture) { three(s, "f"); s.held(false, "f"); s.held(true, "f") }, nil},
+		"it was released":        {func(s *fixture) { three(s, "f"); s.held(false, "f"); s.held(false) }, nil},
+		"too long ago": {func(s *fixture) {
+			s.crash("a", "f")
+			s.now = s.now.Add(retention + time.Second)
 			s.Tick(s.now)
-			s.lost("b", "f")
-			s.lost("c", "f")
+			s.crash("b", "f")
+			s.crash("c", "f")
 		}, nil},
-		"a report without a name":    {func(s *story) { three(s, "") }, nil},
-		"all of it is told twice":    {func(s *story) { three(s, "f"); three(s, "f") }, []string{"f"}},
-		"the verdict stands a while": {func(s *story) { three(s, "f"); s.verdicts() }, nil},
+		"a report without a name":            {func(s *fixture) { three(s, "") }, nil},
+		"all reports are duplicated":         {func(s *fixture) { three(s, "f"); three(s, "f") }, []string{"f"}},
+		"a pending decision is not repeated": {func(s *fixture) { three(s, "f"); s.decisions() }, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStory()
-			test.happens(s)
-			qt.New(t).Check(s.verdicts(), qt.DeepEquals, test.want)
+			s := newFixture()
+			test.act(s)
+			qt.New(t).Check(s.decisions(), qt.DeepEquals, test.want)
 		})
 	}
 }
 
-// A verdict that does not come into force is given again.
-func TestVerdictsAreGivenAgain(t *testing.T) {
+// A decision that does not take effect is repeated.
+func TestUncommittedDecisionsAreRepeated(t *testing.T) {
 	c := qt.New(t)
-	s := newStory()
+	s := newFixture()
 	for i := range QuarantineThreshold {
-		s.lost(fmt.Sprint(i), "f")
+		s.crash(fmt.Sprint(i), "f")
 	}
-	c.Assert(s.verdicts(), qt.DeepEquals, []string{"f"})
-	s.now = s.now.Add(2 * repeatVerdict)
+	c.Assert(s.decisions(), qt.DeepEquals, []string{"f"})
+	s.now = s.now.Add(2 * decisionRetryInterval)
 	s.Tick(s.now)
-	c.Check(s.verdicts(), qt.DeepEquals, []string{"f"})
+	c.Check(s.decisions(), qt.DeepEquals, []string{"f"})
 	s.held(false, "f")
-	s.now = s.now.Add(2 * repeatVerdict)
+	s.now = s.now.Add(2 * decisionRetryInterval)
 	s.Tick(s.now)
-	c.Check(s.verdicts(), qt.HasLen, 0)
+	c.Check(s.decisions(), qt.HasLen, 0)
 }
 
-// What is completed though it is held is not the cause.
-func TestWhatIsCompletedIsCleared(t *testing.T) {
+// A request that is completed while quarantined is not the cause.
+func TestCompletedRequestsAreCleared(t *testing.T) {
 	c := qt.New(t)
-	s := newStory()
+	s := newFixture()
 	s.held(false, "f")
 	s.completed("g")
 	s.completed("f")
@@ -133,50 +134,51 @@
 	c.Check(s.TakeCleared(), qt.HasLen, 0)
 }
 
-// A gateway tells again what it has seen to a controller that has started anew, in any order
-// with what others tell. A run that was completed before the ends does not speak against them,
-// and one of long ago does not end a hold.
-func TestOldCompletionsUndoNothing(t *testing.T) {
+// Gateways resend their reports to a restarted controller, in any order with those of others. A
+// completion before the crashes does not clear a request of them, and an old one does not
+// release a quarantined request.
+func TestOutdatedCompletionsAreIgnored(t *testing.T) {
 	for name, test := range map[string]struct {
 		ago  time.Duration
 		want int
 	}{
-		"before all ends":    {20 * time.Second, 1},
+		"before all crashes": {20 * time.Second, 1},
 		"after two of three": {1500 * time.Millisecond, 0},
 		"after all of them":  {0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStory()
+			s := newFixture()
 			for i := range QuarantineThreshold {
-				s.lost(fmt.Sprint(i), "f")
+				s.crash(fmt.Sprint(i), "f")
 			}
 			s.Observe(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: uint32(test.ago.Milliseconds())})
-			qt.New(t).Check(s.verdicts(), qt.HasLen, test.want)
+			qt.New(t).Check(s.decisions(), qt.HasLen, test.want)
 		})
 	}
 	c := qt.New(t)
-	s := newStory()
+	s := newFixture()
 	s.held(false, "f")
 	s.Observe(s.now, &wire.RunReport{Fingerprint: "f", Backend: "x", Completed: true, AgoMs: 60_000})
 	c.Check(s.TakeCleared(), qt.HasLen, 0)
-	// What another leader has released is not released again once it is held anew.
+	// A request that another leader has released is not released again once it is quarantined
+	// anew.
 	s.completed("f")
 	s.held(false)
 	s.held(false, "f")
 	c.Check(s.TakeCleared(), qt.HasLen, 0)
 }
 
-// A read that is at three starts when they end together is completed elsewhere at once,
-// which has the time to be told; runs one after the other need not wait as long.
-func TestEndsTogetherWaitLonger(t *testing.T) {
+// A read that runs at three incarnations when they crash together is completed elsewhere
+// shortly after; the longer delay leaves time for that report. Sequential runs need less.
+func TestConcurrentCrashesSettleLonger(t *testing.T) {
 	for name, test := range map[string]struct {
 		apart time.Duration
 		wait  time.Duration
 		held  int
 	}{
-		"together, soon":          {0, settle, 0},
-		"together, later":         {0, settleTogether, 1},
-		"one after another, soon": {time.Second, settle, 1},
+		"concurrent, after the short delay": {0, settleDelay, 0},
+		"concurrent, after the long delay":  {0, concurrentSettleDelay, 1},
+		"sequential, after the short delay": {time.Second, settleDelay, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			q, now := New(), begin()
@@ -189,17 +191,17 @@
 	}
 }
 
-// An outage of any size takes no more room than is given to it.
-func TestEndsAreBounded(t *testing.T) {
+// Stored crashes stay bounded in an outage of any size.
+func TestCrashesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	q := New()
-	for i := range maxEnds + 50 {
+	for i := range maxCrashes + 50 {
 		q.Observe(begin(), lostAt(fmt.Sprint("f", i), fmt.Sprint(i)))
 	}
-	c.Check(len(q.ends), qt.Equals, maxEnds)
-	c.Check(len(q.runs), qt.Equals, maxEnds)
+	c.Check(len(q.crashes), qt.Equals, maxCrashes)
+	c.Check(len(q.records), qt.Equals, maxCrashes)
 	c.Check(q.Dropped(), qt.Equals, 50)
-	q.Tick(begin().Add(2 * memory))
+	q.Tick(begin().Add(2 * retention))
 	c.Check(q.Empty(), qt.IsTrue)
-	c.Check(q.runs, qt.HasLen, 0)
+	c.Check(q.records, qt.HasLen, 0)
 }
--- a/pkg/quarantiner/verdicts.go
+++ b/pkg/quarantiner/verdicts.go
@@ -8,103 +8,103 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// count is how much speaks against a request.
-type count struct {
-	ends []*end
-	// silent is how many of them came before any part of the answer.
-	silent int
+// evidence is what counts against a request.
+type evidence struct {
+	crashes []*crash
+	// beforeAnswer is how many of them came before any part of the answer.
+	beforeAnswer int
 }
 
-// against returns what no other request explains.
-func (q *Quarantiner) against(fingerprint string, known *record) count {
-	var c count
-	for _, e := range known.ends {
-		if explained(e, fingerprint) {
+// evidenceAgainst returns the crashes that are not attributed to another request.
+func (q *Quarantiner) evidenceAgainst(fingerprint string, known *record) evidence {
+	var c evidence
+	for _, e := range known.crashes {
+		if attributedToOther(e, fingerprint) {
 			continue
 		}
-		c.ends = append(c.ends, e)
+		c.crashes = append(c.crashes, e)
 		if !e.lost[fingerprint].begun {
-			c.silent++
+			c.beforeAnswer++
 		}
 	}
 	return c
 }
 
-// explained reports whether another request is held for an end.
-func explained(e *end, fingerprint string) bool {
+// attributedToOther reports whether only other requests are quarantined for a crash.
+func attributedToOther(e *crash, fingerprint string) bool {
 	return len(e.culprits) > 0 && !e.culprits[fingerprint]
 }
 
-// accused is a request with enough ends against it.
-type accused struct {
+// candidate is a request with enough crashes for a quarantine.
+type candidate struct {
 	fingerprint string
 	known       *record
-	count
+	evidence
 }
 
-// Evaluate returns the requests that are to be refused from now on.
+// Evaluate returns the requests to quarantine from now on.
 func (q *Quarantiner) Evaluate(now time.Time) []*wire.HeldRequest {
-	var verdicts []*wire.HeldRequest
+	var decisions []*wire.HeldRequest
 	for {
-		list := q.accused(now)
+		list := q.candidates(now)
 		if len(list) == 0 {
-			return verdicts
+			return decisions
 		}
-		// What speaks as much against several requests is no reason to let one of them go on.
+		// Requests with equal evidence are all quarantined, as any of them may be the cause.
 		for _, a := range list {
-			if len(a.ends) == len(list[0].ends) && a.silent == list[0].silent {
-				verdicts = append(verdicts, q.blame(now, a))
+			if len(a.crashes) == len(list[0].crashes) && a.beforeAnswer == list[0].beforeAnswer {
+				decisions = append(decisions, q.decide(now, a))
 			}
 		}
 	}
 }
 
-// accused returns the requests with enough against them, those with most first.
-func (q *Quarantiner) accused(now time.Time) []*accused {
-	var list []*accused
-	for fingerprint, known := range q.runs {
-		if len(known.ends) < q.enough(fingerprint) || !q.given[fingerprint].IsZero() {
+// candidates returns the requests with enough evidence against them, strongest first.
+func (q *Quarantiner) candidates(now time.Time) []*candidate {
+	var list []*candidate
+	for fingerprint, known := range q.records {
+		if len(known.crashes) < q.threshold(fingerprint) || !q.decided[fingerprint].IsZero() {
 			continue
 		}
-		a := &accused{fingerprint: fingerprint, known: known, count: q.against(fingerprint, known)}
-		if len(a.ends) >= q.enough(fingerprint) && now.Sub(known.enoughAt) >= a.settleTime(q.held[fingerprint]) {
+		a := &candidate{fingerprint: fingerprint, known: known, evidence: q.evidenceAgainst(fingerprint, known)}
+		if len(a.crashes) >= q.threshold(fingerprint) && now.Sub(known.thresholdAt) >= a.requiredDelay(q.held[fingerprint]) {
 			list = append(list, a)
 		}
 	}
-	slices.SortFunc(list, func(a, b *accused) int {
-		return cmp.Or(cmp.Compare(len(b.ends), len(a.ends)), cmp.Compare(b.silent, a.silent), cmp.Compare(a.fingerprint, b.fingerprint))
+	slices.SortFunc(list, func(a, b *candidate) int {
+		return cmp.Or(cmp.Compare(len(b.crashes), len(a.crashes)), cmp.Compare(b.beforeAnswer, a.beforeAnswer), cmp.Compare(a.fingerprint, b.fingerprint))
 	})
 	return list
 }
 
-// enough returns how many ends speak for holding a request: one for a request on trial,
-// which has cost enough already.
-func (q *Quarantiner) enough(fingerprint string) int {
+// threshold returns how many crashes quarantine a request: one for a request on trial, which
+// has crashed enough servers already.
+func (q *Quarantiner) threshold(fingerprint string) int {
 	switch h := q.held[fingerprint]; {
 	case h == nil:
 		return QuarantineThreshold
 	case h.GetOnTrial():
 		return 1
 	}
-	return maxEnds + 1
+	return maxCrashes + 1
 }
 
-// settleTime returns how long what speaks against a request has to stand.
-func (a *accused) settleTime(held *wire.HeldRequest) time.Duration {
+// requiredDelay returns how long the evidence against a request must have stood.
+func (a *candidate) requiredDelay(held *wire.HeldRequest) time.Duration {
 	switch {
 	case held != nil:
 		return 0
-	case a.oneAfterTheOther():
-		return settle
+	case a.sequential():
+		return settleDelay
 	}
-	return settleTogether
+	return concurrentSettleDelay
 }
 
-// oneAfterTheOther reports whether enough runs began after the end of the one before.
-func (a *accused) oneAfterTheOther() bool {
-	slices.SortFunc(a.ends, func(x, y *end) int { return x.at.Compare(y.at) })
+// sequential reports whether enough runs began after the crash of the one before.
+func (a *candidate) sequential() bool {
+	slices.SortFunc(a.crashes, func(x, y *crash) int { return x.at.Compare(y.at) })
 	chain, last := 0, time.Time{}
-	for _, e := range a.ends {
+	for _, e := range a.crashes {
 		began := e.at.Add(-e.lost[a.fingerprint].ran)
 		if chain == 0 || !began.Before(last.Add(-reportSkew)) {
 			chain++
@@ -114,17 +114,17 @@
 	return chain >= QuarantineThreshold
 }
 
-// blame makes a request the cause of what speaks against it.
-func (q *Quarantiner) blame(now time.Time, a *accused) *wire.HeldRequest {
-	q.given[a.fingerprint] = now
-	verdict := &wire.HeldRequest{
-		Fingerprint: a.fingerprint, Service: a.known.about.GetService(), Model: a.known.about.GetModel(),
-		Place: a.known.about.GetPlace(), Caller: a.known.about.GetCaller(),
+// decide attributes the crashes to a request and returns the quarantine decision.
+func (q *Quarantiner) decide(now time.Time, a *candidate) *wire.HeldRequest {
+	q.decided[a.fingerprint] = now
+	decision := &wire.HeldRequest{
+		Fingerprint: a.fingerprint, Service: a.known.lastReport.GetService(), Model: a.known.lastReport.GetModel(),
+		Place: a.known.lastReport.GetPlace(), Caller: a.known.lastReport.GetCaller(),
 	}
-	for _, e := range a.ends {
+	for _, e := range a.crashes {
 		e.culprits[a.fingerprint] = true
-		verdict.Backends = append(verdict.Backends, e.backend)
+		decision.Backends = append(decision.Backends, e.backend)
 	}
-	slices.Sort(verdict.Backends)
-	return verdict
+	slices.Sort(decision.Backends)
+	return decision
 }
--- a/pkg/quarantiner/witness.go
+++ b/pkg/quarantiner/witness.go
@@ -7,46 +7,46 @@
 )
 
 const (
-	// confirmWithin is how long after its loss a request is remembered, until it is known
-	// whether the process that ran it has ended: a start that follows announces itself
-	// within a few announcements.
-	confirmWithin = 10 * time.Second
-	// maxLosses bounds the losses that wait to be confirmed, and maxReports the reports that
-	// are kept; of more the oldest are forgotten.
+	// confirmTimeout is how long a loss waits for confirmation that the process exited: a
+	// following incarnation announces itself within a few announcements.
+	confirmTimeout = 10 * time.Second
+	// maxLosses bounds the losses that await confirmation; further ones are ignored. maxReports
+	// bounds the stored reports; beyond it the oldest are dropped.
 	maxLosses  = 4096
 	maxReports = 4096
-	// maxTold bounds the reports in one call, some 130 bytes each.
-	maxTold = 256
-	// completedAgainAfter is the least time between two reports that runs of a request are
-	// completed: a caller may send it many times a second.
-	completedAgainAfter = 500 * time.Millisecond
+	// maxReportsPerCall bounds the reports in one call, some 130 bytes each.
+	maxReportsPerCall = 256
+	// completionInterval is the minimum time between two reports of completed runs of a
+	// request: a caller may send it many times a second.
+	completionInterval = 500 * time.Millisecond
 )
 
-// CrashReporter holds what one gateway has seen of runs that were lost, until it is known whether
-// the process that ran them has ended, and the reports of those where it has, which are told
-// to all controllers. A lost answer alone says nothing: connections are reset and cut, and
-// backend servers that leave end what still runs. Make one with NewWitness.
+// CrashReporter holds the lost runs that one gateway has seen until it is known whether the
+// process that ran them has exited, and the confirmed reports, which are sent to all
+// controllers. A lost answer alone is no evidence: connections are reset, networks are
+// partitioned, and backend servers that shut down cancel their remaining runs. Make one with
+// NewCrashReporter.
 type CrashReporter struct {
-	losses map[string][]*lossSeen
-	waits  int
-	// leaving are starts that have said that they leave.
+	losses    map[string][]*pendingLoss
+	lossCount int
+	// leaving are incarnations that have announced that they shut down.
 	leaving map[string]time.Time
-	// ended are starts that ended, and when that was confirmed.
-	ended   map[string]time.Time
-	reports []reportKept
-	// next numbers the next report.
+	// exited holds when the exit of an incarnation was confirmed.
+	exited  map[string]time.Time
+	reports []storedReport
+	// next is the number of the next report.
 	next uint64
-	// told holds which ends and completions have a report.
-	told      map[reportKey]bool
+	// reported holds the lost runs that have a report.
+	reported  map[reportKey]bool
 	completed map[string]time.Time
 }
 
-type lossSeen struct {
+type pendingLoss struct {
 	report *wire.RunReport
 	at     time.Time
 }
 
-type reportKept struct {
+type storedReport struct {
 	report *wire.RunReport
 	// at is when the run ended.
 	at time.Time
@@ -54,117 +54,116 @@
 
 type reportKey struct{ fingerprint, backend string }
 
-// NewCrashReporter returns a witness that has seen nothing.
+// NewCrashReporter returns an empty reporter.
 func NewCrashReporter() *CrashReporter {
 	return &CrashReporter{
-		losses: map[string][]*lossSeen{}, leaving: map[string]time.Time{}, ended: map[string]time.Time{},
-		told: map[reportKey]bool{}, completed: map[string]time.Time{},
+		losses: map[string][]*pendingLoss{}, leaving: map[string]time.Time{}, exited: map[string]time.Time{},
+		reported: map[reportKey]bool{}, completed: map[string]time.Time{},
 	}
 }
 
-// RecordLoss notes that a run was lost at a start that is named in its report.
-func (w *CrashReporter) RecordLoss(now time.Time, report *wire.RunReport) {
+// RecordLoss records a lost run at the incarnation named in its report.
+func (c *CrashReporter) RecordLoss(now time.Time, report *wire.RunReport) {
 	backend := report.GetBackend()
-	if !w.leaving[backend].IsZero() {
+	if !c.leaving[backend].IsZero() {
 		return
 	}
-	if !w.ended[backend].IsZero() {
-		w.keep(report, now)
+	if !c.exited[backend].IsZero() {
+		c.store(report, now)
 		return
 	}
-	if w.waits >= maxLosses {
+	if c.lossCount >= maxLosses {
 		return
 	}
-	w.waits++
-	w.losses[backend] = append(w.losses[backend], &lossSeen{report: report, at: now})
+	c.lossCount++
+	c.losses[backend] = append(c.losses[backend], &pendingLoss{report: report, at: now})
 }
 
-// Unconfirmed reports whether it is open if a start has ended at which runs were lost.
-func (w *CrashReporter) Unconfirmed(backend string) bool { return len(w.losses[backend]) > 0 }
+// Unconfirmed reports whether lost runs await confirmation that an incarnation has exited.
+func (c *CrashReporter) Unconfirmed(backend string) bool { return len(c.losses[backend]) > 0 }
 
-// RecordLeaving notes that a start has said that it leaves.
-func (w *CrashReporter) RecordLeaving(now time.Time, backend string) {
-	w.leaving[backend] = now
-	w.drop(backend)
+// RecordLeaving records that an incarnation has announced that it shuts down.
+func (c *CrashReporter) RecordLeaving(now time.Time, backend string) {
+	c.leaving[backend] = now
+	c.drop(backend)
 }
 
-// RecordExit notes that the process of a start has ended without notice, as its address says or
-// another start there.
-func (w *CrashReporter) RecordExit(now time.Time, backend string) {
-	if !w.leaving[backend].IsZero() || !w.ended[backend].IsZero() {
+// RecordExit records that the process of an incarnation has exited without notice, as a refused
+// connection or another incarnation at its address shows.
+func (c *CrashReporter) RecordExit(now time.Time, backend string) {
+	if !c.leaving[backend].IsZero() || !c.exited[backend].IsZero() {
 		return
 	}
-	if len(w.losses[backend]) == 0 {
+	if len(c.losses[backend]) == 0 {
 		return
 	}
-	w.ended[backend] = now
-	for _, l := range w.losses[backend] {
-		w.keep(l.report, l.at)
+	c.exited[backend] = now
+	for _, l := range c.losses[backend] {
+		c.store(l.report, l.at)
 	}
-	w.drop(backend)
+	c.drop(backend)
 }
 
-func (w *CrashReporter) drop(backend string) {
-	w.waits -= len(w.losses[backend])
-	delete(w.losses, backend)
+func (c *CrashReporter) drop(backend string) {
+	c.lossCount -= len(c.losses[backend])
+	delete(c.losses, backend)
 }
 
-// RecordCompletion notes that a run was answered whole.
-func (w *CrashReporter) RecordCompletion(now time.Time, report *wire.RunReport) {
-	if now.Sub(w.completed[report.GetFingerprint()]) < completedAgainAfter {
+// RecordCompletion records a run that was answered completely.
+func (c *CrashReporter) RecordCompletion(now time.Time, report *wire.RunReport) {
+	if now.Sub(c.completed[report.GetFingerprint()]) < completionInterval {
 		return
 	}
-	w.completed[report.GetFingerprint()] = now
+	c.completed[report.GetFingerprint()] = now
 	report.Completed = true
-	w.keep(report, now)
+	c.store(report, now)
 }
 
-// Receive takes reports of gateways that follow this one.
-func (w *CrashReporter) Receive(now time.Time, reports []*wire.RunReport) {
+// Receive takes reports of the gateways that follow this one.
+func (c *CrashReporter) Receive(now time.Time, reports []*wire.RunReport) {
 	for _, r := range reports {
-		w.keep(r, now.Add(-time.Duration(r.GetAgoMs())*time.Millisecond))
+		c.store(r, now.Add(-time.Duration(r.GetAgoMs())*time.Millisecond))
 	}
 }
 
-func (w *CrashReporter) keep(r *wire.RunReport, at time.Time) {
+func (c *CrashReporter) store(r *wire.RunReport, at time.Time) {
 	key := reportKey{r.GetFingerprint(), r.GetBackend()}
 	if !r.GetCompleted() {
-		if w.told[key] {
+		if c.reported[key] {
 			return
 		}
-		w.told[key] = true
+		c.reported[key] = true
 	}
-	w.next++
-	w.reports = append(w.reports, reportKept{report: r, at: at})
-	if len(w.reports) > maxReports {
-		w.forgetFirst()
+	c.next++
+	c.reports = append(c.reports, storedReport{report: r, at: at})
+	if len(c.reports) > maxReports {
+		c.dropOldest()
 	}
 }
 
-func (w *CrashReporter) forgetFirst() {
-	r := w.reports[0].report
-	delete(w.told, reportKey{r.GetFingerprint(), r.GetBackend()})
-	w.reports = w.reports[1:]
+func (c *CrashReporter) dropOldest() {
+	r := c.reports[0].report
+	delete(c.reported, reportKey{r.GetFingerprint(), r.GetBackend()})
+	c.reports = c.reports[1:]
 }
 
-// Reports returns what was reported after the report with a number, and the number of the
-// last of them.
-func (w *CrashReporter) Reports(now time.Time, after uint64) ([]*wire.RunReport, uint64) {
-	first := w.next - uint64(len(w.reports))
+// Reports returns the reports after the one with a number, and the number of the last of them.
+func (c *CrashReporter) Reports(now time.Time, after uint64) ([]*wire.RunReport, uint64) {
+	first := c.next - uint64(len(c.reports))
 	from := max(after, first) - first
-	if after > w.next || from >= uint64(len(w.reports)) {
-		return nil, w.next
+	if after > c.next || from >= uint64(len(c.reports)) {
+		return nil, c.next
 	}
-	kept := w.reports[from:]
-	kept = kept[:min(len(kept), maxTold)]
-	list := make([]*wire.RunReport, len(kept))
-	for i, k := range kept {
+	page := c.reports[from:]
+	page = page[:min(len(page), maxReportsPerCall)]
+	list := make([]*wire.RunReport, len(page))
+	for i, k := range page {
 		list[i] = withAge(k.report, now.Sub(k.at))
 	}
-	return list, first + from + uint64(len(kept))
+	return list, first + from + uint64(len(page))
 }
 
-// withAge returns a report as it is told now.
+// withAge returns a copy of a report with its current age.
 func withAge(r *wire.RunReport, age time.Duration) *wire.RunReport {
 	return &wire.RunReport{
 		Fingerprint: r.GetFingerprint(), Service: r.GetService(), Model: r.GetModel(), Place: r.GetPlace(), Caller: r.GetCaller(),
@@ -173,27 +172,27 @@
 	}
 }
 
-// Empty reports whether nothing waits to be confirmed or told.
-func (w *CrashReporter) Empty() bool { return len(w.losses) == 0 && len(w.reports) == 0 }
+// Empty reports whether there are neither unconfirmed losses nor reports.
+func (c *CrashReporter) Empty() bool { return len(c.losses) == 0 && len(c.reports) == 0 }
 
-// Tick forgets what is too old to count.
-func (w *CrashReporter) Tick(now time.Time) {
-	for backend, list := range w.losses {
-		if now.Sub(list[len(list)-1].at) > confirmWithin {
-			w.drop(backend)
+// Tick drops expired losses and reports.
+func (c *CrashReporter) Tick(now time.Time) {
+	for backend, list := range c.losses {
+		if now.Sub(list[len(list)-1].at) > confirmTimeout {
+			c.drop(backend)
 		}
 	}
-	for len(w.reports) > 0 && now.Sub(w.reports[0].at) > memory {
-		w.forgetFirst()
+	for len(c.reports) > 0 && now.Sub(c.reports[0].at) > retention {
+		c.dropOldest()
 	}
-	forgetOld(w.leaving, now)
-	forgetOld(w.ended, now)
-	forgetOld(w.completed, now)
+	dropExpired(c.leaving, now)
+	dropExpired(c.exited, now)
+	dropExpired(c.completed, now)
 }
 
-func forgetOld(times map[string]time.Time, now time.Time) {
+func dropExpired(times map[string]time.Time, now time.Time) {
 	for key, at := range times {
-		if now.Sub(at) > memory {
+		if now.Sub(at) > retention {
 			delete(times, key)
 		}
 	}
--- a/pkg/quarantiner/witness_test.go
+++ b/pkg/quarantiner/witness_test.go
@@ -16,21 +16,21 @@
 	return &wire.RunReport{Fingerprint: fingerprint, Backend: backend, RanMs: 100}
 }
 
-// Only a process that has ended without notice is reported, and each run there once.
-func TestWhatIsReported(t *testing.T) {
+// Only processes that exited without notice are reported, and each lost run once.
+func TestOnlyConfirmedCrashesAreReported(t *testing.T) {
 	for name, test := range map[string]struct {
-		happens func(w *CrashReporter)
+		act     func(w *CrashReporter)
 		reports int
 	}{
 		"a lost answer alone": {func(w *CrashReporter) { w.RecordLoss(begin(), lostAt("f", "b")) }, 0},
-		"an end alone":        {func(w *CrashReporter) { w.RecordExit(begin(), "b") }, 0},
-		"two runs and the end": {func(w *CrashReporter) {
+		"an exit alone":       {func(w *CrashReporter) { w.RecordExit(begin(), "b") }, 0},
+		"two runs and the exit": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordLoss(begin(), lostAt("g", "b"))
 			w.RecordExit(begin(), "b")
 		}, 2},
-		"the end of another start": {func(w *CrashReporter) { w.RecordLoss(begin(), lostAt("f", "b")); w.RecordExit(begin(), "c") }, 0},
-		"the end is told twice": {func(w *CrashReporter) {
+		"the exit of another incarnation": {func(w *CrashReporter) { w.RecordLoss(begin(), lostAt("f", "b")); w.RecordExit(begin(), "c") }, 0},
+		"the exit is reported twice": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordExit(begin(), "b")
 			w.RecordExit(begin(), "b")
@@ -40,36 +40,36 @@
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordExit(begin(), "b")
 		}, 1},
-		"a loss is noticed late": {func(w *CrashReporter) {
+		"a loss is detected late": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordExit(begin(), "b")
 			w.RecordLoss(begin(), lostAt("g", "b"))
 		}, 2},
-		"it had said that it leaves": {func(w *CrashReporter) {
+		"it had announced its shutdown": {func(w *CrashReporter) {
 			w.RecordLeaving(begin(), "b")
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordExit(begin(), "b")
 		}, 0},
-		"it says so after the loss": {func(w *CrashReporter) {
+		"it announces its shutdown after the loss": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordLeaving(begin(), "b")
 			w.RecordExit(begin(), "b")
 		}, 0},
-		"the end is known long after the loss": {func(w *CrashReporter) {
+		"the exit is known long after the loss": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.Tick(begin().Add(time.Minute))
 			w.RecordExit(begin(), "b")
 		}, 0},
-		"a follower tells the same": {func(w *CrashReporter) {
+		"a follower reports the same": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordExit(begin(), "b")
 			w.Receive(begin(), []*wire.RunReport{lostAt("f", "b")})
 		}, 1},
-		"a run is completed again and again": {func(w *CrashReporter) {
+		"a run is completed repeatedly": {func(w *CrashReporter) {
 			w.RecordCompletion(begin(), lostAt("f", "b"))
 			w.RecordCompletion(begin(), lostAt("f", "b"))
 		}, 1},
-		"all of it is old": {func(w *CrashReporter) {
+		"all of it has expired": {func(w *CrashReporter) {
 			w.RecordLoss(begin(), lostAt("f", "b"))
 			w.RecordExit(begin(), "b")
 			w.Tick(begin().Add(time.Hour))
@@ -78,7 +78,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			w := NewCrashReporter()
-			test.happens(w)
+			test.act(w)
 			reports, last := w.Reports(begin(), 0)
 			c.Check(reports, qt.HasLen, test.reports)
 			again, _ := w.Reports(begin(), last)
@@ -87,10 +87,10 @@
 	}
 }
 
-// Whoever asks for what came after what it knows misses nothing, in parts that a call can
-// carry, and of more than is kept the latest.
-func TestReportsComeInParts(t *testing.T) {
-	for name, n := range map[string]int{"few": 3, "more than a call carries": maxTold + 7, "more than are kept": maxReports + 100} {
+// Reports are returned in pages that fit into a call, without omissions; of more than are
+// stored the newest remain.
+func TestReportsArePaged(t *testing.T) {
+	for name, n := range map[string]int{"few": 3, "more than fit into a call": maxReportsPerCall + 7, "more than are stored": maxReports + 100} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			w := NewCrashReporter()
@@ -105,7 +105,7 @@
 				if len(reports) == 0 {
 					break
 				}
-				c.Assert(len(reports) <= maxTold, qt.IsTrue)
+				c.Assert(len(reports) <= maxReportsPerCall, qt.IsTrue)
 				c.Check(reports[0].GetAgoMs(), qt.Equals, uint32(1000))
 				known, seen = last, seen+len(reports)
 			}
