--- a/pkg/tracker/tracker.go
+++ b/pkg/tracker/tracker.go
@@ -1,6 +1,5 @@
-// Package tracker decides which backend servers there are, from what they announce of
-// themselves: late, out of order, to any controller, and with addresses that are used
-// again. It is pure.
+// Package tracker maintains the set of backend servers from their announcements, which may be
+// delayed, reordered, sent to any controller, and carry reused addresses. It is pure.
 package tracker
 
 import (
@@ -14,63 +13,63 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// FinalSequence orders a departure after all other announcements of a start.
+// FinalSequence orders a departure after all other announcements of an incarnation.
 const FinalSequence = math.MaxUint64
 
-// trustedSequence is the number of announcements after which a start that nobody knew
-// may take over the address of one that is heard. An announcement that was held up by a
-// cut comes from an earlier start and has a high number, but comes alone.
-const trustedSequence = 3
+// maxFirstSequence is the highest sequence with which the first announcement received from an
+// incarnation may take over the address of an active one. An announcement that a network
+// partition delayed has a high sequence from an earlier incarnation, but comes alone.
+const maxFirstSequence = 3
 
 // Tracker holds the backend servers. Set the exported fields before use.
 type Tracker struct {
-	// SilentAfter is the time without an announcement after which one counts as silent.
+	// SilentAfter is the time without an announcement after which a server counts as silent.
 	SilentAfter time.Duration
-	// ForgetAfter is the time after which one that left or is silent is forgotten.
+	// ForgetAfter is the time after which a departed or silent server is forgotten.
 	ForgetAfter time.Duration
 
 	entries   map[string]*entry
 	byAddress map[string]string
-	// latest is the latest start of each name that tells when it began.
+	// latest is the latest incarnation of each name that reports its start time.
 	latest   map[string]*entry
 	revision uint64
 }
 
 type entry struct {
-	info     *wire.Announcement
-	heard    time.Time
-	advances int
-	revision uint64
+	info          *wire.Announcement
+	lastContactAt time.Time
+	accepted      int
+	revision      uint64
 }
 
-// Observe takes an announcement. It reports whether it was news, which is to be passed on,
-// and whether it changes what gateways have to know.
-func (t *Tracker) Observe(now time.Time, a *wire.Announcement) (news, changed bool) {
+// Observe takes an announcement. It reports whether it was new, and is to be forwarded, and
+// whether it changes what gateways must know.
+func (t *Tracker) Observe(now time.Time, a *wire.Announcement) (isNew, changed bool) {
 	if t.entries == nil {
 		t.entries, t.byAddress, t.latest = map[string]*entry{}, map[string]string{}, map[string]*entry{}
 	}
-	a = t.ofStart(now, a)
+	a = t.resolveIncarnation(now, a)
 	if a == nil {
 		return false, false
 	}
 	if a.GetGone() {
-		return t.noteGone(now, a)
+		return t.observeDeparture(now, a)
 	}
 	e := t.entries[a.GetId()]
 	if e == nil {
 		e = &entry{info: &wire.Announcement{}}
-		t.enter(a, e)
+		t.addEntry(a, e)
 	} else if a.GetSequence() <= e.info.GetSequence() {
 		return false, false
 	}
 	before := e.info
 	e.info = proto.CloneOf(a)
 	e.info.Silent = false
-	// A start that drains never becomes ready again.
+	// An incarnation that drains never becomes ready again.
 	e.info.Draining = e.info.GetDraining() || before.GetDraining()
-	e.heard = now
-	e.advances++
-	changed = t.takeAddress(now, e)
+	e.lastContactAt = now
+	e.accepted++
+	changed = t.assignAddress(now, e)
 	if !sameForGateways(before, e.info) {
 		t.touch(e)
 		changed = true
@@ -78,19 +77,19 @@
 	return true, changed
 }
 
-// enter takes a start up that was not known.
-func (t *Tracker) enter(a *wire.Announcement, e *entry) {
+// addEntry adds an unknown incarnation.
+func (t *Tracker) addEntry(a *wire.Announcement, e *entry) {
 	t.entries[a.GetId()] = e
 	if a.GetBornMs() > 0 {
 		t.latest[a.GetName()] = e
 	}
 }
 
-// ofStart returns an announcement with the start that it is of, or nil if that start is
-// over. A backend server may keep its name when it starts again: the later start then
-// ends the earlier one, and what that said last, though it may come later and with a
-// higher number, changes nothing. Words that don't tell their start are of the latest.
-func (t *Tracker) ofStart(now time.Time, a *wire.Announcement) *wire.Announcement {
+// resolveIncarnation returns an announcement with its incarnation filled in, or nil if that
+// incarnation has been replaced. A backend server may keep its name across restarts: the later
+// incarnation then ends the earlier one, whose delayed announcements are ignored even with a
+// higher sequence. Announcements without a start time belong to the latest incarnation.
+func (t *Tracker) resolveIncarnation(now time.Time, a *wire.Announcement) *wire.Announcement {
 	if a.GetName() == "" {
 		a = proto.CloneOf(a)
 		a.Name = a.GetId()
@@ -98,7 +97,7 @@
 	latest := t.latest[a.GetName()]
 	switch {
 	case latest == nil && a.GetBornMs() > 0:
-		// The start may have been known before it told when it began.
+		// The incarnation may have been known before it reported its start time.
 		t.replace(now, t.entries[a.GetName()])
 	case latest == nil || a.GetBornMs() == latest.info.GetBornMs():
 	case a.GetBornMs() == 0:
@@ -112,36 +111,36 @@
 	return a
 }
 
-// replace ends a start whose name a later one has.
+// replace ends an incarnation whose name a later one has.
 func (t *Tracker) replace(now time.Time, e *entry) {
 	if e == nil || e.info.GetReplaced() {
 		return
 	}
 	e.info = proto.CloneOf(e.info)
 	e.info.Gone, e.info.Replaced, e.info.Sequence = true, true, FinalSequence
-	e.heard = now
+	e.lastContactAt = now
 	t.touch(e)
 }
 
-func (t *Tracker) noteGone(now time.Time, a *wire.Announcement) (news, changed bool) {
+func (t *Tracker) observeDeparture(now time.Time, a *wire.Announcement) (isNew, changed bool) {
 	e := t.entries[a.GetId()]
 	if e == nil {
-		// Nothing is known of it; the note keeps late announcements out.
+		// The incarnation is unknown; the entry keeps delayed announcements out.
 		e = &entry{info: proto.CloneOf(a)}
-		t.enter(a, e)
+		t.addEntry(a, e)
 	} else if e.info.GetGone() {
 		return false, false
 	}
 	e.info = proto.CloneOf(e.info)
 	e.info.Gone, e.info.Draining, e.info.Sequence = true, true, FinalSequence
-	e.heard = now
+	e.lastContactAt = now
 	t.touch(e)
 	return true, true
 }
 
-// takeAddress gives an address to the start that announced itself there last, and ends
-// the one that had it before.
-func (t *Tracker) takeAddress(now time.Time, e *entry) bool {
+// assignAddress assigns an address to the incarnation that announced itself there last, and
+// ends the previous one.
+func (t *Tracker) assignAddress(now time.Time, e *entry) bool {
 	address := e.info.GetAddress()
 	holder := t.byAddress[address]
 	if holder == e.info.GetId() {
@@ -149,8 +148,8 @@
 	}
 	previous := t.entries[holder]
 	if previous != nil && !previous.info.GetGone() {
-		heard := now.Sub(previous.heard) < t.SilentAfter
-		if heard && e.advances == 1 && e.info.GetSequence() > trustedSequence {
+		active := now.Sub(previous.lastContactAt) < t.SilentAfter
+		if active && e.accepted == 1 && e.info.GetSequence() > maxFirstSequence {
 			return false
 		}
 		previous.info = proto.CloneOf(previous.info)
@@ -161,8 +160,8 @@
 	return true
 }
 
-// sameForGateways reports whether two announcements differ in nothing but the sequence
-// and what an engine holds.
+// sameForGateways reports whether two announcements differ in nothing but the sequence and the
+// holdings of an engine.
 func sameForGateways(a, b *wire.Announcement) bool {
 	return a.GetService() == b.GetService() && a.GetAddress() == b.GetAddress() && a.GetZone() == b.GetZone() &&
 		a.GetSlots() == b.GetSlots() && a.GetDraining() == b.GetDraining() && a.GetGone() == b.GetGone() &&
@@ -174,15 +173,16 @@
 	e.revision = t.revision
 }
 
-// Tick lets time pass and reports whether something changed. A controller that hears
-// nothing at all is cut off itself; its own silence says nothing.
+// Tick marks silent backend servers and drops expired ones; it reports whether any became
+// silent. A controller that receives no announcements at all is itself partitioned and marks
+// none.
 func (t *Tracker) Tick(now time.Time) bool {
-	if t.deaf(now) {
+	if t.partitioned(now) {
 		return false
 	}
 	changed := false
 	for id, e := range t.entries {
-		silence := now.Sub(e.heard)
+		silence := now.Sub(e.lastContactAt)
 		if silence > t.ForgetAfter {
 			delete(t.entries, id)
 			if t.byAddress[e.info.GetAddress()] == id {
@@ -203,9 +203,9 @@
 	return changed
 }
 
-func (t *Tracker) deaf(now time.Time) bool {
+func (t *Tracker) partitioned(now time.Time) bool {
 	for _, e := range t.entries {
-		if !e.info.GetGone() && now.Sub(e.heard) <= t.SilentAfter {
+		if !e.info.GetGone() && now.Sub(e.lastContactAt) <= t.SilentAfter {
 			return false
 		}
 	}
@@ -231,7 +231,7 @@
 	return list
 }
 
-// Get returns what is known of a start, or nil.
+// Get returns the last announcement of an incarnation, or nil.
 func (t *Tracker) Get(id string) *wire.Announcement {
 	if e := t.entries[id]; e != nil {
 		return e.info
@@ -239,7 +239,7 @@
 	return nil
 }
 
-// All returns all starts that have not left, sorted by id.
+// All returns all incarnations that have not left, sorted by id.
 func (t *Tracker) All() []*wire.Announcement {
 	var list []*wire.Announcement
 	for _, id := range slices.Sorted(maps.Keys(t.entries)) {
