--- a/pkg/disseminator/disseminator.go
+++ b/pkg/disseminator/disseminator.go
@@ -1,10 +1,10 @@
-// Package spreader keeps what a gateway knows of the system and decides what it tells the
-// gateways that follow it, and what it tells upwards of them. It is pure: answers and
-// calls of others go in with the time, answers come out.
+// Package disseminator keeps a gateway's view of the system and decides what it sends to the
+// gateways that follow it, and what it reports upwards about them. It is pure: responses and
+// calls of others go in with the time, responses come out.
 //
-// Loads, demand and uses are added up on the way up, so that a controller hears of a zone
-// from a few gateways. On the way down only what has changed is told. The revisions are
-// those of the leader, so that a gateway may go on with any other one that knows as much.
+// Loads, demand and uses are aggregated on the way up, so that a controller receives those of a
+// zone from a few gateways. On the way down only changes are sent. The revisions are those of
+// the leader, so that a gateway can switch to any other one that is as up to date.
 package disseminator
 
 import (
@@ -18,37 +18,37 @@
 )
 
 const (
-	// FollowerLease is how long a follower's loads count after its last call: a few calls
-	// of 150 ms each.
+	// FollowerLease is how long a follower's loads count after its last call: a few calls of
+	// 150 ms each.
 	FollowerLease = 700 * time.Millisecond
-	// tellEvery is the least time between two answers to one follower that only tell where
-	// adapters are, unless its requests wait for one of them. It is a small part of the time
+	// holdingsInterval is the minimum time between two answers to one follower that contain
+	// only holdings, unless its requests wait for one of them. It is a small part of the time
 	// of a load, and keeps an instance with 16 followers below 2% of a core.
-	tellEvery = 50 * time.Millisecond
-	// leaderLease is how long a leader's word is passed on as one: longer than a change of
+	holdingsInterval = 50 * time.Millisecond
+	// leaderLease is how long a leader's state is forwarded as current: longer than a change of
 	// leaders takes.
 	leaderLease = 2 * time.Second
-	// wantLease is how long a follower is told at once of an adapter that it asked for.
+	// wantLease is how long a follower is notified immediately of an adapter that it requested.
 	wantLease = 3 * time.Second
-	// maxGone bounds the backend servers that have left and are still told of, so that
-	// nobody who is behind keeps them.
-	maxGone = 4096
+	// maxDeparted bounds the departed backend servers that are still announced, so that
+	// gateways that lag behind drop them too.
+	maxDeparted = 4096
 )
 
-// Disseminator holds what one gateway knows. Set the exported fields, then call Init.
+// Disseminator holds one gateway's view. Set the exported fields, then call Init.
 type Disseminator struct {
 	Self *wire.GatewayEntry
-	// Epoch differs from that of any other process, and of any other start of this one.
+	// Epoch differs between any two processes, also between incarnations of this one.
 	Epoch uint64
 
 	holdings      *Holdings
-	announcements map[string]*announced
-	// announcing is the revision of the latest change of the announcements.
-	announcing uint64
-	gone       int
-	versions   map[string]*wire.AdapterVersion
-	versionSum uint64
-	// suspects are the leader's list with that number; a higher number is later.
+	announcements map[string]*announcementEntry
+	// announcementRevision is the revision of the latest change of the announcements.
+	announcementRevision uint64
+	departed             int
+	versions             map[string]*wire.AdapterVersion
+	versionSum           uint64
+	// suspects are the leader's list at suspectsRevision; a higher revision is later.
 	suspects         []*wire.Suspect
 	suspectsRevision uint64
 	table            *wire.RoutingTable
@@ -59,95 +59,95 @@
 	gatewaysRevision    uint64
 	gatewayCount        uint32
 
-	// term is that of the leader that was heard last, whose word is as of leaderAt;
-	// contactAt is when any controller was heard.
+	// term is that of the last known leader, whose state is as of leaderAt; contactAt is when
+	// any controller last answered.
 	term      uint64
 	leaderAt  time.Time
 	contactAt time.Time
-	// outside are the loads of all gateways but this one and its followers.
-	outside map[string]uint32
-	// inside are the loads of the followers.
-	inside    *LoadTotals
-	followers map[string]*follower
+	// externalLoads are the loads of all gateways except this one and its followers.
+	externalLoads map[string]uint32
+	// followerLoads are the loads of the followers.
+	followerLoads *LoadTotals
+	followers     map[string]*follower
 	// members are the followers, and theirs.
 	members         []*wire.GatewayEntry
 	membersRevision uint64
 }
 
-type announced struct {
+type announcementEntry struct {
 	info     *wire.Announcement
 	revision uint64
 }
 
-// Init prepares the spreader for use.
-func (s *Disseminator) Init() {
-	s.holdings = NewHoldings()
-	s.announcements = map[string]*announced{}
-	s.versions = map[string]*wire.AdapterVersion{}
-	s.outside = map[string]uint32{}
-	s.inside = NewLoadTotals()
-	s.followers = map[string]*follower{}
+// Init prepares the disseminator for use.
+func (d *Disseminator) Init() {
+	d.holdings = NewHoldings()
+	d.announcements = map[string]*announcementEntry{}
+	d.versions = map[string]*wire.AdapterVersion{}
+	d.externalLoads = map[string]uint32{}
+	d.followerLoads = NewLoadTotals()
+	d.followers = map[string]*follower{}
 }
 
-// SuspectsRevision returns the number of the list of suspects that is known, 0 for none.
-func (s *Disseminator) SuspectsRevision() uint64 { return s.suspectsRevision }
+// SuspectsRevision returns the revision of the known list of suspects, 0 for none.
+func (d *Disseminator) SuspectsRevision() uint64 { return d.suspectsRevision }
 
-func (s *Disseminator) hearSuspects(res *wire.SyncResponse) {
-	if res.GetSuspectsRevision() > s.suspectsRevision {
-		s.suspects, s.suspectsRevision = res.GetSuspects(), res.GetSuspectsRevision()
+func (d *Disseminator) receiveSuspects(res *wire.SyncResponse) {
+	if res.GetSuspectsRevision() > d.suspectsRevision {
+		d.suspects, d.suspectsRevision = res.GetSuspects(), res.GetSuspectsRevision()
 	}
 }
 
-// HoldingRevision returns up to which revision the holdings are known.
-func (s *Disseminator) HoldingRevision() uint64 { return s.holdings.Revision() }
+// HoldingRevision returns the revision up to which the holdings are known.
+func (d *Disseminator) HoldingRevision() uint64 { return d.holdings.Revision() }
 
-// Gateways returns all gateways, by the word of the leader.
-func (s *Disseminator) Gateways() []*wire.GatewayEntry { return s.gateways }
+// Gateways returns all gateways, as listed by the leader.
+func (d *Disseminator) Gateways() []*wire.GatewayEntry { return d.gateways }
 
-// Controllers returns the addresses of all controllers that were told of.
-func (s *Disseminator) Controllers() []string { return s.controllers }
+// Controllers returns the addresses of all known controllers.
+func (d *Disseminator) Controllers() []string { return d.controllers }
 
-// ContactAge returns how long ago any controller was heard, directly or through others.
-func (s *Disseminator) ContactAge(now time.Time) time.Duration { return now.Sub(s.contactAt) }
+// ContactAge returns the time since any controller answered, directly or through others.
+func (d *Disseminator) ContactAge(now time.Time) time.Duration { return now.Sub(d.contactAt) }
 
-// LeaderAge returns how old the leader's word is that is known.
-func (s *Disseminator) LeaderAge(now time.Time) time.Duration { return now.Sub(s.leaderAt) }
+// LeaderAge returns the age of the known state of the leader.
+func (d *Disseminator) LeaderAge(now time.Time) time.Duration { return now.Sub(d.leaderAt) }
 
-// Receive takes an answer of a controller or of another gateway. It returns the same answer
-// with whole holdings in place of differences, and those of backend servers that it tells
-// of for the first time. It reports false if a difference left a gap: then everything has
-// to be asked for.
-func (s *Disseminator) Receive(now time.Time, res *wire.SyncResponse) (*wire.SyncResponse, bool) {
-	s.contactAt = latest(s.contactAt, now.Add(-milliseconds(res.GetContactAgeMs())))
-	news := withoutHoldings(res)
-	changed := s.hearAnnouncements(res.GetAnnouncements())
+// Receive takes a response of a controller or of another gateway. It returns the same response
+// with complete holdings in place of differences, and with those of newly announced backend
+// servers. It reports false if a difference left a gap: then the complete state must be
+// requested.
+func (d *Disseminator) Receive(now time.Time, res *wire.SyncResponse) (*wire.SyncResponse, bool) {
+	d.contactAt = latest(d.contactAt, now.Add(-milliseconds(res.GetContactAgeMs())))
+	update := withoutHoldings(res)
+	changed := d.receiveAnnouncements(res.GetAnnouncements())
 	for _, v := range res.GetVersions() {
-		s.hearVersion(v)
+		d.receiveVersion(v)
 	}
-	if t := res.GetTable(); t.GetVersion() > s.table.GetVersion() {
-		s.table = t
+	if t := res.GetTable(); t.GetVersion() > d.table.GetVersion() {
+		d.table = t
 	}
 	if list := res.GetControllers(); len(list) > 0 {
-		s.controllers, s.controllersRevision = list, ListRevision(list)
+		d.controllers, d.controllersRevision = list, ListRevision(list)
 	}
-	s.hearGateways(res)
-	whole := true
-	if res.GetLeads() && res.GetTerm() >= s.term {
-		s.term = res.GetTerm()
-		s.leaderAt = latest(s.leaderAt, now.Add(-milliseconds(res.GetLeaderAgeMs())))
+	d.receiveGateways(res)
+	complete := true
+	if res.GetLeads() && res.GetTerm() >= d.term {
+		d.term = res.GetTerm()
+		d.leaderAt = latest(d.leaderAt, now.Add(-milliseconds(res.GetLeaderAgeMs())))
 		var engines []string
-		engines, whole = s.holdings.Apply(res.GetHoldingRevision(), res.GetHoldingsSince(), res.GetHoldings())
-		s.wake(now, engines)
-		s.decline(res.GetDeclined())
-		s.hearSuspects(res)
+		engines, complete = d.holdings.Apply(res.GetHoldingRevision(), res.GetHoldingsSince(), res.GetHoldings())
+		d.markUrgent(now, engines)
+		d.markDeclined(res.GetDeclined())
+		d.receiveSuspects(res)
 		changed = append(changed, engines...)
-		s.hearLoads(res)
+		d.receiveLoads(res)
 	} else {
-		news.Leads, news.HasLoads, news.Loads = false, false, nil
+		update.Leads, update.HasLoads, update.Loads = false, false, nil
 	}
-	news.Term = s.holdings.Term()
-	news.Holdings = s.wholeOf(changed)
-	return news, whole
+	update.Term = d.holdings.Term()
+	update.Holdings = d.fullHoldings(changed)
+	return update, complete
 }
 
 func withoutHoldings(res *wire.SyncResponse) *wire.SyncResponse {
@@ -160,97 +160,97 @@
 	}
 }
 
-// hearAnnouncements takes announcements and returns the backend servers that are new.
-func (s *Disseminator) hearAnnouncements(list []*wire.Announcement) []string {
-	var fresh []string
+// receiveAnnouncements takes announcements and returns the new backend servers.
+func (d *Disseminator) receiveAnnouncements(list []*wire.Announcement) []string {
+	var added []string
 	for _, a := range list {
-		known := s.announcements[a.GetId()]
+		known := d.announcements[a.GetId()]
 		switch {
 		case a.GetId() == "":
 			continue
 		case known == nil:
-			known = &announced{}
-			s.announcements[a.GetId()] = known
-			fresh = append(fresh, a.GetId())
+			known = &announcementEntry{}
+			d.announcements[a.GetId()] = known
+			added = append(added, a.GetId())
 		case a.GetSequence() < known.info.GetSequence() || proto.Equal(a, known.info):
 			continue
 		}
 		if a.GetGone() && !known.info.GetGone() {
-			s.gone++
-			s.holdings.Drop(a.GetId())
+			d.departed++
+			d.holdings.Drop(a.GetId())
 		}
-		s.announcing++
-		known.info, known.revision = a, s.announcing
+		d.announcementRevision++
+		known.info, known.revision = a, d.announcementRevision
 	}
-	s.forgetGone()
-	return fresh
+	d.pruneDeparted()
+	return added
 }
 
-// forgetGone forgets the backend servers that left first, when there are too many.
-func (s *Disseminator) forgetGone() {
-	if s.gone <= maxGone {
+// pruneDeparted drops the backend servers that left first, when there are too many.
+func (d *Disseminator) pruneDeparted() {
+	if d.departed <= maxDeparted {
 		return
 	}
 	var revisions []uint64
-	for _, a := range s.announcements {
+	for _, a := range d.announcements {
 		if a.info.GetGone() {
 			revisions = append(revisions, a.revision)
 		}
 	}
 	slices.Sort(revisions)
 	limit := revisions[len(revisions)/2]
-	for id, a := range s.announcements {
+	for id, a := range d.announcements {
 		if a.info.GetGone() && a.revision <= limit {
-			delete(s.announcements, id)
-			s.gone--
+			delete(d.announcements, id)
+			d.departed--
 		}
 	}
 }
 
-func (s *Disseminator) hearVersion(v *wire.AdapterVersion) {
+func (d *Disseminator) receiveVersion(v *wire.AdapterVersion) {
 	key := v.GetModel() + "/" + v.GetAdapter()
-	if known := s.versions[key]; v.GetVersion() > known.GetVersion() {
-		s.versionSum += v.GetVersion() - known.GetVersion()
-		s.versions[key] = v
+	if known := d.versions[key]; v.GetVersion() > known.GetVersion() {
+		d.versionSum += v.GetVersion() - known.GetVersion()
+		d.versions[key] = v
 	}
 }
 
-// hearGateways takes the list of gateways of a leader, or of anybody before one is known.
-func (s *Disseminator) hearGateways(res *wire.SyncResponse) {
-	fromLeader := res.GetLeads() && res.GetTerm() >= s.term
-	if list := res.GetGatewayList(); len(list) > 0 && (fromLeader || s.term == 0) {
-		s.gateways, s.gatewaysRevision = list, res.GetGatewaysRevision()
+// receiveGateways takes the leader's list of gateways, or anybody's before a leader is known.
+func (d *Disseminator) receiveGateways(res *wire.SyncResponse) {
+	fromLeader := res.GetLeads() && res.GetTerm() >= d.term
+	if list := res.GetGatewayList(); len(list) > 0 && (fromLeader || d.term == 0) {
+		d.gateways, d.gatewaysRevision = list, res.GetGatewaysRevision()
 	}
 	if fromLeader {
-		s.gatewayCount = res.GetGateways()
+		d.gatewayCount = res.GetGateways()
 	}
 }
 
-func (s *Disseminator) hearLoads(res *wire.SyncResponse) {
+func (d *Disseminator) receiveLoads(res *wire.SyncResponse) {
 	if !res.GetHasLoads() {
 		return
 	}
-	clear(s.outside)
+	clear(d.externalLoads)
 	for _, l := range res.GetLoads() {
-		s.outside[l.GetBackend()] = l.GetRequests()
+		d.externalLoads[l.GetBackend()] = l.GetRequests()
 	}
 }
 
-// wholeOf returns all that engines hold of which something is known.
-func (s *Disseminator) wholeOf(engines []string) []*wire.Holding {
+// fullHoldings returns the complete holdings of the engines for which they are known.
+func (d *Disseminator) fullHoldings(engines []string) []*wire.Holding {
 	var list []*wire.Holding
-	told := map[string]bool{}
+	listed := map[string]bool{}
 	for _, backend := range engines {
-		held, known := s.holdings.Get(backend)
-		if known && !told[backend] {
+		held, known := d.holdings.Get(backend)
+		if known && !listed[backend] {
 			list = append(list, &wire.Holding{Backend: backend, Adapters: held})
 		}
-		told[backend] = true
+		listed[backend] = true
 	}
 	return list
 }
 
-// ListRevision returns a number that differs between two lists of texts.
+// ListRevision returns a hash that differs between two lists of texts.
 func ListRevision(list []string) uint64 {
 	sum := fnv.New64a()
 	for _, text := range list {
@@ -259,7 +259,7 @@
 	return sum.Sum64()
 }
 
-// GatewaysRevision returns a number that differs between two lists of gateways.
+// GatewaysRevision returns a hash that differs between two lists of gateways.
 func GatewaysRevision(list []*wire.GatewayEntry) uint64 {
 	texts := make([]string, 0, len(list))
 	for _, g := range list {
--- a/pkg/disseminator/followers.go
+++ b/pkg/disseminator/followers.go
@@ -8,35 +8,36 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// follower is a gateway that asks this one for news.
+// follower is a gateway that receives its updates from this one.
 type follower struct {
 	entry   *wire.GatewayEntry
 	members []*wire.GatewayEntry
-	// membersRevision is the number of the list of members that it sent.
+	// membersRevision is the revision of the member list that it sent.
 	membersRevision uint64
 	loads           []*wire.Load
-	seen            time.Time
-	// answered is when it was last told of news.
-	answered time.Time
-	// wants are the adapters that its requests wait for, and when it said so last; urgent
-	// is set once one of them is there.
+	lastCallAt      time.Time
+	// answeredAt is when it was last sent an update.
+	answeredAt time.Time
+	// wants are the adapters that its requests wait for, with the time of its last request for
+	// them; urgent is set once one of them is loaded.
 	wants  map[string]time.Time
 	urgent bool
-	// declined are adapters that it asked for and that it is to be told do not come.
+	// declined are adapters that it requested and that will not be loaded in time, not yet
+	// reported to it.
 	declined []string
 }
 
-// ObserveFollower takes a follower's call.
-func (s *Disseminator) ObserveFollower(now time.Time, req *wire.SyncRequest) {
-	f := s.followers[req.GetGateway()]
+// ObserveFollower records a follower's call.
+func (d *Disseminator) ObserveFollower(now time.Time, req *wire.SyncRequest) {
+	f := d.followers[req.GetGateway()]
 	if f == nil {
 		f = &follower{wants: map[string]time.Time{}}
-		s.followers[req.GetGateway()] = f
+		d.followers[req.GetGateway()] = f
 	}
-	f.seen = now
-	s.inside.Remove(f.loads)
+	f.lastCallAt = now
+	d.followerLoads.Remove(f.loads)
 	f.loads = req.GetLoads()
-	s.inside.Add(f.loads)
+	d.followerLoads.Add(f.loads)
 	isNew := f.entry.GetAddress() != req.GetAddress() || f.entry.GetZone() != req.GetZone()
 	f.entry = &wire.GatewayEntry{Address: req.GetAddress(), Zone: req.GetZone()}
 	if len(req.GetMembers()) > 0 || req.GetMembersRevision() == 0 {
@@ -44,13 +45,13 @@
 		f.members, f.membersRevision = req.GetMembers(), req.GetMembersRevision()
 	}
 	if isNew {
-		s.countMembers()
+		d.rebuildMembers()
 	}
 }
 
-// ObserveWants notes that a follower's requests wait for adapters.
-func (s *Disseminator) ObserveWants(now time.Time, gateway string, wants []*wire.Want) {
-	f := s.followers[gateway]
+// ObserveWants records that a follower's requests wait for adapters.
+func (d *Disseminator) ObserveWants(now time.Time, gateway string, wants []*wire.Want) {
+	f := d.followers[gateway]
 	if f == nil {
 		return
 	}
@@ -59,40 +60,40 @@
 	}
 }
 
-// Tick forgets followers that have not called for long.
-func (s *Disseminator) Tick(now time.Time) {
-	for name, f := range s.followers {
-		if now.Sub(f.seen) > FollowerLease {
-			s.inside.Remove(f.loads)
-			delete(s.followers, name)
-			s.countMembers()
+// Tick removes followers whose lease has expired.
+func (d *Disseminator) Tick(now time.Time) {
+	for name, f := range d.followers {
+		if now.Sub(f.lastCallAt) > FollowerLease {
+			d.followerLoads.Remove(f.loads)
+			delete(d.followers, name)
+			d.rebuildMembers()
 			continue
 		}
-		for adapter, said := range f.wants {
-			if now.Sub(said) > wantLease {
+		for adapter, at := range f.wants {
+			if now.Sub(at) > wantLease {
 				delete(f.wants, adapter)
 			}
 		}
 	}
 }
 
-// countMembers makes the list of members anew.
-func (s *Disseminator) countMembers() {
+// rebuildMembers rebuilds the list of members.
+func (d *Disseminator) rebuildMembers() {
 	byAddress := map[string]*wire.GatewayEntry{}
-	for _, f := range s.followers {
+	for _, f := range d.followers {
 		for _, g := range append([]*wire.GatewayEntry{f.entry}, f.members...) {
-			if g.GetAddress() != "" && g.GetAddress() != s.Self.GetAddress() {
+			if g.GetAddress() != "" && g.GetAddress() != d.Self.GetAddress() {
 				byAddress[g.GetAddress()] = g
 			}
 		}
 	}
-	s.members, s.membersRevision = SortedGateways(byAddress), 0
-	if len(s.members) > 0 {
-		s.membersRevision = GatewaysRevision(s.members)
+	d.members, d.membersRevision = SortedGateways(byAddress), 0
+	if len(d.members) > 0 {
+		d.membersRevision = GatewaysRevision(d.members)
 	}
 }
 
-// SortedGateways returns gateways in the order of their addresses.
+// SortedGateways returns gateways sorted by address.
 func SortedGateways(byAddress map[string]*wire.GatewayEntry) []*wire.GatewayEntry {
 	list := make([]*wire.GatewayEntry, 0, len(byAddress))
 	for _, g := range byAddress {
@@ -102,22 +103,23 @@
 	return list
 }
 
-// Members returns the followers and theirs, with a number that differs between two lists;
-// 0 is the empty one.
-func (s *Disseminator) Members() ([]*wire.GatewayEntry, uint64) { return s.members, s.membersRevision }
+// Members returns the followers and theirs, with a revision that differs between two lists; 0
+// is the empty one.
+func (d *Disseminator) Members() ([]*wire.GatewayEntry, uint64) { return d.members, d.membersRevision }
 
 // Loads returns the loads of this gateway and of its followers together.
-func (s *Disseminator) Loads(own []*wire.Load) []*wire.Load {
-	if len(s.followers) == 0 {
+func (d *Disseminator) Loads(own []*wire.Load) []*wire.Load {
+	if len(d.followers) == 0 {
 		return own
 	}
-	return s.inside.With(own)
+	return d.followerLoads.With(own)
 }
 
-// decline notes that adapters do not come in time, for the followers that asked for them.
-func (s *Disseminator) decline(adapters []string) {
+// markDeclined records adapters that will not be loaded in time, for the followers that
+// requested them.
+func (d *Disseminator) markDeclined(adapters []string) {
 	for _, adapter := range adapters {
-		for _, f := range s.followers {
+		for _, f := range d.followers {
 			if _, ok := f.wants[adapter]; ok {
 				f.declined = append(f.declined, adapter)
 				delete(f.wants, adapter)
@@ -126,17 +128,17 @@
 	}
 }
 
-// wake marks the followers whose requests wait for adapters that have come.
-func (s *Disseminator) wake(now time.Time, engines []string) {
-	for _, f := range s.followers {
+// markUrgent marks the followers whose requests wait for adapters that are now loaded.
+func (d *Disseminator) markUrgent(now time.Time, engines []string) {
+	for _, f := range d.followers {
 		if len(f.wants) == 0 {
 			continue
 		}
 		for _, backend := range engines {
-			for qualified := range s.holdings.engines[backend] {
+			for qualified := range d.holdings.engines[backend] {
 				adapter := unversioned(qualified)
-				if said, ok := f.wants[adapter]; ok {
-					f.urgent = f.urgent || now.Sub(said) < wantLease
+				if at, ok := f.wants[adapter]; ok {
+					f.urgent = f.urgent || now.Sub(at) < wantLease
 					delete(f.wants, adapter)
 				}
 			}
@@ -145,83 +147,83 @@
 }
 
 // Due reports whether a follower's call is to be answered before its wait is over.
-func (s *Disseminator) Due(now time.Time, req *wire.SyncRequest) bool {
-	f := s.followers[req.GetGateway()]
-	if s.hasUrgentNews(req) || f != nil && len(f.declined) > 0 {
+func (d *Disseminator) Due(now time.Time, req *wire.SyncRequest) bool {
+	f := d.followers[req.GetGateway()]
+	if d.hasUrgentUpdate(req) || f != nil && len(f.declined) > 0 {
 		return true
 	}
-	if req.GetHoldingRevision() >= s.holdings.Revision() {
+	if req.GetHoldingRevision() >= d.holdings.Revision() {
 		return false
 	}
-	return f == nil || f.urgent || now.Sub(f.answered) >= tellEvery
+	return f == nil || f.urgent || now.Sub(f.answeredAt) >= holdingsInterval
 }
 
-// hasUrgentNews reports whether there is something that all gateways must know soon.
-func (s *Disseminator) hasUrgentNews(req *wire.SyncRequest) bool {
-	return req.GetEpoch() != s.Epoch || req.GetAnnouncementRevision() != s.announcing ||
-		req.GetVersionRevision() != s.versionSum || req.GetTableVersion() < s.table.GetVersion() ||
-		req.GetSuspectsRevision() < s.suspectsRevision && (req.GetSuspectsRevision() != 0 || len(s.suspects) > 0)
+// hasUrgentUpdate reports whether there is something that all gateways must know soon.
+func (d *Disseminator) hasUrgentUpdate(req *wire.SyncRequest) bool {
+	return req.GetEpoch() != d.Epoch || req.GetAnnouncementRevision() != d.announcementRevision ||
+		req.GetVersionRevision() != d.versionSum || req.GetTableVersion() < d.table.GetVersion() ||
+		req.GetSuspectsRevision() < d.suspectsRevision && (req.GetSuspectsRevision() != 0 || len(d.suspects) > 0)
 }
 
-// Answer returns what a follower is told. Own are the loads of this gateway itself.
-func (s *Disseminator) Answer(now time.Time, req *wire.SyncRequest, own []*wire.Load) *wire.SyncResponse {
+// Answer returns the update for a follower; own are the loads of this gateway itself.
+func (d *Disseminator) Answer(now time.Time, req *wire.SyncRequest, own []*wire.Load) *wire.SyncResponse {
 	res := &wire.SyncResponse{
-		Epoch: s.Epoch, AnnouncementRevision: s.announcing, VersionRevision: s.versionSum, TableVersion: s.table.GetVersion(),
-		ControllersRevision: s.controllersRevision, Gateways: s.gatewayCount, GatewaysRevision: s.gatewaysRevision,
-		Leads: s.term > 0 && s.LeaderAge(now) < leaderLease, Term: s.term,
-		ContactAgeMs: ageMs(s.ContactAge(now)), LeaderAgeMs: ageMs(s.LeaderAge(now)),
+		Epoch: d.Epoch, AnnouncementRevision: d.announcementRevision, VersionRevision: d.versionSum, TableVersion: d.table.GetVersion(),
+		ControllersRevision: d.controllersRevision, Gateways: d.gatewayCount, GatewaysRevision: d.gatewaysRevision,
+		Leads: d.term > 0 && d.LeaderAge(now) < leaderLease, Term: d.term,
+		ContactAgeMs: ageMs(d.ContactAge(now)), LeaderAgeMs: ageMs(d.LeaderAge(now)),
 	}
-	if f := s.followers[req.GetGateway()]; f != nil {
-		f.answered, f.urgent = now, false
+	if f := d.followers[req.GetGateway()]; f != nil {
+		f.answeredAt, f.urgent = now, false
 		res.MembersRevision = f.membersRevision
 		res.Declined, f.declined = f.declined, nil
-		res.Loads, res.HasLoads = s.loadsFor(f, own), res.GetLeads()
+		res.Loads, res.HasLoads = d.loadsFor(f, own), res.GetLeads()
 	}
 	since := req.GetAnnouncementRevision()
-	if req.GetEpoch() != s.Epoch {
+	if req.GetEpoch() != d.Epoch {
 		since = 0
 	}
-	res.Announcements = s.announcedSince(since)
-	if req.GetVersionRevision() != s.versionSum {
-		for _, v := range s.versions {
+	res.Announcements = d.announcedSince(since)
+	if req.GetVersionRevision() != d.versionSum {
+		for _, v := range d.versions {
 			res.Versions = append(res.Versions, v)
 		}
 	}
-	res.SuspectsRevision = s.suspectsRevision
-	if req.GetSuspectsRevision() < s.suspectsRevision {
-		res.Suspects = s.suspects
+	res.SuspectsRevision = d.suspectsRevision
+	if req.GetSuspectsRevision() < d.suspectsRevision {
+		res.Suspects = d.suspects
 	}
-	if req.GetWantTable() && s.table.GetVersion() > req.GetTableVersion() {
-		res.Table = s.table
+	if req.GetWantTable() && d.table.GetVersion() > req.GetTableVersion() {
+		res.Table = d.table
 	}
-	if req.GetControllersRevision() != s.controllersRevision {
-		res.Controllers = s.controllers
+	if req.GetControllersRevision() != d.controllersRevision {
+		res.Controllers = d.controllers
 	}
-	if req.GetGatewaysRevision() != s.gatewaysRevision {
-		res.GatewayList = s.gateways
+	if req.GetGatewaysRevision() != d.gatewaysRevision {
+		res.GatewayList = d.gateways
 	}
-	res.Holdings, res.HoldingsSince = s.holdings.Since(req.GetHoldingRevision())
-	res.HoldingRevision = max(req.GetHoldingRevision(), s.holdings.Revision())
+	res.Holdings, res.HoldingsSince = d.holdings.Since(req.GetHoldingRevision())
+	res.HoldingRevision = max(req.GetHoldingRevision(), d.holdings.Revision())
 	return res
 }
 
-// ageMs returns an age for the wire; one that is not known is the highest.
+// ageMs returns an age for the wire; an unknown one is capped at the maximum.
 func ageMs(age time.Duration) uint32 {
-	const most = 1 << 31
-	return uint32(min(max(0, age.Milliseconds()), most))
+	const maxAgeMs = 1 << 31
+	return uint32(min(max(0, age.Milliseconds()), maxAgeMs))
 }
 
-func (s *Disseminator) announcedSince(revision uint64) []*wire.Announcement {
-	if revision >= s.announcing {
+func (d *Disseminator) announcedSince(revision uint64) []*wire.Announcement {
+	if revision >= d.announcementRevision {
 		return nil
 	}
-	var changed []*announced
-	for _, a := range s.announcements {
+	var changed []*announcementEntry
+	for _, a := range d.announcements {
 		if a.revision > revision {
 			changed = append(changed, a)
 		}
 	}
-	slices.SortFunc(changed, func(a, b *announced) int { return cmp.Compare(a.revision, b.revision) })
+	slices.SortFunc(changed, func(a, b *announcementEntry) int { return cmp.Compare(a.revision, b.revision) })
 	list := make([]*wire.Announcement, len(changed))
 	for i, a := range changed {
 		list[i] = a.info
@@ -229,16 +231,16 @@
 	return list
 }
 
-// loadsFor returns the loads of all gateways but a follower and those that follow it.
-func (s *Disseminator) loadsFor(f *follower, own []*wire.Load) []*wire.Load {
-	total := make(map[string]uint32, len(s.outside))
-	for backend, n := range s.outside {
+// loadsFor returns the loads of all gateways except a follower and its own followers.
+func (d *Disseminator) loadsFor(f *follower, own []*wire.Load) []*wire.Load {
+	total := make(map[string]uint32, len(d.externalLoads))
+	for backend, n := range d.externalLoads {
 		total[backend] = n
 	}
 	for _, l := range own {
 		total[l.GetBackend()] += l.GetRequests()
 	}
-	s.inside.Each(func(backend string, n uint32, _ map[string]int) { total[backend] += n })
+	d.followerLoads.Each(func(backend string, n uint32, _ map[string]int) { total[backend] += n })
 	for _, l := range f.loads {
 		total[l.GetBackend()] -= l.GetRequests()
 	}
--- a/pkg/disseminator/holdings.go
+++ b/pkg/disseminator/holdings.go
@@ -5,16 +5,16 @@
 )
 
 const (
-	// maxLog bounds the changes that are kept for differences: at 600 changes a second those
-	// of some seven seconds, many times what a gateway may be behind.
+	// maxLog bounds the changes that are stored for differences: at 600 changes a second, some
+	// seven seconds, many times what a gateway may lag behind.
 	maxLog = 4096
-	// termShift is where a revision has the term of its leader, so that those of a later
-	// leader are higher than all of an earlier one.
+	// termShift is the bit position of the leader's term in a revision, so that the revisions
+	// of a later leader are higher than all of an earlier one.
 	termShift = 32
 )
 
-// Holdings are the adapters that engines hold, by the word of one leader, and the latest
-// changes of them. Make one with NewHoldings.
+// Holdings are the adapters that engines hold, as known to one leader, and the latest changes
+// of them. Make one with NewHoldings.
 type Holdings struct {
 	revision uint64
 	engines  map[string]map[string]bool
@@ -23,30 +23,30 @@
 	since uint64
 }
 
-// change says that something about an adapter at an engine has changed; without an
-// adapter all that is known of the engine is new.
+// change records a change of an adapter at an engine; without an adapter, all holdings of the
+// engine were replaced.
 type change struct {
 	revision uint64
 	backend  string
 	adapter  string
 }
 
-// NewHoldings returns holdings of which nothing is known.
+// NewHoldings returns empty holdings.
 func NewHoldings() *Holdings { return &Holdings{engines: map[string]map[string]bool{}} }
 
 // Revision returns the revision of the latest change, 0 if nothing is known.
 func (h *Holdings) Revision() uint64 { return h.revision }
 
-// Term returns the term of the leader whose word the holdings are.
+// Term returns the term of the leader that the holdings come from.
 func (h *Holdings) Term() uint64 { return h.revision >> termShift }
 
-// Reset forgets everything: a leader begins at a revision.
+// Reset clears the holdings and starts a leader's history at a revision.
 func (h *Holdings) Reset(revision uint64) {
 	clear(h.engines)
 	h.log, h.revision, h.since = nil, revision, revision
 }
 
-// Set takes all that an engine holds, as MODEL/NAME@VERSION, as of a revision.
+// Set sets all that an engine holds, as MODEL/NAME@VERSION, as of a revision.
 func (h *Holdings) Set(revision uint64, backend string, adapters []string) {
 	h.revision = max(h.revision, revision)
 	before, known := h.engines[backend]
@@ -57,33 +57,33 @@
 	now := setOf(adapters)
 	for adapter := range before {
 		if !now[adapter] {
-			h.note(backend, adapter)
+			h.logChange(backend, adapter)
 		}
 	}
 	for adapter := range now {
 		if !before[adapter] {
-			h.note(backend, adapter)
+			h.logChange(backend, adapter)
 		}
 	}
 	h.engines[backend] = now
 }
 
-// Advance notes that nothing else has changed up to a revision.
+// Advance raises the revision when nothing else has changed up to it.
 func (h *Holdings) Advance(revision uint64) { h.revision = max(h.revision, revision) }
 
-// Drop forgets an engine that has left. Nobody is told: that it has left is news enough.
+// Drop removes an engine that has left. It is not logged as a change, since the announcement of
+// the departure suffices.
 func (h *Holdings) Drop(backend string) { delete(h.engines, backend) }
 
-// Get returns what an engine holds, and false if nothing is known of it.
+// Get returns what an engine holds, and false if it is unknown.
 func (h *Holdings) Get(backend string) ([]string, bool) {
 	held, ok := h.engines[backend]
 	return listOf(held), ok
 }
 
-// Since returns what a caller has to be told that knows a revision, and the revision from
-// which on this is a difference; 0 if it is all that is known. For each adapter that has
-// changed the latest state is told, also if the caller knows it: callers at different
-// revisions then end with the same.
+// Since returns the changes after a caller's revision, and the revision that they are a
+// difference from; 0 if the list is complete. Each changed adapter is listed in its latest
+// state, even if the caller knows it: callers at different revisions then converge.
 func (h *Holdings) Since(revision uint64) (list []*wire.Holding, from uint64) {
 	switch {
 	case revision >= h.revision:
@@ -106,18 +106,18 @@
 	return list
 }
 
-// differences sums changes up, one holding for each engine.
+// differences merges changes into one holding for each engine.
 func (h *Holdings) differences(changes []change) []*wire.Holding {
 	var list []*wire.Holding
 	byBackend := map[string]*wire.Holding{}
-	told := map[change]bool{}
+	listed := map[change]bool{}
 	for _, c := range changes {
 		held, known := h.engines[c.backend]
 		c.revision = 0
-		if !known || told[c] {
+		if !known || listed[c] {
 			continue
 		}
-		told[c] = true
+		listed[c] = true
 		d := byBackend[c.backend]
 		if d == nil {
 			d = &wire.Holding{Backend: c.backend, Difference: true}
@@ -137,10 +137,10 @@
 	return list
 }
 
-// Apply takes what another instance has told, up to a revision and as a difference from
-// another one, and returns the engines of which something is new. What is not newer than
-// what is known changes nothing. It reports false for a difference from more than is
-// known, which leaves a gap: then all has to be asked for.
+// Apply applies what another instance sent, up to a revision and as a difference from another
+// one, and returns the changed engines. Outdated input is ignored. It reports false for a
+// difference from a revision that is not known here, which leaves a gap: then the complete
+// holdings must be requested.
 func (h *Holdings) Apply(revision, from uint64, list []*wire.Holding) (changed []string, ok bool) {
 	if revision <= h.revision {
 		return nil, true
@@ -152,42 +152,42 @@
 		return nil, false
 	}
 	h.revision = revision
-	for _, told := range list {
-		if told.GetDifference() {
-			h.merge(told)
+	for _, holding := range list {
+		if holding.GetDifference() {
+			h.merge(holding)
 		} else {
-			h.replace(told.GetBackend(), told.GetAdapters())
+			h.replace(holding.GetBackend(), holding.GetAdapters())
 		}
-		changed = append(changed, told.GetBackend())
+		changed = append(changed, holding.GetBackend())
 	}
 	return changed, true
 }
 
-// merge takes a difference of one engine.
-func (h *Holdings) merge(told *wire.Holding) {
-	held := h.engines[told.GetBackend()]
+// merge applies the difference of one engine.
+func (h *Holdings) merge(holding *wire.Holding) {
+	held := h.engines[holding.GetBackend()]
 	if held == nil {
 		held = map[string]bool{}
-		h.engines[told.GetBackend()] = held
+		h.engines[holding.GetBackend()] = held
 	}
-	for _, adapter := range told.GetGone() {
+	for _, adapter := range holding.GetGone() {
 		delete(held, adapter)
-		h.note(told.GetBackend(), adapter)
+		h.logChange(holding.GetBackend(), adapter)
 	}
-	for _, adapter := range told.GetAdapters() {
+	for _, adapter := range holding.GetAdapters() {
 		held[adapter] = true
-		h.note(told.GetBackend(), adapter)
+		h.logChange(holding.GetBackend(), adapter)
 	}
 }
 
 func (h *Holdings) replace(backend string, adapters []string) {
 	h.engines[backend] = setOf(adapters)
-	h.note(backend, "")
+	h.logChange(backend, "")
 }
 
-// note keeps a change for differences, and forgets the oldest half of them when there are
-// too many.
-func (h *Holdings) note(backend, adapter string) {
+// logChange stores a change for differences, and drops the older half of the log when it is
+// full.
+func (h *Holdings) logChange(backend, adapter string) {
 	if len(h.log) >= maxLog {
 		forgotten := len(h.log) / 2
 		h.since = h.log[forgotten-1].revision
--- a/pkg/disseminator/holdings_test.go
+++ b/pkg/disseminator/holdings_test.go
@@ -12,34 +12,34 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// world is what all see: the leader's holdings, and what they were at each revision.
-type world struct {
+// cluster is the shared truth: the leader's holdings, and their contents at each revision.
+type cluster struct {
 	leader  *Holdings
 	history map[uint64]map[string][]string
 	term    uint64
 	n       uint64
 }
 
-func newWorld() *world {
-	w := &world{leader: NewHoldings(), history: map[uint64]map[string][]string{}}
+func newCluster() *cluster {
+	w := &cluster{leader: NewHoldings(), history: map[uint64]map[string][]string{}}
 	w.elect()
 	return w
 }
 
-func (w *world) elect() {
+func (w *cluster) elect() {
 	w.term++
 	w.n = 0
 	w.leader.Reset(w.term << termShift)
 	w.record()
 }
 
-func (w *world) set(backend string, adapters []string) {
+func (w *cluster) set(backend string, adapters []string) {
 	w.n++
 	w.leader.Set(w.term<<termShift+w.n, backend, adapters)
 	w.record()
 }
 
-func (w *world) record() { w.history[w.leader.Revision()] = contents(w.leader) }
+func (w *cluster) record() { w.history[w.leader.Revision()] = contents(w.leader) }
 
 func contents(h *Holdings) map[string][]string {
 	all := map[string][]string{}
@@ -49,18 +49,18 @@
 	return all
 }
 
-// answer is what one instance tells another that asked for what is new since a revision.
+// answer is the response of one instance to another that asked for changes since a revision.
 type answer struct {
 	to             int
 	revision, from uint64
 	list           []*wire.Holding
 }
 
-// Relays hear the leader, others hear relays or each other; answers come late, twice or
-// never, and leaders change. Whoever knows a revision knows just what held at it.
-func TestWhoKnowsARevisionKnowsWhatHeldAtIt(t *testing.T) {
+// Nodes receive holdings from the leader or from each other; responses are delayed, duplicated
+// or lost, and leaders change. A node at a revision has exactly the contents of that revision.
+func TestHoldingsMatchTheirRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld()
+		w := newCluster()
 		nodes := make([]*Holdings, 5)
 		for i := range nodes {
 			nodes[i] = NewHoldings()
@@ -78,7 +78,7 @@
 					w.elect()
 				}
 			case 4, 5, 6:
-				underWay = append(underWay, ask(t, w, nodes))
+				underWay = append(underWay, request(t, w, nodes))
 			default:
 				if len(underWay) == 0 {
 					continue
@@ -94,13 +94,13 @@
 			list, from := w.leader.Since(node.Revision())
 			deliver(t, w, nodes, answer{i, w.leader.Revision(), from, list})
 			if got, want := fmt.Sprint(contents(node)), fmt.Sprint(contents(w.leader)); got != want {
-				t.Fatalf("node %d ends with %s, not %s", i, got, want)
+				t.Fatalf("node %d has %s in the end, want %s", i, got, want)
 			}
 		}
 	})
 }
 
-func ask(t *rapid.T, w *world, nodes []*Holdings) answer {
+func request(t *rapid.T, w *cluster, nodes []*Holdings) answer {
 	to := rapid.IntRange(0, len(nodes)-1).Draw(t, "asks")
 	from := rapid.IntRange(-1, len(nodes)-1).Draw(t, "asked")
 	source := w.leader
@@ -112,32 +112,32 @@
 	return answer{to, max(known, source.Revision()), since, list}
 }
 
-func deliver(t *rapid.T, w *world, nodes []*Holdings, a answer) {
+func deliver(t *rapid.T, w *cluster, nodes []*Holdings, a answer) {
 	node := nodes[a.to]
 	before := node.Revision()
 	_, ok := node.Apply(a.revision, a.from, a.list)
 	if node.Revision() < before {
-		t.Fatalf("a node goes back from %x to %x", before, node.Revision())
+		t.Fatalf("the revision of a node falls from %x to %x", before, node.Revision())
 	}
 	if !ok {
-		// All is asked for then; here from the leader.
+		// The complete holdings are requested then; here from the leader.
 		list, from := w.leader.Since(0)
 		node.Apply(w.leader.Revision(), from, list)
 	}
 	if got, want := fmt.Sprint(contents(node)), fmt.Sprint(w.history[node.Revision()]); node.Revision() > 0 && got != want {
-		t.Fatalf("at %x it knows %s, and %s held", node.Revision(), got, want)
+		t.Fatalf("at revision %x the node has %s, want %s", node.Revision(), got, want)
 	}
 }
 
-// What is told of one load is one adapter, and not all that the engine holds.
-func TestOnlyWhatHasChangedIsTold(t *testing.T) {
+// The difference after a load has one adapter, not all that the engine holds.
+func TestDifferencesHoldOnlyChanges(t *testing.T) {
 	for name, test := range map[string]struct {
 		change func(h *Holdings)
 		want   []*wire.Holding
 	}{
 		"a load":    {func(h *Holdings) { h.Set(3, "e", []string{"a", "b", "c"}) }, []*wire.Holding{{Backend: "e", Difference: true, Adapters: []string{"c"}}}},
 		"an unload": {func(h *Holdings) { h.Set(3, "e", []string{"a"}) }, []*wire.Holding{{Backend: "e", Difference: true, Gone: []string{"b"}}}},
-		"there and back": {func(h *Holdings) {
+		"an unload and a load again": {func(h *Holdings) {
 			h.Set(3, "e", []string{"a"})
 			h.Set(4, "e", []string{"a", "b"})
 		}, []*wire.Holding{{Backend: "e", Difference: true, Adapters: []string{"b"}}}},
@@ -158,9 +158,9 @@
 	}
 }
 
-// A difference that starts from more than is known, or that is of an earlier leader, is not
-// believed; what is old changes nothing.
-func TestGapsAreNotBelieved(t *testing.T) {
+// A difference from an unknown revision, or one of an earlier leader, is not applied; outdated
+// ones change nothing.
+func TestDifferencesWithGapsAreRejected(t *testing.T) {
 	const term2 = 2 << termShift
 	lost := []*wire.Holding{{Backend: "e", Difference: true, Gone: []string{"a"}}}
 	for name, test := range map[string]struct {
@@ -168,13 +168,13 @@
 		ok             bool
 		held           int
 	}{
-		"the next difference":          {term2 + 5, term2 + 2, true, 0},
-		"one that overlaps":            {term2 + 5, term2 + 1, true, 0},
-		"one that starts later":        {term2 + 5, term2 + 3, false, 1},
-		"one of the leader before":     {1<<termShift + 9, 1<<termShift + 8, true, 1},
-		"one from the leader before":   {term2 + 5, 1<<termShift + 8, false, 1},
-		"one of a later leader's term": {3<<termShift + 5, 3<<termShift + 1, false, 1},
-		"one that comes again":         {term2 + 2, term2 + 1, true, 1},
+		"the next difference":                    {term2 + 5, term2 + 2, true, 0},
+		"one that overlaps":                      {term2 + 5, term2 + 1, true, 0},
+		"one that starts after a gap":            {term2 + 5, term2 + 3, false, 1},
+		"one of the previous leader":             {1<<termShift + 9, 1<<termShift + 8, true, 1},
+		"one that starts at the previous leader": {term2 + 5, 1<<termShift + 8, false, 1},
+		"one of a later leader's term":           {3<<termShift + 5, 3<<termShift + 1, false, 1},
+		"a duplicate":                            {term2 + 2, term2 + 1, true, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -189,8 +189,9 @@
 	}
 }
 
-// Who is further behind than the log reaches is told all, and the log stays bounded.
-func TestTheLogIsBounded(t *testing.T) {
+// A caller that is further behind than the log gets the complete holdings, and the log stays
+// bounded.
+func TestLogIsBounded(t *testing.T) {
 	c := qt.New(t)
 	h := NewHoldings()
 	h.Reset(1 << termShift)
--- a/pkg/disseminator/sum.go
+++ b/pkg/disseminator/sum.go
@@ -6,8 +6,8 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// LoadTotals adds up the loads of several gateways, and keeps up with each that changes at the
-// cost of that change alone. Make one with NewSum.
+// LoadTotals aggregates the loads of several gateways; each change costs only the loads that
+// change. Make one with NewLoadTotals.
 type LoadTotals struct{ backends map[string]*total }
 
 type total struct {
@@ -18,7 +18,7 @@
 	adapters map[string]int
 }
 
-// NewLoadTotals returns a sum of no loads.
+// NewLoadTotals returns empty totals.
 func NewLoadTotals() *LoadTotals { return &LoadTotals{backends: map[string]*total{}} }
 
 // Add adds the loads of one gateway.
@@ -37,7 +37,7 @@
 	}
 }
 
-// Remove takes off the loads of one gateway, which must be what was added for it.
+// Remove subtracts the loads of one gateway, which must be those added for it.
 func (s *LoadTotals) Remove(loads []*wire.Load) {
 	for _, l := range loads {
 		t := s.backends[l.GetBackend()]
@@ -61,7 +61,7 @@
 	}
 }
 
-// With returns the sum together with one gateway's loads, as a list.
+// With returns the totals including one gateway's loads, as a list.
 func (s *LoadTotals) With(own []*wire.Load) []*wire.Load {
 	s.Add(own)
 	defer s.Remove(own)
--- a/pkg/disseminator/sum_test.go
+++ b/pkg/disseminator/sum_test.go
@@ -10,10 +10,10 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Whatever gateways tell one after the other, also with a backend server or an adapter twice
-// and with nothing running, the sum is that of their latest words, and nothing is left when
-// all have gone.
-func TestSumsFollowTheLatestWords(t *testing.T) {
+// Whatever loads gateways report one after the other, also with duplicate backend servers or
+// adapters and with no requests, the totals are those of the latest loads, and nothing is left
+// when all are removed.
+func TestTotalsMatchLatestLoads(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewLoadTotals()
 		latest := map[int][]*wire.Load{}
@@ -42,7 +42,7 @@
 	})
 }
 
-// check compares a sum with one that is made anew.
+// check compares totals with freshly computed ones.
 func check(t *rapid.T, s *LoadTotals, latest map[int][]*wire.Load) {
 	requests, adapters := map[string]uint32{}, map[string]map[string]int{}
 	for _, loads := range latest {
@@ -69,8 +69,8 @@
 	}
 }
 
-// A gateway's loads on top of the followers' are told without changing the sum.
-func TestOwnLoadsLeaveTheSumAlone(t *testing.T) {
+// A gateway's own loads are included in the list without changing the totals.
+func TestOwnLoadsDoNotChangeTotals(t *testing.T) {
 	c := qt.New(t)
 	s := NewLoadTotals()
 	s.Add([]*wire.Load{load("e", 2, "m/x")})
