--- a/gateway/isolator/fingerprint.go
+++ b/gateway/isolator/fingerprint.go
@@ -5,11 +5,11 @@
 	"encoding/hex"
 )
 
-// fingerprintBytes is how much of a digest is kept: no caller can find another request
-// that has the same 128 bits, and reports stay short.
+// fingerprintBytes is the length of a truncated digest: callers can't find another request with
+// the same 128 bits, and reports stay short.
 const fingerprintBytes = 16
 
-// Request is what a request asks for and who asks, in the bytes that came.
+// Request is the content of a request and its caller, as received.
 type Request struct {
 	Method string
 	Host   string
@@ -19,10 +19,10 @@
 	Caller string
 }
 
-// Fingerprints name a request, the same each time that it is sent, at any gateway: an id in
-// its header differs each time. The first is of its content alone, since what ends a backend
-// server does so whoever asks for it. The second is of the content and the caller: what many
-// ask for and get, as a read without a body, may be fatal from one of them.
+// Fingerprints identify a request across retries and gateways, unlike the id in its header. The
+// first covers the content alone, since a request that crashes a backend server may do so for
+// any caller. The second covers the content and the caller: a request that succeeds for many
+// callers, such as a read without a body, may crash servers for one of them.
 func (a *Request) Fingerprints() []string {
 	sum := sha256.New()
 	for _, part := range []string{a.Method, a.Host, a.Target} {
@@ -32,7 +32,7 @@
 	_, _ = sum.Write(a.Body)
 	content := sum.Sum(nil)
 	ofCaller := sha256.Sum256(append(content, a.Caller...))
-	return []string{short(content), short(ofCaller[:])}
+	return []string{truncate(content), truncate(ofCaller[:])}
 }
 
-func short(digest []byte) string { return hex.EncodeToString(digest[:fingerprintBytes]) }
+func truncate(digest []byte) string { return hex.EncodeToString(digest[:fingerprintBytes]) }
--- a/gateway/isolator/fingerprint_test.go
+++ b/gateway/isolator/fingerprint_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What is sent again is known by what it asks for, whoever sends it; what differs in any part
-// of it is another request.
-func TestWhatIsSentAgainHasTheSameFingerprints(t *testing.T) {
+// Retries of a request have the same fingerprints, and a change in any part gives others; only
+// the second depends on the caller.
+func TestFingerprints(t *testing.T) {
 	made := func(method, host, target, caller, body string) []string {
 		return (&Request{Method: method, Host: host, Target: target, Body: []byte(body), Caller: caller}).Fingerprints()
 	}
@@ -17,15 +17,15 @@
 		again                 []string
 		sameContent, sameFrom bool
 	}{
-		"again":                     {made("POST", "h", "/a/?q=1", "10.0.0.1", "body"), true, true},
-		"another caller":            {made("POST", "h", "/a/?q=1", "10.0.0.2", "body"), true, false},
-		"another method":            {made("PUT", "h", "/a/?q=1", "10.0.0.1", "body"), false, false},
-		"another host":              {made("POST", "i", "/a/?q=1", "10.0.0.1", "body"), false, false},
-		"another path":              {made("POST", "h", "/b/?q=1", "10.0.0.1", "body"), false, false},
-		"the path, encoded":         {made("POST", "h", "/%61/?q=1", "10.0.0.1", "body"), false, false},
-		"another query":             {made("POST", "h", "/a/?q=2", "10.0.0.1", "body"), false, false},
-		"another body":              {made("POST", "h", "/a/?q=1", "10.0.0.1", "bodies"), false, false},
-		"the same bytes, cut apart": {made("POST", "h", "/a/?q=", "10.0.0.1", "1body"), false, false},
+		"again":                             {made("POST", "h", "/a/?q=1", "10.0.0.1", "body"), true, true},
+		"another caller":                    {made("POST", "h", "/a/?q=1", "10.0.0.2", "body"), true, false},
+		"another method":                    {made("PUT", "h", "/a/?q=1", "10.0.0.1", "body"), false, false},
+		"another host":                      {made("POST", "i", "/a/?q=1", "10.0.0.1", "body"), false, false},
+		"another path":                      {made("POST", "h", "/b/?q=1", "10.0.0.1", "body"), false, false},
+		"the path, encoded":                 {made("POST", "h", "/%61/?q=1", "10.0.0.1", "body"), false, false},
+		"another query":                     {made("POST", "h", "/a/?q=2", "10.0.0.1", "body"), false, false},
+		"another body":                      {made("POST", "h", "/a/?q=1", "10.0.0.1", "bodies"), false, false},
+		"the same bytes, split differently": {made("POST", "h", "/a/?q=", "10.0.0.1", "1body"), false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -36,10 +36,10 @@
 }
 
 func benchmarkFingerprints(b *testing.B, size int) {
-	asked := &Request{Method: "POST", Host: "h", Target: "/a/b/c", Body: make([]byte, size), Caller: "10.0.0.1"}
+	req := &Request{Method: "POST", Host: "h", Target: "/a/b/c", Body: make([]byte, size), Caller: "10.0.0.1"}
 	b.SetBytes(int64(size))
 	for b.Loop() {
-		asked.Fingerprints()
+		req.Fingerprints()
 	}
 }
 
--- a/gateway/isolator/isolator.go
+++ b/gateway/isolator/isolator.go
@@ -1,6 +1,6 @@
-// Package isolator keeps requests away from backend servers that end them: it tells the
-// controllers of runs that were lost with their process, and knows which requests are held
-// back by the leader's word, or by its own while no leader is heard.
+// Package isolator keeps requests away from backend servers that they crash: it reports runs
+// that were lost with their process to the controllers, and knows the quarantined requests, as
+// decided by the leader, or locally while no leader is reachable.
 package isolator
 
 import (
@@ -20,70 +20,73 @@
 )
 
 const (
-	// tickEvery is the time between two looks at what is too old, and at what to hold here: a
-	// small part of the time that a verdict waits for reports.
-	tickEvery = 200 * time.Millisecond
-	// staleWord is the age from which the leader's word is not waited for: longer than a
-	// change of leaders takes.
-	staleWord = 2 * time.Second
-	// heldHereFor is the retry time of a caller whose request is held by this
-	// gateway's word alone, which ends with the next word of a leader.
-	heldHereFor = 10 * time.Second
-	// trialAgainAfter is how long after a trial that was not answered whole there is no other
-	// here. If the process has ended, the leader says within that time that there is none.
-	trialAgainAfter = time.Minute
+	// tickInterval is the interval of expiry checks and of local quarantine decisions: shorter
+	// than the time that a decision waits for reports.
+	tickInterval = 200 * time.Millisecond
+	// leaderTimeout is the age of the leader's state from which this gateway decides locally:
+	// longer than a change of leaders takes.
+	leaderTimeout = 2 * time.Second
+	// localRetryAfter is the retry time of a caller whose request only this gateway has
+	// quarantined, which ends with the next state of a leader.
+	localRetryAfter = 10 * time.Second
+	// trialRetryDelay is the minimum time between a trial without a complete answer and the
+	// next one here. If the process has exited, the leader ends the trial within that time.
+	trialRetryDelay = time.Minute
 )
 
 // Isolator is one gateway's part. Set the exported fields, call Init, then Run.
 type Isolator struct {
 	Clock clockwork.Clock
 	Log   *slog.Logger
-	// Self is where other gateways reach this one.
+	// Self is the address at which other gateways reach this one.
 	Self string
-	// LeaderAge returns how old the leader's word is; nil if nobody asks.
+	// LeaderAge returns the age of the leader's state; nil disables local decisions.
 	LeaderAge func() time.Duration
-	// ConnectionRefused reports whether nothing listens any more where a start of a backend server was.
+	// ConnectionRefused reports whether nothing listens any more at the address of an
+	// incarnation.
 	ConnectionRefused func(ctx context.Context, backend, address string) bool
 
-	// active is set while any request is known here, so that all others cost nothing.
+	// active is set while any suspect, loss or crash is known here; otherwise requests skip all
+	// checks.
 	active atomic.Bool
 
-	mu      sync.Mutex
-	witness *quarantiner.CrashReporter
-	// judge has the reports that pass here, up to fed.
-	judge *quarantiner.Quarantiner
-	fed   uint64
-	// suspects are the leader's, of the list with that number.
-	suspects map[string]*wire.Suspect
-	revision uint64
-	// heldHere are held by this gateway's word.
-	heldHere map[string]bool
-	// trials are on trial here now, and failed is when the trial of others was lost.
-	trials  map[string]bool
-	failed  map[string]time.Time
-	probing map[string]bool
+	mu       sync.Mutex
+	reporter *quarantiner.CrashReporter
+	// quarantiner has the reports that pass through this gateway, up to lastFed.
+	quarantiner *quarantiner.Quarantiner
+	lastFed     uint64
+	// suspects are the leader's list at suspectsRevision.
+	suspects         map[string]*wire.Suspect
+	suspectsRevision uint64
+	// locallyHeld are the requests that this gateway has quarantined.
+	locallyHeld map[string]bool
+	// trials are the requests on trial here now, and failedTrials holds when the trials of
+	// others were lost.
+	trials       map[string]bool
+	failedTrials map[string]time.Time
+	probing      map[string]bool
 }
 
-// Decision says what is to become of a request.
+// Decision says how a request is to be handled.
 type Decision struct {
-	// Quarantined is set if it must not be sent; Left is for how long.
+	// Quarantined is set if the request must not be sent for the time Remaining.
 	Quarantined bool
 	Remaining   time.Duration
-	// Trial is the fingerprint by which it is held, if it may be sent once to see whether it
-	// still ends what runs it. End the trial with EndTrial.
+	// Trial is the fingerprint under which the request is quarantined, if it may be sent once
+	// to test whether it still crashes servers. End the trial with EndTrial.
 	Trial string
 }
 
 // Init prepares the isolator for use.
 func (i *Isolator) Init() {
-	i.witness, i.judge = quarantiner.NewCrashReporter(), quarantiner.New()
-	i.suspects, i.heldHere = map[string]*wire.Suspect{}, map[string]bool{}
-	i.trials, i.failed, i.probing = map[string]bool{}, map[string]time.Time{}, map[string]bool{}
+	i.reporter, i.quarantiner = quarantiner.NewCrashReporter(), quarantiner.New()
+	i.suspects, i.locallyHeld = map[string]*wire.Suspect{}, map[string]bool{}
+	i.trials, i.failedTrials, i.probing = map[string]bool{}, map[string]time.Time{}, map[string]bool{}
 }
 
-// Run lets time pass until ctx ends.
+// Run does the periodic work until ctx ends.
 func (i *Isolator) Run(ctx context.Context) {
-	ticker := i.Clock.NewTicker(tickEvery)
+	ticker := i.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -99,29 +102,29 @@
 	now := i.Clock.Now()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.witness.Tick(now)
-	i.judge.Tick(now)
-	maps.DeleteFunc(i.failed, func(_ string, at time.Time) bool { return now.Sub(at) >= trialAgainAfter })
-	i.active.Store(len(i.suspects) > 0 || !i.witness.Empty() || !i.judge.Empty())
-	if !i.alone() {
-		clear(i.heldHere)
+	i.reporter.Tick(now)
+	i.quarantiner.Tick(now)
+	maps.DeleteFunc(i.failedTrials, func(_ string, at time.Time) bool { return now.Sub(at) >= trialRetryDelay })
+	i.active.Store(len(i.suspects) > 0 || !i.reporter.Empty() || !i.quarantiner.Empty())
+	if !i.leaderless() {
+		clear(i.locallyHeld)
 		return
 	}
-	for _, verdict := range i.judge.Evaluate(now) {
-		if i.heldHere[verdict.GetFingerprint()] {
+	for _, held := range i.quarantiner.Evaluate(now) {
+		if i.locallyHeld[held.GetFingerprint()] {
 			continue
 		}
-		i.heldHere[verdict.GetFingerprint()] = true
-		i.Log.Warn("a request is held back here, since no leader is heard", "Fingerprint", verdict.GetFingerprint(),
-			"Service", verdict.GetService(), "Place", verdict.GetPlace(), "Caller", verdict.GetCaller(), "Ended", verdict.GetBackends())
+		i.locallyHeld[held.GetFingerprint()] = true
+		i.Log.Warn("quarantined a request locally, since no leader is reachable", "Fingerprint", held.GetFingerprint(),
+			"Service", held.GetService(), "Place", held.GetPlace(), "Caller", held.GetCaller(), "Ended", held.GetBackends())
 	}
 }
 
-// alone reports whether this gateway has to go by what it knows itself.
-func (i *Isolator) alone() bool { return i.LeaderAge != nil && i.LeaderAge() > staleWord }
+// leaderless reports whether this gateway has to decide by its own reports.
+func (i *Isolator) leaderless() bool { return i.LeaderAge != nil && i.LeaderAge() > leaderTimeout }
 
-// Check says what is to become of a request that is about to be sent. Its fingerprints are
-// asked for only while any request is known here.
+// Check decides how a request that is about to be sent is handled. prints is called only while
+// any suspect, loss or crash is known here.
 func (i *Isolator) Check(prints func() []string) Decision {
 	if !i.active.Load() {
 		return Decision{}
@@ -129,50 +132,51 @@
 	list := prints()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	verdict := Decision{}
+	decision := Decision{}
 	for _, fingerprint := range list {
-		if v := i.check(fingerprint); v.Quarantined || v.Trial != "" {
-			verdict = v
+		if d := i.check(fingerprint); d.Quarantined || d.Trial != "" {
+			decision = d
 		}
-		if verdict.Quarantined {
-			return verdict
+		if decision.Quarantined {
+			return decision
 		}
 	}
-	if verdict.Trial != "" {
-		i.trials[verdict.Trial] = true
+	if decision.Trial != "" {
+		i.trials[decision.Trial] = true
 	}
-	return verdict
+	return decision
 }
 
 func (i *Isolator) check(fingerprint string) Decision {
-	if i.heldHere[fingerprint] && i.alone() {
-		return Decision{Quarantined: true, Remaining: heldHereFor}
+	if i.locallyHeld[fingerprint] && i.leaderless() {
+		return Decision{Quarantined: true, Remaining: localRetryAfter}
 	}
 	s := i.suspects[fingerprint]
 	switch {
 	case !s.GetHeld():
 		return Decision{}
-	case s.GetTrialAt() == "" || s.GetTrialAt() != i.Self || i.trials[fingerprint] || i.failedLately(fingerprint):
+	case s.GetTrialAt() == "" || s.GetTrialAt() != i.Self || i.trials[fingerprint] || i.trialFailedRecently(fingerprint):
 		return Decision{Quarantined: true, Remaining: time.Duration(s.GetLeftS()) * time.Second}
 	}
 	return Decision{Trial: fingerprint}
 }
 
-func (i *Isolator) failedLately(fingerprint string) bool {
-	return i.Clock.Since(i.failed[fingerprint]) < trialAgainAfter
+func (i *Isolator) trialFailedRecently(fingerprint string) bool {
+	return i.Clock.Since(i.failedTrials[fingerprint]) < trialRetryDelay
 }
 
-// EndTrial ends the trial of a request; lost says that it was sent and not answered whole.
+// EndTrial ends the trial of a request; lost means that it was sent and not answered
+// completely.
 func (i *Isolator) EndTrial(fingerprint string, lost bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	delete(i.trials, fingerprint)
 	if lost {
-		i.failed[fingerprint] = i.Clock.Now()
+		i.failedTrials[fingerprint] = i.Clock.Now()
 	}
 }
 
-// Suspected reports whether backend servers have ended under a request more than once.
+// Suspected reports whether backend servers have crashed under a request more than once.
 func (i *Isolator) Suspected(prints func() []string) bool {
 	if !i.active.Load() {
 		return false
@@ -181,12 +185,12 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return slices.ContainsFunc(list, func(fingerprint string) bool {
-		return i.suspects[fingerprint] != nil || i.judge.Crashes(fingerprint) >= quarantiner.SuspectThreshold
+		return i.suspects[fingerprint] != nil || i.quarantiner.Crashes(fingerprint) >= quarantiner.SuspectThreshold
 	})
 }
 
-// RecordLoss notes that a run was lost, and finds out whether the process has ended. The report
-// is of each of the request's fingerprints.
+// RecordLoss records a lost run, and checks whether the process has exited. The report applies
+// to each of the request's fingerprints.
 func (i *Isolator) RecordLoss(prints func() []string, report *wire.RunReport, address string) {
 	list := prints()
 	backend := report.GetBackend()
@@ -197,28 +201,28 @@
 	for _, fingerprint := range list {
 		r := proto.CloneOf(report)
 		r.Fingerprint = fingerprint
-		i.witness.RecordLoss(now, r)
+		i.reporter.RecordLoss(now, r)
 	}
 	i.feed(now)
-	if !i.witness.Unconfirmed(backend) || i.probing[backend] {
+	if !i.reporter.Unconfirmed(backend) || i.probing[backend] {
 		return
 	}
 	i.probing[backend] = true
 	go i.probe(backend, address)
 }
 
-// probe asks the address of a start at which runs were lost, once for all of them.
+// probe probes the address of an incarnation once for all runs that were lost there.
 func (i *Isolator) probe(backend, address string) {
-	ended := i.ConnectionRefused(context.Background(), backend, address)
+	exited := i.ConnectionRefused(context.Background(), backend, address)
 	i.mu.Lock()
 	delete(i.probing, backend)
 	i.mu.Unlock()
-	if ended {
+	if exited {
 		i.RecordExit(backend)
 	}
 }
 
-// RecordExit notes that the process of a start has ended without notice.
+// RecordExit records that the process of an incarnation has exited without notice.
 func (i *Isolator) RecordExit(backend string) {
 	if !i.active.Load() {
 		return
@@ -226,37 +230,37 @@
 	now := i.Clock.Now()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.witness.RecordExit(now, backend)
+	i.reporter.RecordExit(now, backend)
 	i.feed(now)
 }
 
-// feed lets the judge here know the reports that it does not. The caller holds the lock.
+// feed passes new reports to the local quarantiner. The caller holds the lock.
 func (i *Isolator) feed(now time.Time) {
 	for {
-		reports, last := i.witness.Reports(now, i.fed)
+		reports, last := i.reporter.Reports(now, i.lastFed)
 		if len(reports) == 0 {
 			return
 		}
-		i.fed = last
+		i.lastFed = last
 		for _, r := range reports {
-			i.judge.Observe(now, r)
+			i.quarantiner.Observe(now, r)
 		}
 	}
 }
 
-// ObserveAnnouncement takes what a backend server or a controller says of a start.
+// ObserveAnnouncement takes the announced state of an incarnation.
 func (i *Isolator) ObserveAnnouncement(a *wire.Announcement) {
 	switch {
 	case a.GetDraining():
 		i.mu.Lock()
-		i.witness.RecordLeaving(i.Clock.Now(), a.GetId())
+		i.reporter.RecordLeaving(i.Clock.Now(), a.GetId())
 		i.mu.Unlock()
 	case a.GetGone():
 		i.RecordExit(a.GetId())
 	}
 }
 
-// RecordCompletion notes a run that was answered whole, if anything speaks against its request.
+// RecordCompletion records a completed run, if there is evidence against its request.
 func (i *Isolator) RecordCompletion(prints func() []string, backend string) {
 	if !i.active.Load() {
 		return
@@ -265,11 +269,11 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	for _, fingerprint := range list {
-		if i.suspects[fingerprint] == nil && i.judge.Crashes(fingerprint) == 0 {
+		if i.suspects[fingerprint] == nil && i.quarantiner.Crashes(fingerprint) == 0 {
 			continue
 		}
-		delete(i.heldHere, fingerprint)
-		i.witness.RecordCompletion(now, &wire.RunReport{Fingerprint: fingerprint, Backend: backend})
+		delete(i.locallyHeld, fingerprint)
+		i.reporter.RecordCompletion(now, &wire.RunReport{Fingerprint: fingerprint, Backend: backend})
 	}
 	i.feed(now)
 }
@@ -283,12 +287,12 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.active.Store(true)
-	i.witness.Receive(now, reports)
+	i.reporter.Receive(now, reports)
 	i.feed(now)
 }
 
-// Reports returns what the controllers have to know after the report with a number, and the
-// number of the last.
+// Reports returns the reports for the controllers after the one with a number, and the number
+// of the last.
 func (i *Isolator) Reports(after uint64) ([]*wire.RunReport, uint64) {
 	if !i.active.Load() {
 		return nil, 0
@@ -296,30 +300,30 @@
 	now := i.Clock.Now()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.witness.Reports(now, after)
+	return i.reporter.Reports(now, after)
 }
 
-// IncarnationID names one start of a backend server that keeps its name.
+// IncarnationID names one incarnation of a backend server that keeps its name.
 func IncarnationID(name, incarnation string) string { return name + "/" + incarnation }
 
-// SuspectsRevision returns the number of the leader's list that is known, 0 for none.
+// SuspectsRevision returns the revision of the known list of the leader, 0 for none.
 func (i *Isolator) SuspectsRevision() uint64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.revision
+	return i.suspectsRevision
 }
 
-// SetSuspects takes the leader's list.
+// SetSuspects sets the leader's list.
 func (i *Isolator) SetSuspects(revision uint64, list []*wire.Suspect) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.active.Store(i.active.Load() || len(list) > 0)
-	if revision <= i.revision {
+	if revision <= i.suspectsRevision {
 		return
 	}
-	i.revision = revision
+	i.suspectsRevision = revision
 	clear(i.suspects)
-	clear(i.heldHere)
+	clear(i.locallyHeld)
 	for _, s := range list {
 		i.suspects[s.GetFingerprint()] = s
 	}
