--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -1,6 +1,6 @@
-// Package relayer holds what this gateway knows of the system, and passes it on to the
-// gateways that follow it: their calls wait here for news, and what they tell of their
-// requests goes on with this gateway's own.
+// Package relayer holds this gateway's view of the system, and forwards it to the gateways that
+// follow it: their calls wait here for updates, and their reports are sent upwards together
+// with this gateway's own.
 package relayer
 
 import (
@@ -23,10 +23,10 @@
 )
 
 const (
-	// lookEvery bounds how late a call is answered whose wait is over.
-	lookEvery = 20 * time.Millisecond
-	// maxWaiters bounds the calls that wait here; more followers than any list gives come
-	// only from a fault, and must not use this instance up.
+	// checkInterval bounds how late a call is answered whose wait is over.
+	checkInterval = 20 * time.Millisecond
+	// maxWaiters bounds the calls that wait here; more followers than an assignment gives come
+	// only from a fault, and must not exhaust this instance.
 	maxWaiters = 1024
 )
 
@@ -37,89 +37,89 @@
 	Meter *meter.Meter
 	// Self is this gateway.
 	Self *wire.GatewayEntry
-	// Apply takes news for this gateway itself. Calls do not overlap.
-	Apply func(source string, news *wire.SyncResponse)
-	// Loads returns this gateway's own requests under way.
+	// Apply applies an update to this gateway itself. Calls do not overlap.
+	Apply func(source string, update *wire.SyncResponse)
+	// Loads returns this gateway's own requests in progress.
 	Loads func() []*wire.Load
-	// AddDemand takes the requests that followers have taken.
+	// AddDemand adds the requests that followers have accepted.
 	AddDemand func(list []*wire.Demand)
-	// ReceiveRunReports takes the runs of followers' requests that ended.
+	// ReceiveRunReports takes the run reports of followers.
 	ReceiveRunReports func(reports []*wire.RunReport)
 	// Granter knows the request limits of backend servers.
 	Granter *granter.Granter
 	// RequestAdapters asks the leader for adapters. It must not block.
 	RequestAdapters func(wants []*wire.Want)
 
-	mu       sync.Mutex
-	spreader *disseminator.Disseminator
-	waiters  []*waiter
-	// own are this gateway's loads as of the last look.
+	mu           sync.Mutex
+	disseminator *disseminator.Disseminator
+	waiters      []*waiter
+	// own are this gateway's loads as of the last check with waiting calls.
 	own []*wire.Load
 
-	// leaderAt is when the leader's word was right that is known, in ns of Unix time; 0 is
-	// never. It is read while others hold their own locks.
+	// leaderAt is when the known state of the leader was current, in ns of Unix time; 0 is
+	// never. It is read by callers that hold their own locks.
 	leaderAt atomic.Int64
 }
 
-// waiter is a follower's call that waits for news.
+// waiter is a follower's call that waits for updates.
 type waiter struct {
 	request  *wire.SyncRequest
 	deadline time.Time
-	// answer takes the answer, once. It has room for it.
+	// answer receives the response once; it has a buffer of one.
 	answer chan *wire.SyncResponse
 }
 
 // Init prepares the relayer for calls before Run.
 func (r *Relayer) Init() {
-	r.spreader = &disseminator.Disseminator{Self: r.Self, Epoch: rand.Uint64()}
-	r.spreader.Init()
+	r.disseminator = &disseminator.Disseminator{Self: r.Self, Epoch: rand.Uint64()}
+	r.disseminator.Init()
 }
 
 // Run answers calls whose wait is over until ctx ends.
 func (r *Relayer) Run(ctx context.Context) {
-	ticker := r.Clock.NewTicker(lookEvery)
+	ticker := r.Clock.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.Chan():
-			r.look()
+			r.check()
 		}
 	}
 }
 
-func (r *Relayer) look() {
+func (r *Relayer) check() {
 	now := r.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.spreader.Tick(now)
+	r.disseminator.Tick(now)
 	if len(r.waiters) > 0 {
 		r.own = r.Loads()
 		r.answerWaiters(now)
 	}
 }
 
-// Receive takes an answer of a controller or of another gateway. It reports false if that
-// was a difference from what is not known here, so that all has to be asked for.
+// Receive takes a response of a controller or of another gateway. It reports false if that was
+// a difference from an unknown revision, so that the complete state must be requested.
 func (r *Relayer) Receive(source string, res *wire.SyncResponse) bool {
 	now := r.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	news, whole := r.spreader.Receive(now, res)
-	if !whole {
-		r.Log.Warn("a difference has a gap before it; all is asked for", "Source", source,
-			"Since", res.GetHoldingsSince(), "Known", r.spreader.HoldingRevision())
+	update, complete := r.disseminator.Receive(now, res)
+	if !complete {
+		r.Log.Warn("holdings difference does not follow the known revision; requesting the complete holdings", "Source", source,
+			"Since", res.GetHoldingsSince(), "Known", r.disseminator.HoldingRevision())
 	}
-	if age := r.spreader.LeaderAge(now); age < unknownAge {
+	if age := r.disseminator.LeaderAge(now); age < unknownAge {
 		r.leaderAt.Store(now.Add(-age).UnixNano())
 	}
-	r.Apply(source, news)
+	r.Apply(source, update)
 	r.answerWaiters(now)
-	return whole
+	return complete
 }
 
-// Sync answers a follower as soon as there is news for it, or when its wait is over.
+// Sync answers a follower as soon as there is an update for it, or when its wait is over.
 func (r *Relayer) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncResponse, error) {
 	if len(req.GetDemand()) > 0 {
 		r.AddDemand(req.GetDemand())
@@ -130,7 +130,7 @@
 	if len(req.GetRequestLimits()) > 0 {
 		r.Granter.Hear(req.GetRequestLimits(), throttler.Follower)
 	}
-	w, err := r.enter(req)
+	w, err := r.register(req)
 	if err != nil {
 		return nil, err
 	}
@@ -138,12 +138,12 @@
 	case res := <-w.answer:
 		return res, nil
 	case <-ctx.Done():
-		r.leave(w)
+		r.abandon(w)
 		return nil, errors.Wrap(ctx.Err(), "relayer: sync")
 	}
 }
 
-func (r *Relayer) enter(req *wire.SyncRequest) (*waiter, error) {
+func (r *Relayer) register(req *wire.SyncRequest) (*waiter, error) {
 	now := r.Clock.Now()
 	w := &waiter{
 		request: req, deadline: now.Add(time.Duration(req.GetWaitMs()) * time.Millisecond),
@@ -154,7 +154,7 @@
 	if len(r.waiters) >= maxWaiters {
 		return nil, twirp.NewError(twirp.ResourceExhausted, "too many gateways ask this one")
 	}
-	r.spreader.ObserveFollower(now, req)
+	r.disseminator.ObserveFollower(now, req)
 	if r.isDue(now, w) {
 		r.answer(now, w)
 	} else {
@@ -163,13 +163,13 @@
 	return w, nil
 }
 
-// leave takes out a call whose caller has given up.
-func (r *Relayer) leave(gone *waiter) {
+// abandon removes a call whose caller has given up.
+func (r *Relayer) abandon(abandoned *waiter) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	kept := r.waiters[:0]
 	for _, w := range r.waiters {
-		if w != gone {
+		if w != abandoned {
 			kept = append(kept, w)
 		}
 	}
@@ -192,17 +192,17 @@
 }
 
 func (r *Relayer) isDue(now time.Time, w *waiter) bool {
-	return !now.Before(w.deadline) || w.request.GetRequestLimitsRevision() != r.Granter.Revision() || r.spreader.Due(now, w.request)
+	return !now.Before(w.deadline) || w.request.GetRequestLimitsRevision() != r.Granter.Revision() || r.disseminator.Due(now, w.request)
 }
 
 func (r *Relayer) answer(now time.Time, w *waiter) {
-	res := r.spreader.Answer(now, w.request, r.own)
-	r.tellLimits(w.request, res)
+	res := r.disseminator.Answer(now, w.request, r.own)
+	r.addRequestLimits(w.request, res)
 	w.answer <- res
 }
 
-// tellLimits adds the request limits to an answer, if the follower knows another list.
-func (r *Relayer) tellLimits(req *wire.SyncRequest, res *wire.SyncResponse) {
+// addRequestLimits adds the request limits to a response, if the follower has another list.
+func (r *Relayer) addRequestLimits(req *wire.SyncRequest, res *wire.SyncResponse) {
 	list, revision := r.Granter.News()
 	res.RequestLimitsRevision = revision
 	if req.GetEpoch() != res.GetEpoch() || req.GetRequestLimitsRevision() != revision {
@@ -210,78 +210,78 @@
 	}
 }
 
-// Acquire passes a follower's request for adapters on to the leader.
+// Acquire forwards a follower's request for adapters to the leader.
 func (r *Relayer) Acquire(_ context.Context, req *wire.AcquireRequest) (*wire.AcquireResponse, error) {
 	r.mu.Lock()
-	r.spreader.ObserveWants(r.Clock.Now(), req.GetGateway(), req.GetWants())
+	r.disseminator.ObserveWants(r.Clock.Now(), req.GetGateway(), req.GetWants())
 	r.mu.Unlock()
 	r.RequestAdapters(req.GetWants())
 	return &wire.AcquireResponse{}, nil
 }
 
-// errNotHere is what a gateway says of calls that only controllers serve.
+// errNotHere is returned for calls that only controllers serve.
 var errNotHere = twirp.NewError(twirp.Unavailable, "this is a gateway")
 
-// Relay is not for gateways.
+// Relay is not served by gateways.
 func (r *Relayer) Relay(context.Context, *wire.RelayRequest) (*wire.RelayResponse, error) {
 	return nil, errNotHere
 }
 
-// Put is not for gateways.
+// Put is not served by gateways.
 func (r *Relayer) Put(context.Context, *wire.PutRequest) (*wire.PutResponse, error) {
 	return nil, errNotHere
 }
 
-// ListHeld is not for gateways.
+// ListHeld is not served by gateways.
 func (r *Relayer) ListHeld(context.Context, *wire.ListHeldRequest) (*wire.ListHeldResponse, error) {
 	return nil, errNotHere
 }
 
-// Read is not for gateways.
+// Read is not served by gateways.
 func (r *Relayer) Read(context.Context, *wire.ReadRequest) (*wire.ReadResponse, error) {
 	return nil, errNotHere
 }
 
-// HoldingRevision returns up to which revision holdings are known.
+// HoldingRevision returns the revision up to which holdings are known.
 func (r *Relayer) HoldingRevision() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.spreader.HoldingRevision()
+	return r.disseminator.HoldingRevision()
 }
 
-// SuspectsRevision returns the number of the list of suspects that is known.
+// SuspectsRevision returns the revision of the known list of suspects.
 func (r *Relayer) SuspectsRevision() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.spreader.SuspectsRevision()
+	return r.disseminator.SuspectsRevision()
 }
 
-// Gateways returns all gateways, by the word of the leader.
+// Gateways returns all gateways, as listed by the leader.
 func (r *Relayer) Gateways() []*wire.GatewayEntry {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.spreader.Gateways()
+	return r.disseminator.Gateways()
 }
 
-// Members returns the gateways that follow this one, with the number of their list.
+// Members returns the gateways that follow this one, with the revision of their list.
 func (r *Relayer) Members() ([]*wire.GatewayEntry, uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.spreader.Members()
+	return r.disseminator.Members()
 }
 
-// AllLoads returns the requests under way of this gateway and of its followers.
+// AllLoads returns the requests in progress of this gateway and of its followers.
 func (r *Relayer) AllLoads() []*wire.Load {
 	own := r.Loads()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.spreader.Loads(own)
+	return r.disseminator.Loads(own)
 }
 
-// unknownAge is the age of a leader's word before the first one.
+// unknownAge is the age of the leader's state before the first one.
 const unknownAge = time.Hour
 
-// LeaderAge returns how old the leader's word is that is known here.
+// LeaderAge returns the age of the leader's state that is known here.
 func (r *Relayer) LeaderAge() time.Duration {
 	at := r.leaderAt.Load()
 	if at == 0 {
@@ -290,7 +290,7 @@
 	return r.Clock.Since(time.Unix(0, at))
 }
 
-// Measure records the age of what is known here.
+// Measure records the age of the leader's state that is known here.
 func (r *Relayer) Measure() {
 	if age := r.LeaderAge(); age < unknownAge {
 		r.Meter.Took("news_age", age)
