--- a/gateway/synchronizer/acquire.go
+++ b/gateway/synchronizer/acquire.go
@@ -10,62 +10,62 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Leader returns the address of the leader, or of the relay that is asked in its place; ""
-// if none is known.
-func (f *Synchronizer) Leader() string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.leader
+// Leader returns the address of the leader, or of the relay that takes its requests; "" if none
+// is known.
+func (s *Synchronizer) Leader() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.leader
 }
 
-// Term returns the term of the leader that was heard last.
-func (f *Synchronizer) Term() uint64 {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.term
+// Term returns the term of the last known leader.
+func (s *Synchronizer) Term() uint64 {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.term
 }
 
 // Acquire asks the leader to load adapters. It does not wait for the loads.
-func (f *Synchronizer) Acquire(ctx context.Context, wants []*wire.Want) {
-	f.mu.Lock()
-	leader := f.leader
-	f.mu.Unlock()
+func (s *Synchronizer) Acquire(ctx context.Context, wants []*wire.Want) {
+	s.mu.Lock()
+	leader := s.leader
+	s.mu.Unlock()
 	if leader == "" {
 		return
 	}
-	client := &connector.Client{Timeout: acquireTimeout, Transport: f.transport()}
-	_, err := wire.NewMeshProtobufClient("http://"+leader, client).Acquire(ctx, &wire.AcquireRequest{Wants: wants, Gateway: f.Gateway})
-	f.noteAcquire(leader, err)
+	client := &connector.Client{Timeout: acquireTimeout, Transport: s.transport()}
+	_, err := wire.NewMeshProtobufClient("http://"+leader, client).Acquire(ctx, &wire.AcquireRequest{Wants: wants, Gateway: s.Gateway})
+	s.recordAcquire(leader, err)
 	if err == nil {
 		return
 	}
 	if code, ok := err.(twirp.Error); ok && code.Code() == twirp.Unavailable {
-		f.mu.Lock()
-		if f.leader == leader {
-			f.leader = ""
+		s.mu.Lock()
+		if s.leader == leader {
+			s.leader = ""
 		}
-		f.mu.Unlock()
+		s.mu.Unlock()
 	}
 }
 
-// noteAcquire logs the first of several requests for adapters in a row that fail, and how
-// many did once one succeeds: while there is no leader they fail dozens of times a second.
-func (f *Synchronizer) noteAcquire(leader string, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// recordAcquire logs the first of several consecutive failed requests for adapters, and their
+// number once one succeeds: without a leader dozens fail each second.
+func (s *Synchronizer) recordAcquire(leader string, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch {
-	case err == nil && f.untold > 0:
-		f.Log.Info("the leader is told of adapters again", "Controller", leader, "Failed", f.untold)
-		f.untold = 0
+	case err == nil && s.failedAcquires > 0:
+		s.Log.Info("adapter requests reach the leader again", "Controller", leader, "Failed", s.failedAcquires)
+		s.failedAcquires = 0
 	case err != nil:
-		f.untold++
-		if f.untold == 1 {
-			f.Log.Info("the leader was not told of adapters that are needed", "Controller", leader, "Error", err.Error())
+		s.failedAcquires++
+		if s.failedAcquires == 1 {
+			s.Log.Info("adapter request to the leader failed", "Controller", leader, "Error", err.Error())
 		}
 	}
 }
 
-func (f *Synchronizer) transport() *http.Transport {
-	f.acquiringOnce.Do(func() { f.acquiring = connector.NewTransport(nil) })
-	return f.acquiring
+func (s *Synchronizer) transport() *http.Transport {
+	s.acquireTransportOnce.Do(func() { s.acquireTransport = connector.NewTransport(nil) })
+	return s.acquireTransport
 }
--- a/gateway/synchronizer/demand.go
+++ b/gateway/synchronizer/demand.go
@@ -2,15 +2,16 @@
 
 import "bronzelead.example/pkg/wire"
 
-// maxUntold bounds the adapters of which an instance that does not answer is to be told.
-const maxUntold = 4096
+// maxPendingAdapters bounds the adapters whose demand is buffered for one unresponsive
+// instance.
+const maxPendingAdapters = 4096
 
-// untoldDemand is what instances have not been told yet of the requests that were taken.
-// All controllers are told, so that the next leader knows what is asked for.
-type untoldDemand map[string]map[string]uint32
+// demandBuffer holds, for each instance, the demand that has not been sent to it yet. All
+// controllers receive it, so that the next leader knows the demand too.
+type demandBuffer map[string]map[string]uint32
 
-// add notes requests for each of the instances that are told.
-func (u untoldDemand) add(list []*wire.Demand, addresses []string) {
+// add adds requests for each of the target instances.
+func (u demandBuffer) add(list []*wire.Demand, addresses []string) {
 	for _, address := range addresses {
 		counts := u[address]
 		if counts == nil {
@@ -18,15 +19,15 @@
 			u[address] = counts
 		}
 		for _, d := range list {
-			if _, known := counts[d.GetAdapter()]; known || len(counts) < maxUntold {
+			if _, known := counts[d.GetAdapter()]; known || len(counts) < maxPendingAdapters {
 				counts[d.GetAdapter()] += d.GetRequests()
 			}
 		}
 	}
 }
 
-// take returns what an instance is told next, and forgets it.
-func (u untoldDemand) take(address string) []*wire.Demand {
+// take returns and clears the buffered demand of an instance.
+func (u demandBuffer) take(address string) []*wire.Demand {
 	counts := u[address]
 	delete(u, address)
 	list := make([]*wire.Demand, 0, len(counts))
--- a/gateway/synchronizer/demand_test.go
+++ b/gateway/synchronizer/demand_test.go
@@ -9,10 +9,10 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Each controller is told of each request once, whenever it is asked.
-func TestEachControllerIsToldOnce(t *testing.T) {
+// Each controller receives all demand once, however often it is called.
+func TestDemandIsSentOnce(t *testing.T) {
 	c := qt.New(t)
-	u := untoldDemand{}
+	u := demandBuffer{}
 	both := []string{"a", "b"}
 	u.add([]*wire.Demand{{Adapter: "m/x", Requests: 2}}, both)
 	c.Check(u.take("a")[0].GetRequests(), qt.Equals, uint32(2))
@@ -22,12 +22,12 @@
 	c.Check(u.take("a")[0].GetRequests(), qt.Equals, uint32(3))
 }
 
-// One that does not answer for long costs a bounded part of memory.
-func TestUntoldDemandIsBounded(t *testing.T) {
+// The buffer of an unresponsive instance stays bounded.
+func TestPendingDemandIsBounded(t *testing.T) {
 	c := qt.New(t)
-	u := untoldDemand{}
-	for i := range 2 * maxUntold {
+	u := demandBuffer{}
+	for i := range 2 * maxPendingAdapters {
 		u.add([]*wire.Demand{{Adapter: fmt.Sprint("m/", i), Requests: 1}}, []string{"a"})
 	}
-	c.Check(u.take("a"), qt.HasLen, maxUntold)
+	c.Check(u.take("a"), qt.HasLen, maxPendingAdapters)
 }
--- a/gateway/synchronizer/relays.go
+++ b/gateway/synchronizer/relays.go
@@ -6,54 +6,54 @@
 	"bronzelead.example/pkg/connector"
 )
 
-// followRelays asks one relay for news all the time, and another one as soon as it gives
-// none.
-func (f *Synchronizer) followRelays(ctx context.Context) {
+// syncRelays polls one relay continuously, and another one as soon as it provides no current
+// state.
+func (s *Synchronizer) syncRelays(ctx context.Context) {
 	transport := connector.NewTransport(nil)
 	defer transport.CloseIdleConnections()
-	r := rotation{asked: f.Clock.Now()}
+	r := rotation{since: s.Clock.Now()}
 	for ctx.Err() == nil {
-		address, ok := f.relay(r.turn)
+		address, ok := s.relayAt(r.index)
 		if !ok {
 			return
 		}
 		wait := leaderWait
-		if r.fresh {
-			// What another one knows is wanted at once.
+		if r.firstCall {
+			// The first call to a relay returns its state immediately.
 			wait = 0
 		}
 		client := &connector.Client{Timeout: wait + relayMargin, Transport: transport}
-		res, err := f.ask(ctx, client, address, wait)
+		res, err := s.call(ctx, client, address, wait)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
-			f.Log.Info("a relay does not answer", "Gateway", address, "Error", err.Error())
+			s.Log.Info("relay does not answer", "Gateway", address, "Error", err.Error())
 		} else {
-			f.take(address, res)
+			s.receive(address, res)
 		}
-		if r.next(f.Clock.Now(), res, len(f.relayList())) {
-			f.pause(ctx)
+		if r.observe(s.Clock.Now(), res, len(s.relayList())) {
+			s.pause(ctx)
 		}
 		if err == nil && !isStale(res) {
-			f.mu.Lock()
-			f.covered = f.Clock.Now()
-			f.mu.Unlock()
+			s.mu.Lock()
+			s.relayContactAt = s.Clock.Now()
+			s.mu.Unlock()
 		}
 	}
 }
 
-func (f *Synchronizer) relayList() []string {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.relays
+func (s *Synchronizer) relayList() []string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.relays
 }
 
-// relay returns the relay whose turn it is.
-func (f *Synchronizer) relay(turn int) (string, bool) {
-	relays := f.relayList()
+// relayAt returns the relay at an index, modulo the number of relays.
+func (s *Synchronizer) relayAt(index int) (string, bool) {
+	relays := s.relayList()
 	if len(relays) == 0 {
 		return "", false
 	}
-	return relays[turn%len(relays)], true
+	return relays[index%len(relays)], true
 }
--- a/gateway/synchronizer/rotation.go
+++ b/gateway/synchronizer/rotation.go
@@ -6,44 +6,44 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// rotation decides which relay is asked next. It is pure.
+// rotation decides which relay is called next. It is pure.
 type rotation struct {
-	// turn is the place of the relay in the list.
-	turn int
-	// fresh is set before the first call to a relay.
-	fresh bool
-	// asked is when the relay was asked first.
-	asked time.Time
-	// failures counts the calls in a row that gave no news.
+	// index is the position of the relay in the list, before the modulo.
+	index int
+	// firstCall is set before the first call to a relay.
+	firstCall bool
+	// since is when the relay was selected.
+	since time.Time
+	// failures counts the consecutive calls that gave no current state.
 	failures int
 }
 
-// isStale reports whether an answer tells of a time too long ago: who gave it has lost the
-// controllers, or hears only of somebody who has.
+// isStale reports whether the state in a response is too old: its sender, or the one that it
+// relays, has lost contact with the controllers.
 func isStale(res *wire.SyncResponse) bool {
-	return time.Duration(res.GetContactAgeMs())*time.Millisecond > staleNews
+	return time.Duration(res.GetContactAgeMs())*time.Millisecond > maxRelayAge
 }
 
-// next takes the end of a call, with nil where there was no answer. It reports whether all
-// relays were asked in vain, so that there should be a pause.
-func (r *rotation) next(now time.Time, res *wire.SyncResponse, relays int) bool {
+// observe takes the response to a call, or nil. It reports whether all relays were called in
+// vain, so that there should be a pause.
+func (r *rotation) observe(now time.Time, res *wire.SyncResponse, relays int) bool {
 	leaderAge := time.Duration(res.GetLeaderAgeMs()) * time.Millisecond
 	switch {
 	case res == nil || isStale(res):
 		r.failures++
-		r.change(now, r.turn+1)
+		r.change(now, r.index+1)
 		return r.failures >= relays
-	case leaderAge > rotateEvery && now.Sub(r.asked) > rotateEvery:
-		r.change(now, r.turn+1)
-	case r.turn != 0 && now.Sub(r.asked) > homeAfter:
+	case leaderAge > rotationInterval && now.Sub(r.since) > rotationInterval:
+		r.change(now, r.index+1)
+	case r.index != 0 && now.Sub(r.since) > failbackDelay:
 		r.change(now, 0)
 	default:
-		r.fresh = false
+		r.firstCall = false
 	}
 	r.failures = 0
 	return false
 }
 
-func (r *rotation) change(now time.Time, turn int) {
-	r.turn, r.fresh, r.asked = turn, true, now
+func (r *rotation) change(now time.Time, index int) {
+	r.index, r.firstCall, r.since = index, true, now
 }
--- a/gateway/synchronizer/synchronizer.go
+++ b/gateway/synchronizer/synchronizer.go
@@ -1,6 +1,6 @@
-// Package follower keeps a gateway in step with the controllers. Few gateways of a zone
-// ask each of the controllers all the time, so that the loss of any one delays nothing; the
-// others ask one of these few, and the controllers when none of them answers.
+// Package synchronizer keeps a gateway up to date with the controllers. A few gateways of each
+// zone poll every controller continuously, so that the loss of any one delays nothing; the
+// others poll one of these few, and the controllers when none of them answers.
 package synchronizer
 
 import (
@@ -22,118 +22,120 @@
 )
 
 const (
-	// leaderWait is how long a call to the leader or a relay may wait for news; each call
-	// also brings the gateway's demand and loads.
+	// leaderWait is how long a call to the leader or a relay may wait for updates; each call
+	// also carries the gateway's demand and loads.
 	leaderWait = 150 * time.Millisecond
 	// followerWait is the same for the other controllers.
 	followerWait = 1000 * time.Millisecond
 	// callMargin is the time that a call may take beyond its wait.
 	callMargin = 700 * time.Millisecond
 	// relayMargin is the same for calls to a relay, which is in the same zone. It is short,
-	// since another relay is asked then.
+	// since another relay is called then.
 	relayMargin = 250 * time.Millisecond
-	// retryPause is the wait after a failed call. It is short, since all that a gateway
-	// knows comes from these calls.
+	// retryPause is the wait after a failed call. It is short, since all that a gateway knows
+	// comes from these calls.
 	retryPause = 100 * time.Millisecond
-	// acquireTimeout bounds a request for adapters; it is sent again if need be.
+	// acquireTimeout bounds a request for adapters; it is sent again if necessary.
 	acquireTimeout = 300 * time.Millisecond
-	// forgetAfter is how long a controller is asked that no other one lists any more.
-	forgetAfter = 30 * time.Second
-	// reviewEvery is the time between two looks at whom to ask.
-	reviewEvery = 250 * time.Millisecond
-	// cutOffAfter is the time without an answer from any controller after which other
-	// gateways are asked: longer than an election, during which controllers answer.
-	cutOffAfter = 1300 * time.Millisecond
-	// staleNews is the age from which a relay's word is not news: another one is asked.
-	staleNews = 500 * time.Millisecond
-	// uncoveredAfter is how long relays may give no news before the controllers are asked.
-	// It leaves time to find that one is lost and to ask another.
-	uncoveredAfter = 900 * time.Millisecond
-	// homeAfter is the time after which a gateway that has changed its relay asks its first
-	// one again, so that the followers of a zone spread over its relays.
-	homeAfter = 10 * time.Second
-	// rotateEvery is the least time between two changes of a relay that itself hears no
-	// leader: perhaps another one does.
-	rotateEvery = time.Second
+	// controllerExpiry is how long an unreachable controller is still polled that no other one
+	// lists.
+	controllerExpiry = 30 * time.Second
+	// reviewInterval is the interval at which the instances to poll are reviewed.
+	reviewInterval = 250 * time.Millisecond
+	// partitionTimeout is the time without a response of any controller after which other
+	// gateways are polled: longer than an election, during which controllers answer.
+	partitionTimeout = 1300 * time.Millisecond
+	// maxRelayAge is the age of a relay's state above which another relay is called.
+	maxRelayAge = 500 * time.Millisecond
+	// relayTimeout is how long relays may fail to provide current state before the controllers
+	// are polled. It leaves time to detect that one is lost and to call another.
+	relayTimeout = 900 * time.Millisecond
+	// failbackDelay is the time after which a gateway that has changed its relay returns to its
+	// first one, so that the followers of a zone spread over its relays.
+	failbackDelay = 10 * time.Second
+	// rotationInterval is the minimum time between two changes from a relay that has no contact
+	// with a leader itself: perhaps another one does.
+	rotationInterval = time.Second
 )
 
-// Synchronizer asks the controllers, or relays. Set the exported fields, then call Run.
+// Synchronizer polls the controllers, or relays. Set the exported fields, then call Run.
 type Synchronizer struct {
 	Clock clockwork.Clock
 	Log   *slog.Logger
-	// Gateway names this gateway, and Self is where it is reached.
+	// Gateway names this gateway, and Self is its address and zone.
 	Gateway string
 	Self    *wire.GatewayEntry
 	// Seeds returns the addresses that the gateway starts from.
 	Seeds func() []string
-	// Relayer takes the news, and knows what is told upwards.
+	// Relayer receives the updates, and holds what is reported upwards.
 	Relayer *relayer.Relayer
-	// Demand returns and clears the requests taken since the last call.
+	// Demand returns and clears the requests accepted since the last call.
 	Demand func() []*wire.Demand
-	// RunReports returns what has ended after the report with a number, and the number of the
-	// last report.
+	// RunReports returns the run reports after the one with a number, and the number of the
+	// last.
 	RunReports func(after uint64) ([]*wire.RunReport, uint64)
 	// Granter knows the request limits of backend servers.
 	Granter *granter.Granter
 	// TableVersion returns the version of the table in force here.
 	TableVersion func() uint64
 
-	// acquiring is shared by the calls of Acquire, so that they use connections again.
-	acquiring     *http.Transport
-	acquiringOnce sync.Once
+	// acquireTransport is shared by the calls of Acquire, so that they reuse connections.
+	acquireTransport     *http.Transport
+	acquireTransportOnce sync.Once
 
 	mu sync.Mutex
-	// loops ask the controllers while direct is set; since directAt.
-	loops    map[string]*loop
+	// loops poll the controllers while direct is set; since directAt.
+	loops    map[string]*controllerLoop
 	direct   bool
 	directAt time.Time
-	// sources are what each instance that was asked has told up to now.
-	sources      map[string]*source
-	untoldDemand untoldDemand
-	// leader is who is asked for adapters: the leader, or a relay.
+	// sources hold what each polled instance has sent so far.
+	sources       map[string]*syncState
+	pendingDemand demandBuffer
+	// leader receives requests for adapters: the leader, or a relay.
 	leader string
 	term   uint64
-	// heard is when a controller answered last, and covered when a relay gave news last.
-	heard   time.Time
-	covered time.Time
-	// relays are asked while stopRelays is set.
+	// controllerContactAt is when a controller last answered, and relayContactAt when a relay
+	// last sent current state.
+	controllerContactAt time.Time
+	relayContactAt      time.Time
+	// relays are polled while stopRelays is set.
 	relays     []string
 	stopRelays context.CancelFunc
-	// untold counts requests for adapters in a row that failed.
-	untold int
+	// failedAcquires counts consecutive failed requests for adapters.
+	failedAcquires int
 }
 
-// loop is what the follower knows of one controller.
-type loop struct {
+// controllerLoop is the polling loop of one controller.
+type controllerLoop struct {
 	listed time.Time
 	cancel context.CancelFunc
 	failed bool
 }
 
-// source is up to where an instance has told what it knows.
-type source struct {
+// syncState is the state up to which an instance has sent updates.
+type syncState struct {
 	epoch, announcements, versions, gateways, members uint64
 	requestLimits                                     uint64
 	tableVersion                                      uint64
 	controllers                                       []string
 	controllersRevision                               uint64
-	// reported is the number of the last report that it has taken.
+	// reported is the number of the last run report that it has received.
 	reported uint64
-	// gap is set if a difference of it could not be used, so that all is to be told.
+	// gap is set if a difference from it could not be applied, so that it must send everything.
 	gap bool
 }
 
 // Run works until ctx ends.
-func (f *Synchronizer) Run(ctx context.Context) {
-	f.mu.Lock()
-	f.loops, f.sources, f.untoldDemand = map[string]*loop{}, map[string]*source{}, untoldDemand{}
-	f.mu.Unlock()
-	ticker := f.Clock.NewTicker(reviewEvery)
+func (s *Synchronizer) Run(ctx context.Context) {
+	s.mu.Lock()
+	s.loops, s.sources, s.pendingDemand = map[string]*controllerLoop{}, map[string]*syncState{}, demandBuffer{}
+	s.mu.Unlock()
+	ticker := s.Clock.NewTicker(reviewInterval)
 	defer ticker.Stop()
 	for {
-		f.arrange(ctx)
-		f.review(ctx, f.Seeds(), false)
-		f.Relayer.Measure()
+		s.updatePath(ctx)
+		s.review(ctx, s.Seeds(), false)
+		s.Relayer.Measure()
 		select {
 		case <-ctx.Done():
 			return
@@ -142,238 +144,239 @@
 	}
 }
 
-// arrange decides whether the controllers are asked, and which relays.
-func (f *Synchronizer) arrange(ctx context.Context) {
-	place := arranger.Arrange(f.Relayer.Gateways(), f.Self)
-	now := f.Clock.Now()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	relays := place.Relays
-	if f.cutOff(now) {
-		relays = append(relays, place.Elsewhere...)
+// updatePath decides whether the controllers are polled, and which relays.
+func (s *Synchronizer) updatePath(ctx context.Context) {
+	assignment := arranger.Arrange(s.Relayer.Gateways(), s.Self)
+	now := s.Clock.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	relays := assignment.Relays
+	if s.partitioned(now) {
+		relays = append(relays, assignment.Elsewhere...)
 	}
-	f.setRelays(ctx, relays)
-	f.setDirect(now, place.Direct || now.Sub(f.covered) > uncoveredAfter)
+	s.setRelays(ctx, relays)
+	s.setDirect(now, assignment.Direct || now.Sub(s.relayContactAt) > relayTimeout)
 }
 
-// cutOff reports whether the controllers are asked in vain: a gateway that is cut off from
-// them may still reach others. The caller holds the lock.
-func (f *Synchronizer) cutOff(now time.Time) bool {
-	since := f.directAt
-	if f.heard.After(since) {
-		since = f.heard
+// partitioned reports whether the controllers are polled in vain: a gateway that is partitioned
+// from them may still reach others. The caller holds the lock.
+func (s *Synchronizer) partitioned(now time.Time) bool {
+	since := s.directAt
+	if s.controllerContactAt.After(since) {
+		since = s.controllerContactAt
 	}
-	return f.direct && !f.heard.IsZero() && now.Sub(since) > cutOffAfter
+	return s.direct && !s.controllerContactAt.IsZero() && now.Sub(since) > partitionTimeout
 }
 
-// setRelays changes the relays that are asked. The caller holds the lock.
-func (f *Synchronizer) setRelays(ctx context.Context, relays []string) {
-	f.relays = relays
+// setRelays changes the relays that are polled. The caller holds the lock.
+func (s *Synchronizer) setRelays(ctx context.Context, relays []string) {
+	s.relays = relays
 	switch {
-	case len(relays) > 0 && f.stopRelays == nil:
+	case len(relays) > 0 && s.stopRelays == nil:
 		var relayCtx context.Context
-		relayCtx, f.stopRelays = context.WithCancel(ctx)
-		f.Log.Info("other gateways are asked for news", "Gateways", relays)
-		go f.followRelays(relayCtx)
-	case len(relays) == 0 && f.stopRelays != nil:
-		f.stopRelays()
-		f.stopRelays = nil
-		f.Log.Info("other gateways are no longer asked for news")
+		relayCtx, s.stopRelays = context.WithCancel(ctx)
+		s.Log.Info("polling other gateways for updates", "Gateways", relays)
+		go s.syncRelays(relayCtx)
+	case len(relays) == 0 && s.stopRelays != nil:
+		s.stopRelays()
+		s.stopRelays = nil
+		s.Log.Info("no longer polling other gateways for updates")
 	}
 }
 
-// setDirect begins or ends to ask the controllers. The caller holds the lock.
-func (f *Synchronizer) setDirect(now time.Time, direct bool) {
-	if f.direct == direct {
+// setDirect starts or stops polling the controllers. The caller holds the lock.
+func (s *Synchronizer) setDirect(now time.Time, direct bool) {
+	if s.direct == direct {
 		return
 	}
-	f.direct, f.directAt = direct, now
-	f.Log.Info("the way of news changes", "AsksControllers", direct, "Relays", len(f.relays))
+	s.direct, s.directAt = direct, now
+	s.Log.Info("update path changed", "AsksControllers", direct, "Relays", len(s.relays))
 	if direct {
 		return
 	}
-	for address, l := range f.loops {
+	for address, l := range s.loops {
 		l.cancel()
-		delete(f.loops, address)
+		delete(s.loops, address)
 	}
 }
 
-// review starts asking the listed controllers, and stops asking those that have not been
-// listed for long. Seeds count as listed only while there is nobody else to ask.
-func (f *Synchronizer) review(ctx context.Context, listed []string, fresh bool) {
-	now := f.Clock.Now()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !f.direct {
+// review starts polling the listed controllers, and stops polling unreachable ones that have
+// not been listed for long. Only a controller's list (fresh) renews the time at which one was
+// listed; seeds do not.
+func (s *Synchronizer) review(ctx context.Context, listed []string, fresh bool) {
+	now := s.Clock.Now()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if !s.direct {
 		return
 	}
 	for _, address := range listed {
-		known := f.loops[address]
+		known := s.loops[address]
 		if known == nil {
 			loopCtx, cancel := context.WithCancel(ctx)
-			known = &loop{listed: now, cancel: cancel}
-			f.loops[address] = known
-			go f.follow(loopCtx, address)
+			known = &controllerLoop{listed: now, cancel: cancel}
+			s.loops[address] = known
+			go s.syncController(loopCtx, address)
 		}
 		if fresh {
 			known.listed = now
 		}
 	}
-	for address, known := range f.loops {
-		if now.Sub(known.listed) > forgetAfter && known.failed {
+	for address, known := range s.loops {
+		if now.Sub(known.listed) > controllerExpiry && known.failed {
 			known.cancel()
-			delete(f.loops, address)
+			delete(s.loops, address)
 		}
 	}
 }
 
-// follow asks one controller for news all the time.
-func (f *Synchronizer) follow(ctx context.Context, address string) {
+// syncController polls one controller continuously.
+func (s *Synchronizer) syncController(ctx context.Context, address string) {
 	transport := connector.NewTransport(nil)
 	defer transport.CloseIdleConnections()
 	for ctx.Err() == nil {
 		wait := followerWait
-		if f.asksForAdapters(address) {
+		if s.isLeader(address) {
 			wait = leaderWait
 		}
 		client := &connector.Client{Timeout: wait + callMargin, Transport: transport}
-		res, err := f.ask(ctx, client, address, wait)
+		res, err := s.call(ctx, client, address, wait)
 		if ctx.Err() != nil {
 			return
 		}
-		f.note(address, err)
+		s.recordOutcome(address, err)
 		if err != nil {
-			f.pause(ctx)
+			s.pause(ctx)
 			continue
 		}
-		f.mu.Lock()
-		f.heard = f.Clock.Now()
-		f.mu.Unlock()
-		f.review(ctx, f.take(address, res), true)
+		s.mu.Lock()
+		s.controllerContactAt = s.Clock.Now()
+		s.mu.Unlock()
+		s.review(ctx, s.receive(address, res), true)
 	}
 }
 
-func (f *Synchronizer) pause(ctx context.Context) {
+func (s *Synchronizer) pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-f.Clock.After(retryPause):
+	case <-s.Clock.After(retryPause):
 	}
 }
 
-// ask asks an instance for what it has not told yet.
-func (f *Synchronizer) ask(ctx context.Context, client *connector.Client, address string, wait time.Duration) (*wire.SyncResponse, error) {
-	req, reported := f.prepare(address)
+// call polls an instance for updates.
+func (s *Synchronizer) call(ctx context.Context, client *connector.Client, address string, wait time.Duration) (*wire.SyncResponse, error) {
+	req, reported := s.prepare(address)
 	req.WaitMs = uint32(wait.Milliseconds())
 	res, err := wire.NewMeshProtobufClient("http://"+address, client).Sync(ctx, req)
 	if err == nil {
-		f.noteReported(address, req.GetEpoch(), res.GetEpoch(), reported)
+		s.recordReported(address, req.GetEpoch(), res.GetEpoch(), reported)
 	}
 	return res, err
 }
 
-// noteReported notes up to which report an instance knows all. One that has started again
-// knows none but those of this call, so that all are told again.
-func (f *Synchronizer) noteReported(address string, before, now, reported uint64) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// recordReported records the last run report that an instance has received. A restarted one has
+// only those of this call, so that all are sent again.
+func (s *Synchronizer) recordReported(address string, before, now, reported uint64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if before != 0 && before != now {
 		reported = 0
 	}
-	f.source(address).reported = reported
+	s.source(address).reported = reported
 }
 
-// asksForAdapters reports whether an instance is the one that is asked for adapters.
-func (f *Synchronizer) asksForAdapters(address string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.leader == address
+// isLeader reports whether an instance receives the requests for adapters.
+func (s *Synchronizer) isLeader(address string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.leader == address
 }
 
-// prepare returns the next call to an instance, and the number of the last report in it.
-func (f *Synchronizer) prepare(address string) (*wire.SyncRequest, uint64) {
+// prepare returns the next call to an instance, and the number of the last run report in it.
+func (s *Synchronizer) prepare(address string) (*wire.SyncRequest, uint64) {
 	req := &wire.SyncRequest{
-		Gateway: f.Gateway, Address: f.Self.GetAddress(), Zone: f.Self.GetZone(),
-		Loads: f.Relayer.AllLoads(), TableVersion: f.TableVersion(),
+		Gateway: s.Gateway, Address: s.Self.GetAddress(), Zone: s.Self.GetZone(),
+		Loads: s.Relayer.AllLoads(), TableVersion: s.TableVersion(),
 	}
-	req.RequestLimits = f.Granter.Report()
-	members, membersRevision := f.Relayer.Members()
+	req.RequestLimits = s.Granter.Report()
+	members, membersRevision := s.Relayer.Members()
 	req.MembersRevision = membersRevision
-	demand := f.Demand()
-	holdings := f.Relayer.HoldingRevision()
-	req.SuspectsRevision = f.Relayer.SuspectsRevision()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.untoldDemand.add(demand, f.told(address))
-	req.Demand = f.untoldDemand.take(address)
-	s := f.source(address)
-	req.Epoch, req.AnnouncementRevision, req.VersionRevision = s.epoch, s.announcements, s.versions
-	req.RequestLimitsRevision = s.requestLimits
-	req.GatewaysRevision, req.ControllersRevision = s.gateways, s.controllersRevision
-	req.WantTable = s.tableVersion > req.GetTableVersion()
-	if !s.gap {
+	demand := s.Demand()
+	holdings := s.Relayer.HoldingRevision()
+	req.SuspectsRevision = s.Relayer.SuspectsRevision()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.pendingDemand.add(demand, s.demandTargets(address))
+	req.Demand = s.pendingDemand.take(address)
+	state := s.source(address)
+	req.Epoch, req.AnnouncementRevision, req.VersionRevision = state.epoch, state.announcements, state.versions
+	req.RequestLimitsRevision = state.requestLimits
+	req.GatewaysRevision, req.ControllersRevision = state.gateways, state.controllersRevision
+	req.WantTable = state.tableVersion > req.GetTableVersion()
+	if !state.gap {
 		req.HoldingRevision = holdings
 	}
-	if s.members != membersRevision {
+	if state.members != membersRevision {
 		req.Members = members
 	}
-	reports, last := f.RunReports(s.reported)
+	reports, last := s.RunReports(state.reported)
 	req.RunReports = reports
 	return req, last
 }
 
-// told returns who is told of requests: all controllers, or the relay that is asked, which
-// tells them. Nobody is told by both ways. The caller holds the lock.
-func (f *Synchronizer) told(asked string) []string {
-	if !f.direct || f.cutOff(f.Clock.Now()) {
-		return []string{asked}
+// demandTargets returns the instances that receive demand: all controllers, or the called
+// relay, which forwards it. No demand takes both update paths. The caller holds the lock.
+func (s *Synchronizer) demandTargets(called string) []string {
+	if !s.direct || s.partitioned(s.Clock.Now()) {
+		return []string{called}
 	}
-	return slices.Collect(maps.Keys(f.loops))
+	return slices.Collect(maps.Keys(s.loops))
 }
 
-// source returns what an instance has told. The caller holds the lock.
-func (f *Synchronizer) source(address string) *source {
-	s := f.sources[address]
-	if s == nil {
-		s = &source{}
-		f.sources[address] = s
+// source returns the sync state of an instance. The caller holds the lock.
+func (s *Synchronizer) source(address string) *syncState {
+	state := s.sources[address]
+	if state == nil {
+		state = &syncState{}
+		s.sources[address] = state
 	}
-	return s
+	return state
 }
 
-// take takes an answer, and returns the controllers that its sender lists.
-func (f *Synchronizer) take(address string, res *wire.SyncResponse) []string {
-	whole := f.Relayer.Receive(address, res)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if res.GetLeads() && res.GetTerm() >= f.term && f.leader != address {
-		f.leader, f.term = address, res.GetTerm()
-		f.Log.Info("the leader is asked for adapters", "At", address, "Term", f.term)
+// receive handles a response, and returns the controllers that its sender lists.
+func (s *Synchronizer) receive(address string, res *wire.SyncResponse) []string {
+	complete := s.Relayer.Receive(address, res)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if res.GetLeads() && res.GetTerm() >= s.term && s.leader != address {
+		s.leader, s.term = address, res.GetTerm()
+		s.Log.Info("sending adapter requests to the leader", "At", address, "Term", s.term)
 	}
-	s := f.source(address)
-	s.epoch, s.announcements, s.versions = res.GetEpoch(), res.GetAnnouncementRevision(), res.GetVersionRevision()
-	s.gateways, s.members, s.tableVersion = res.GetGatewaysRevision(), res.GetMembersRevision(), res.GetTableVersion()
-	s.requestLimits = res.GetRequestLimitsRevision()
-	s.gap = !whole
+	state := s.source(address)
+	state.epoch, state.announcements, state.versions = res.GetEpoch(), res.GetAnnouncementRevision(), res.GetVersionRevision()
+	state.gateways, state.members, state.tableVersion = res.GetGatewaysRevision(), res.GetMembersRevision(), res.GetTableVersion()
+	state.requestLimits = res.GetRequestLimitsRevision()
+	state.gap = !complete
 	if list := res.GetControllers(); len(list) > 0 {
-		s.controllers = list
+		state.controllers = list
 	}
-	s.controllersRevision = res.GetControllersRevision()
-	return s.controllers
+	state.controllersRevision = res.GetControllersRevision()
+	return state.controllers
 }
 
-// note logs when a controller is lost or answers again.
-func (f *Synchronizer) note(address string, err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	known := f.loops[address]
+// recordOutcome logs when a controller stops answering or answers again.
+func (s *Synchronizer) recordOutcome(address string, err error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	known := s.loops[address]
 	if known == nil || known.failed == (err != nil) {
-		// Other gateways are not known as controllers.
+		// Other gateways are not in the loops.
 		return
 	}
 	known.failed = err != nil
 	if err != nil {
-		f.Log.Warn("a controller does not answer", "Controller", address, "Error", err.Error())
+		s.Log.Warn("controller does not answer", "Controller", address, "Error", err.Error())
 		return
 	}
-	f.Log.Info("a controller answers again", "Controller", address)
+	s.Log.Info("controller answers again", "Controller", address)
 }
--- a/gateway/synchronizer/synchronizer_test.go
+++ b/gateway/synchronizer/synchronizer_test.go
@@ -10,20 +10,20 @@
 	"github.com/pkg/errors"
 )
 
-// While there is no leader, requests for adapters fail all the time: the log says when
-// that begins and when it ends.
+// Without a leader, requests for adapters keep failing: only the first failure and the recovery
+// are logged.
 func TestFailedAcquiresAreLoggedOnce(t *testing.T) {
 	c := qt.New(t)
 	var out bytes.Buffer
-	f := &Synchronizer{Log: slog.New(slog.NewTextHandler(&out, nil))}
+	s := &Synchronizer{Log: slog.New(slog.NewTextHandler(&out, nil))}
 	for range 3 {
 		for range 40 {
-			f.noteAcquire("a", errors.New("connection refused"))
+			s.recordAcquire("a", errors.New("connection refused"))
 		}
-		f.noteAcquire("b", nil)
-		f.noteAcquire("b", nil)
+		s.recordAcquire("b", nil)
+		s.recordAcquire("b", nil)
 	}
-	c.Check(strings.Count(out.String(), "was not told"), qt.Equals, 3)
-	c.Check(strings.Count(out.String(), "told of adapters again"), qt.Equals, 3)
+	c.Check(strings.Count(out.String(), "request to the leader failed"), qt.Equals, 3)
+	c.Check(strings.Count(out.String(), "reach the leader again"), qt.Equals, 3)
 	c.Check(strings.Count(out.String(), "Failed=40"), qt.Equals, 3)
 }
--- a/gateway/synchronizer/tree_test.go
+++ b/gateway/synchronizer/tree_test.go
@@ -18,36 +18,36 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// meshFake is a controller or a relay: it answers at once, falls silent or tells how long
-// ago it heard a controller.
-type meshFake struct {
+// fakeMesh is a controller or a relay: it answers immediately, is unresponsive, or reports the
+// age of its last contact with a controller.
+type fakeMesh struct {
 	wire.Mesh
-	asked  atomic.Int64
+	calls  atomic.Int64
 	answer atomic.Pointer[wire.SyncResponse]
 	silent atomic.Bool
 }
 
-func (m *meshFake) Sync(ctx context.Context, _ *wire.SyncRequest) (*wire.SyncResponse, error) {
-	m.asked.Add(1)
+func (m *fakeMesh) Sync(ctx context.Context, _ *wire.SyncRequest) (*wire.SyncResponse, error) {
+	m.calls.Add(1)
 	if m.silent.Load() {
 		<-ctx.Done()
 	}
 	return m.answer.Load(), nil
 }
 
-func (m *meshFake) start(t *testing.T, answer *wire.SyncResponse) string {
+func (m *fakeMesh) start(t *testing.T, answer *wire.SyncResponse) string {
 	m.answer.Store(answer)
 	s := httptest.NewServer(wire.NewMeshServer(m))
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-// system is one gateway that follows relays of its zone, which has ten gateways.
+// system is one gateway that follows the relays of its zone, which has ten gateways.
 type system struct {
 	*Synchronizer
-	controller *meshFake
-	// relays are in the order in which the gateway asks them.
-	relays []*meshFake
+	controller *fakeMesh
+	// relays are in the order in which the gateway calls them.
+	relays []*fakeMesh
 }
 
 func newSystem(t *testing.T) *system {
@@ -59,19 +59,19 @@
 			break
 		}
 	}
-	s := &system{controller: &meshFake{}}
+	s := &system{controller: &fakeMesh{}}
 	for _, relay := range arranger.Arrange(list.GetGatewayList(), self).Relays {
 		s.relays = append(s.relays, byAddress[relay])
 	}
-	s.follow(t, self, list)
+	s.startGateway(t, self, list)
 	return s
 }
 
 // startGateways starts gateways in zones, and adds them to a list.
-func startGateways(t *testing.T, list *wire.SyncResponse, n int, zone func(i int) string) map[string]*meshFake {
-	byAddress := map[string]*meshFake{}
+func startGateways(t *testing.T, list *wire.SyncResponse, n int, zone func(i int) string) map[string]*fakeMesh {
+	byAddress := map[string]*fakeMesh{}
 	for i := range n {
-		m := &meshFake{}
+		m := &fakeMesh{}
 		address := m.start(t, &wire.SyncResponse{Leads: true, Term: 1})
 		byAddress[address] = m
 		list.GatewayList = append(list.GatewayList, &wire.GatewayEntry{Address: address, Zone: zone(i)})
@@ -79,8 +79,8 @@
 	return byAddress
 }
 
-// follow starts the gateway; the controller tells the list.
-func (s *system) follow(t *testing.T, self *wire.GatewayEntry, list *wire.SyncResponse) {
+// startGateway starts the gateway; the controller sends the list.
+func (s *system) startGateway(t *testing.T, self *wire.GatewayEntry, list *wire.SyncResponse) {
 	controller := s.controller.start(t, list)
 	g := &granter.Granter{Clock: clockwork.NewRealClock()}
 	g.Init()
@@ -101,7 +101,7 @@
 	go s.Run(ctx)
 }
 
-// eventually waits until something holds; the limit is only there to end a test that fails.
+// eventually waits until a condition holds; the limit only ends a failing test.
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	limit := time.After(30 * time.Second)
@@ -110,7 +110,7 @@
 	for !holds() {
 		select {
 		case <-limit:
-			t.Fatal("never seen: " + what)
+			t.Fatal("condition never met: " + what)
 		case <-tick.C:
 		}
 	}
@@ -122,52 +122,51 @@
 	return s.direct
 }
 
-// asked reports whether an instance is asked again from here on.
-func asked(m *meshFake) func() bool {
-	before := m.asked.Load()
-	return func() bool { return m.asked.Load() > before+1 }
+// calledAgain returns a condition that holds once an instance has been called again.
+func calledAgain(m *fakeMesh) func() bool {
+	before := m.calls.Load()
+	return func() bool { return m.calls.Load() > before+1 }
 }
 
-// A gateway of a large zone follows a relay and leaves the controllers alone; when its relay
-// falls silent, another one; when all do, the controllers; and the relays again when they
-// are back.
-func TestAFollowerLosesItsRelays(t *testing.T) {
+// A gateway of a large zone polls a relay and not the controllers; when its relay is silent,
+// another one; when all are, the controllers; and the relays again once they answer.
+func TestRelayFailover(t *testing.T) {
 	s := newSystem(t)
-	eventually(t, "the relay is asked", asked(s.relays[0]))
-	eventually(t, "the controllers are left alone", func() bool { return !s.asksControllers() })
+	eventually(t, "the relay is called", calledAgain(s.relays[0]))
+	eventually(t, "polling the controllers stops", func() bool { return !s.asksControllers() })
 	s.relays[0].silent.Store(true)
-	eventually(t, "the other relay is asked", asked(s.relays[1]))
+	eventually(t, "the other relay is called", calledAgain(s.relays[1]))
 	s.relays[1].silent.Store(true)
-	eventually(t, "the controllers are asked", s.asksControllers)
-	eventually(t, "they answer", asked(s.controller))
+	eventually(t, "the controllers are polled", s.asksControllers)
+	eventually(t, "they answer", calledAgain(s.controller))
 	s.relays[0].silent.Store(false)
-	eventually(t, "the controllers are left alone again", func() bool { return !s.asksControllers() })
+	eventually(t, "polling the controllers stops again", func() bool { return !s.asksControllers() })
 }
 
-// A relay that itself hears no controller is no relay.
-func TestARelayThatIsCutOff(t *testing.T) {
+// A relay without contact to a controller is not used.
+func TestPartitionedRelay(t *testing.T) {
 	s := newSystem(t)
-	eventually(t, "the relay is asked", asked(s.relays[0]))
+	eventually(t, "the relay is called", calledAgain(s.relays[0]))
 	s.relays[0].answer.Store(&wire.SyncResponse{ContactAgeMs: 900})
-	eventually(t, "the other relay is asked", asked(s.relays[1]))
+	eventually(t, "the other relay is called", calledAgain(s.relays[1]))
 	s.relays[1].answer.Store(&wire.SyncResponse{ContactAgeMs: 900})
-	eventually(t, "the controllers are asked", s.asksControllers)
+	eventually(t, "the controllers are polled", s.asksControllers)
 }
 
-// A gateway of a small zone asks the controllers itself. When none answers it asks a gateway
-// of another zone, and leaves it alone once a controller answers again.
-func TestAGatewayThatIsCutOffAsksOthers(t *testing.T) {
+// A gateway of a small zone polls the controllers itself. When none answers it polls a gateway
+// of another zone until a controller answers again.
+func TestPartitionedGatewayUsesOtherGateways(t *testing.T) {
 	list := &wire.SyncResponse{Leads: true, Term: 1, GatewaysRevision: 1}
 	byAddress := startGateways(t, list, 2, func(i int) string { return []string{"z", "other"}[i] })
 	other := byAddress[list.GetGatewayList()[1].GetAddress()]
-	s := &system{controller: &meshFake{}}
-	s.follow(t, list.GetGatewayList()[0], list)
-	eventually(t, "the controller is asked", asked(s.controller))
+	s := &system{controller: &fakeMesh{}}
+	s.startGateway(t, list.GetGatewayList()[0], list)
+	eventually(t, "the controller is called", calledAgain(s.controller))
 	s.controller.silent.Store(true)
-	eventually(t, "the gateway of the other zone is asked", asked(other))
+	eventually(t, "the gateway of the other zone is called", calledAgain(other))
 	if !s.asksControllers() {
-		t.Fatal("the controllers are no longer asked")
+		t.Fatal("the controllers are no longer polled")
 	}
 	s.controller.silent.Store(false)
-	eventually(t, "the other gateway is left alone", func() bool { return len(s.relayList()) == 0 })
+	eventually(t, "polling the other gateway stops", func() bool { return len(s.relayList()) == 0 })
 }
