--- a/controller/routecoordinator/isolation.go
+++ b/controller/routecoordinator/isolation.go
@@ -9,8 +9,9 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// verdictTimeout bounds the wait for a verdict to be committed; it is given again then.
-const verdictTimeout = 900 * time.Millisecond
+// proposalTimeout bounds the wait for a quarantine change to be committed; the change is
+// proposed again later.
+const proposalTimeout = 900 * time.Millisecond
 
 func (c *Coordinator) initArbiter() {
 	c.arbiter.Log = c.Log
@@ -24,10 +25,10 @@
 // propose commits a change in the background.
 func (c *Coordinator) propose(cmd *wire.Command) {
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), verdictTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), proposalTimeout)
 		defer cancel()
 		if _, err := c.Raft.Propose(ctx, cmd); err != nil {
-			c.Log.Warn("a verdict was not committed", "Change", fmt.Sprintf("%T", cmd.GetBody()), "Error", err.Error())
+			c.Log.Warn("quarantine change not committed", "Change", fmt.Sprintf("%T", cmd.GetBody()), "Error", err.Error())
 		}
 	}()
 }
@@ -40,7 +41,7 @@
 	return addresses
 }
 
-// Held returns the requests that are held back in the state here.
+// Held returns the quarantined requests in the local state.
 func (c *Coordinator) Held(ctx context.Context) (*wire.ListHeldResponse, error) {
 	// The call may still run after ctx has ended, and must not write what is read here.
 	held := make(chan []*wire.HeldRequest, 1)
--- a/controller/routecoordinator/limits.go
+++ b/controller/routecoordinator/limits.go
@@ -10,24 +10,24 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Borrow lends gateways of their customers' limits. Only a leader does.
+// Borrow grants gateways request quota of their customers' limits. Only a leader does.
 func (c *Coordinator) Borrow(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
-	return asLeader(ctx, c, func(now time.Time) *wire.BorrowResponse { return c.borrow(now, req) })
+	return asLeader(ctx, c, func(now time.Time) *wire.BorrowResponse { return c.grantQuota(now, req) })
 }
 
-// ListLimits returns how the limits stand. Only a leader knows.
+// ListLimits returns the status of the limits. Only a leader knows it.
 func (c *Coordinator) ListLimits(ctx context.Context, _ *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
 	return asLeader(ctx, c, func(now time.Time) *wire.ListLimitsResponse {
-		return &wire.ListLimitsResponse{Limits: c.lender.Standings(now, true), RequestLimits: c.requestLimits.News(now)}
+		return &wire.ListLimitsResponse{Limits: c.allocator.Standings(now, true), RequestLimits: c.requestLimits.News(now)}
 	})
 }
 
-// asLeader runs f in the curator's goroutine if this instance leads.
+// asLeader runs f in the coordinator's goroutine if this instance leads.
 func asLeader[T any](ctx context.Context, c *Coordinator, f func(now time.Time) *T) (*T, error) {
 	// The call may still run after ctx has ended, and must not write what is read here.
 	answer := make(chan *T, 1)
 	err := c.Call(ctx, func(now time.Time) {
-		if c.lender == nil || !c.leads(now) {
+		if c.allocator == nil || !c.leads(now) {
 			answer <- nil
 			return
 		}
@@ -43,46 +43,46 @@
 	return res, nil
 }
 
-// meetEvery is the time between two looks at which gateways there are.
-const meetEvery = 250 * time.Millisecond
+// gatewayCheckInterval is the time between two checks of which gateways there are.
+const gatewayCheckInterval = 250 * time.Millisecond
 
-// spentFor is how long a gateway counts that is heard no more: what it sent on is in the
-// window, after it has spent what was kept for it.
-func (c *Coordinator) spentFor() time.Duration { return c.Limits.Window + lender.AloneFor }
+// spendLifetime is how long a silent gateway still counts: it may first spend its reserved
+// quota, and the requests that it forwarded then stay in the window.
+func (c *Coordinator) spendLifetime() time.Duration { return c.Limits.Window + lender.AloneFor }
 
-// meetGateways notes which gateways there are, so that a new leader knows of all that may
-// have spent.
-func (c *Coordinator) meetGateways(now time.Time) {
-	if now.Sub(c.lookedAt) < meetEvery {
+// recordGateways records which gateways there are, so that a new leader knows all that may have
+// spent quota.
+func (c *Coordinator) recordGateways(now time.Time) {
+	if now.Sub(c.gatewaysCheckedAt) < gatewayCheckInterval {
 		return
 	}
-	c.lookedAt = now
+	c.gatewaysCheckedAt = now
 	c.roster.refresh(now, c.gateways)
 	for _, g := range c.roster.list {
-		c.met[g.GetAddress()] = now
+		c.gatewaySeenAt[g.GetAddress()] = now
 	}
-	for address, at := range c.met {
-		if now.Sub(at) > c.spentFor() {
-			delete(c.met, address)
+	for address, at := range c.gatewaySeenAt {
+		if now.Sub(at) > c.spendLifetime() {
+			delete(c.gatewaySeenAt, address)
 		}
 	}
 }
 
-// knownGateways returns all gateways that may have sent on anything in the window, or none if
-// this instance has not run for long enough to tell.
+// knownGateways returns all gateways that may have forwarded requests within the window, or
+// none if this instance has not run for long enough to know them.
 func (c *Coordinator) knownGateways(now time.Time) []string {
-	if now.Sub(c.startedAt) < c.spentFor() {
+	if now.Sub(c.startedAt) < c.spendLifetime() {
 		return nil
 	}
-	return slices.Collect(maps.Keys(c.met))
+	return slices.Collect(maps.Keys(c.gatewaySeenAt))
 }
 
-func (c *Coordinator) borrow(now time.Time, req *wire.BorrowRequest) *wire.BorrowResponse {
+func (c *Coordinator) grantQuota(now time.Time, req *wire.BorrowRequest) *wire.BorrowResponse {
 	c.roster.refresh(now, c.gateways)
-	c.lender.Gateways = int(c.roster.count())
-	res := &wire.BorrowResponse{AgainInMs: uint32(c.lender.AgainIn().Milliseconds())}
+	c.allocator.Gateways = int(c.roster.count())
+	res := &wire.BorrowResponse{AgainInMs: uint32(c.allocator.AgainIn().Milliseconds())}
 	for _, b := range req.GetBorrowers() {
-		res.Borrowers = append(res.Borrowers, c.lender.Borrow(now, b))
+		res.Borrowers = append(res.Borrowers, c.allocator.Borrow(now, b))
 	}
 	return res
 }
--- a/controller/routecoordinator/limits_test.go
+++ b/controller/routecoordinator/limits_test.go
@@ -21,72 +21,72 @@
 	return cmd
 }
 
-// borrow asks for a number of requests, with the test's goroutine in the curator's place.
-func borrow(cu *Coordinator, needed uint64) (*wire.BorrowResponse, error) {
-	type end struct {
+// requestQuota requests quota for a number of requests; the test's goroutine runs the call.
+func requestQuota(co *Coordinator, needed uint64) (*wire.BorrowResponse, error) {
+	type outcome struct {
 		res *wire.BorrowResponse
 		err error
 	}
-	done := make(chan end, 1)
+	done := make(chan outcome, 1)
 	go func() {
-		res, err := cu.Borrow(context.Background(), &wire.BorrowRequest{Borrowers: []*wire.Borrower{{
+		res, err := co.Borrow(context.Background(), &wire.BorrowRequest{Borrowers: []*wire.Borrower{{
 			Gateway: "g", Accounts: []*wire.CreditAccount{{Customer: "a", Needed: needed, Rate: 1}},
 		}}})
-		done <- end{res, err}
+		done <- outcome{res, err}
 	}()
-	(<-cu.calls.Calls())(cu.Clock.Now())
+	(<-co.calls.Calls())(co.Clock.Now())
 	e := <-done
 	return e.res, e.err
 }
 
-// Only a leader lends, by the table in force.
-func TestOnlyALeaderLends(t *testing.T) {
+// Only a leader grants quota, by the table in force.
+func TestOnlyALeaderGrantsQuota(t *testing.T) {
 	c := qt.New(t)
-	cu, k := newCurator()
-	cu.Limits = lender.Rule{Window: time.Nanosecond, Slack: 100}
-	cu.apply(keeper.Item{Applied: []keeper.Applied{k.entry(limitedTable(1, 3))}})
-	_, err := borrow(cu, 1)
+	co, k := newCoordinator()
+	co.Limits = lender.Rule{Window: time.Nanosecond, Slack: 100}
+	co.apply(keeper.Item{Applied: []keeper.Applied{k.entry(limitedTable(1, 3))}})
+	_, err := requestQuota(co, 1)
 	c.Assert(err, qt.Equals, errNotLeader)
-	lead(cu, k)
+	lead(co, k)
 	for _, step := range []struct {
 		burst  float64
 		needed uint64
 		want   uint64
 	}{{3, 5, 3}, {7, 5, 5}} {
-		cu.apply(keeper.Item{Applied: []keeper.Applied{k.entry(limitedTable(uint64(step.burst), step.burst))}})
-		cu.lender.Begin(cu.Clock.Now().Add(-time.Hour), 1, cu.state.Table().GetTable().GetCustomers())
-		res, err := borrow(cu, step.needed)
+		co.apply(keeper.Item{Applied: []keeper.Applied{k.entry(limitedTable(uint64(step.burst), step.burst))}})
+		co.allocator.Begin(co.Clock.Now().Add(-time.Hour), 1, co.state.Table().GetTable().GetCustomers())
+		res, err := requestQuota(co, step.needed)
 		c.Assert(err, qt.IsNil)
 		c.Check(res.GetBorrowers()[0].GetCredits()[0].GetLent(), qt.Equals, step.want)
 		c.Check(res.GetAgainInMs() > 0, qt.IsTrue)
 	}
-	standings := cu.lender.Standings(cu.Clock.Now(), true)
-	c.Check(standings[0].GetShares()[0].GetGateway(), qt.Equals, "g")
-	k.standing = keeper.Standing{}
-	cu.tick(cu.Clock.Now())
-	_, err = borrow(cu, 1)
+	statuses := co.allocator.Standings(co.Clock.Now(), true)
+	c.Check(statuses[0].GetShares()[0].GetGateway(), qt.Equals, "g")
+	k.status = keeper.Standing{}
+	co.tick(co.Clock.Now())
+	_, err = requestQuota(co, 1)
 	c.Check(err, qt.Equals, errNotLeader)
 }
 
-// A new leader knows of the gateways that may have spent anything, if it has run for longer
-// than that counts.
+// A new leader knows the gateways that may have spent quota, once it has run for longer than
+// spent quota counts.
 func TestGatewaysThatMayHaveSpent(t *testing.T) {
 	c := qt.New(t)
-	cu, _ := newCurator()
-	cu.Limits = lender.Rule{Window: 8 * time.Second}
-	start := cu.Clock.Now()
+	co, _ := newCoordinator()
+	co.Limits = lender.Rule{Window: 8 * time.Second}
+	start := co.Clock.Now()
 	at := func(after time.Duration, gateways ...string) []string {
 		now := start.Add(after)
 		for _, address := range gateways {
-			cu.hear(now, &wire.SyncRequest{Gateway: address, Address: address, Zone: "z"})
+			co.observeGateway(now, &wire.SyncRequest{Gateway: address, Address: address, Zone: "z"})
 		}
-		cu.roster.stale = true
-		cu.tick(now)
-		return slices.Sorted(slices.Values(cu.knownGateways(now)))
+		co.roster.stale = true
+		co.tick(now)
+		return slices.Sorted(slices.Values(co.knownGateways(now)))
 	}
 	c.Check(at(time.Second, "a", "b"), qt.HasLen, 0)
-	c.Check(at(cu.spentFor()-time.Second, "a", "b"), qt.HasLen, 0)
-	c.Check(at(cu.spentFor(), "a"), qt.DeepEquals, []string{"a", "b"})
-	c.Check(at(cu.spentFor()+time.Second, "a"), qt.DeepEquals, []string{"a", "b"})
-	c.Check(at(2*cu.spentFor()+time.Second, "a"), qt.DeepEquals, []string{"a"})
+	c.Check(at(co.spendLifetime()-time.Second, "a", "b"), qt.HasLen, 0)
+	c.Check(at(co.spendLifetime(), "a"), qt.DeepEquals, []string{"a", "b"})
+	c.Check(at(co.spendLifetime()+time.Second, "a"), qt.DeepEquals, []string{"a", "b"})
+	c.Check(at(2*co.spendLifetime()+time.Second, "a"), qt.DeepEquals, []string{"a"})
 }
--- a/controller/routecoordinator/mesh.go
+++ b/controller/routecoordinator/mesh.go
@@ -14,7 +14,7 @@
 
 var errNotLeader = twirp.NewError(twirp.Unavailable, "this instance does not lead")
 
-// commitTimeout bounds the wait for a change to be committed; the operator asks another
+// commitTimeout bounds the wait for a change to be committed; the operator calls another
 // instance after a second.
 const commitTimeout = 900 * time.Millisecond
 
@@ -27,17 +27,17 @@
 	Client func(address string) wire.Mesh
 }
 
-// Sync returns news.
+// Sync returns updates.
 func (m *Mesh) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncResponse, error) {
 	return m.Coordinator.Sync(ctx, req)
 }
 
-// Acquire asks for adapters.
+// Acquire requests adapters.
 func (m *Mesh) Acquire(ctx context.Context, req *wire.AcquireRequest) (*wire.AcquireResponse, error) {
 	return &wire.AcquireResponse{}, m.Coordinator.Acquire(ctx, req)
 }
 
-// Relay takes announcements that another controller heard.
+// Relay takes announcements that another controller received.
 func (m *Mesh) Relay(ctx context.Context, req *wire.RelayRequest) (*wire.RelayResponse, error) {
 	return &wire.RelayResponse{}, m.Coordinator.ReceiveAnnouncements(ctx, req.GetAnnouncements(), true)
 }
@@ -52,7 +52,7 @@
 		cmd.Body = &wire.Command_PutAdapterVersion{PutAdapterVersion: change.Version}
 	case *wire.PutRequest_ReleaseHeld:
 		cmd.Body = &wire.Command_ReleaseHeld{ReleaseHeld: change.ReleaseHeld}
-		m.Coordinator.Log.Info("a request is held back no longer", "Fingerprint", change.ReleaseHeld.GetFingerprint(),
+		m.Coordinator.Log.Info("quarantined request released", "Fingerprint", change.ReleaseHeld.GetFingerprint(),
 			"Reason", change.ReleaseHeld.GetReason())
 	}
 	if err := m.commit(ctx, cmd); err != nil {
@@ -61,8 +61,8 @@
 	return &wire.PutResponse{}, nil
 }
 
-// Read returns the document in force after all changes that were acknowledged before the
-// call: an empty entry is committed first, which only a leader with a majority can.
+// Read returns the document in force after all changes that were acknowledged before the call:
+// an empty entry is committed first, which only a leader with a majority can do.
 func (m *Mesh) Read(ctx context.Context, _ *wire.ReadRequest) (*wire.ReadResponse, error) {
 	if err := m.commit(ctx, &wire.Command{}); err != nil {
 		return nil, err
@@ -74,8 +74,8 @@
 	return &wire.ReadResponse{Version: table.GetTable().GetVersion(), Document: table.GetDocument()}, nil
 }
 
-// ListHeld returns the requests that are held back, after all changes that were acknowledged
-// before the call. An instance that does not lead asks the leader.
+// ListHeld returns the quarantined requests, after all changes that were acknowledged before
+// the call. An instance that does not lead calls the leader.
 func (m *Mesh) ListHeld(ctx context.Context, req *wire.ListHeldRequest) (*wire.ListHeldResponse, error) {
 	if !m.Coordinator.Raft.Leads() {
 		if leader := m.Leader(); leader != "" {
@@ -89,7 +89,7 @@
 	return m.Coordinator.Held(ctx)
 }
 
-// Release ends the hold of a request, here or at the leader.
+// Release releases a quarantined request, here or at the leader.
 func (m *Mesh) Release(ctx context.Context, release *wire.ReleaseHeld) error {
 	return m.atLeader(ctx, &wire.PutRequest{Change: &wire.PutRequest_ReleaseHeld{ReleaseHeld: release}})
 }
@@ -104,8 +104,8 @@
 	return err
 }
 
-// PutTable puts a table into force, here or at the leader. An invalid one is refused
-// with all its faults.
+// PutTable puts a table into force, here or at the leader. An invalid one is refused with all
+// its faults.
 func (m *Mesh) PutTable(ctx context.Context, table *wire.RoutingTable, document []byte) error {
 	if faults := matcher.Faults(table); len(faults) > 0 {
 		return &InvalidTableError{Faults: faults}
@@ -115,7 +115,7 @@
 	}})
 }
 
-// PutVersion names the version that an adapter must have.
+// PutVersion sets the required version of an adapter.
 func (m *Mesh) PutVersion(ctx context.Context, version *wire.AdapterVersion) error {
 	return m.atLeader(ctx, &wire.PutRequest{Change: &wire.PutRequest_Version{Version: version}})
 }
@@ -133,8 +133,8 @@
 	return err
 }
 
-// Document returns the newest document, confirmed by a majority, and false if there is
-// none yet.
+// Document returns the newest document, confirmed by a majority, or an error if there is none
+// yet.
 func (m *Mesh) Document(ctx context.Context) ([]byte, error) {
 	res, err := m.readAtLeader(ctx)
 	if err != nil {
@@ -157,9 +157,9 @@
 	return m.Client(leader).Read(ctx, &wire.ReadRequest{})
 }
 
-// ReceiveAnnouncement takes an announcement. It is acknowledged only while a leader is known: an
-// instance that is cut off would keep to itself what the others have to learn, and the
-// backend server would go on announcing itself here.
+// ReceiveAnnouncement takes an announcement. It is acknowledged only while a leader is known: a
+// partitioned instance would not forward it to the others, and the backend server would keep
+// announcing itself here.
 func (m *Mesh) ReceiveAnnouncement(ctx context.Context, a *wire.Announcement) error {
 	if err := m.Coordinator.ReceiveAnnouncements(ctx, []*wire.Announcement{a}, false); err != nil {
 		return err
--- a/controller/routecoordinator/requestlimits.go
+++ b/controller/routecoordinator/requestlimits.go
@@ -7,9 +7,9 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// hearLimits takes the request limits that a gateway, or one that follows it, has read in
-// answers of backend servers.
-func (c *Coordinator) hearLimits(now time.Time, list []*wire.RequestLimit) {
+// receiveRequestLimits takes the request limits that a gateway, or one that follows it, has
+// read in responses of backend servers.
+func (c *Coordinator) receiveRequestLimits(now time.Time, list []*wire.RequestLimit) {
 	for _, l := range list {
 		o, ok := throttler.Decode(now, l, throttler.Follower)
 		if !ok || !c.serves(o.Backend) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// tellLimits adds the request limits to an answer, if the caller knows another list.
-func (c *Coordinator) tellLimits(now time.Time, req *wire.SyncRequest, res *wire.SyncResponse) {
+// addRequestLimits adds the request limits to a response, if the caller has another list.
+func (c *Coordinator) addRequestLimits(now time.Time, req *wire.SyncRequest, res *wire.SyncResponse) {
 	res.RequestLimitsRevision = c.requestLimits.Revision()
 	if req.GetEpoch() != c.epoch || req.GetRequestLimitsRevision() != res.GetRequestLimitsRevision() {
 		res.RequestLimits = c.requestLimits.News(now)
@@ -37,12 +37,12 @@
 
 // limitOf returns the request limit of a backend server.
 func (c *Coordinator) limitOf(id string) throttler.Limit {
-	standing, _ := c.requestLimits.Standing(id)
-	return standing.Limit
+	status, _ := c.requestLimits.Standing(id)
+	return status.Limit
 }
 
-// forgetLimits drops the limits of backend servers that are not known any more.
-func (c *Coordinator) forgetLimits(now time.Time) {
+// pruneRequestLimits drops the limits of backend servers that are no longer known.
+func (c *Coordinator) pruneRequestLimits(now time.Time) {
 	if c.requestLimits.Empty() {
 		return
 	}
--- a/controller/routecoordinator/roster.go
+++ b/controller/routecoordinator/roster.go
@@ -7,26 +7,26 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// rosterEvery is the least time between two lists of gateways. After a start of the whole
-// system all of them come within a second, and each list goes to all.
-const rosterEvery = 100 * time.Millisecond
+// rosterInterval is the minimum time between two lists of gateways. When the whole system
+// starts, all of them appear within a second, and each list is sent to all.
+const rosterInterval = 100 * time.Millisecond
 
-// roster is the list of all gateways that are heard, with those that follow others. It is
-// made anew only when one has come or gone.
+// roster is the list of all active gateways, including those that follow others. It is rebuilt
+// only when one has joined or left.
 type roster struct {
 	list []*wire.GatewayEntry
 	// revision differs between two lists.
 	revision uint64
-	// stale is set once the list is no longer right, and madeAt is when it was made.
+	// stale is set once the list is outdated, and madeAt is when it was built.
 	stale  bool
 	madeAt time.Time
 }
 
 func (r *roster) count() uint32 { return uint32(len(r.list)) }
 
-// refresh makes the list anew if it is stale, and not just made.
+// refresh rebuilds the list if it is stale and the last one is old enough.
 func (r *roster) refresh(now time.Time, gateways map[string]*gatewayState) {
-	if !r.stale || now.Sub(r.madeAt) < rosterEvery {
+	if !r.stale || now.Sub(r.madeAt) < rosterInterval {
 		return
 	}
 	byAddress := map[string]*wire.GatewayEntry{}
--- a/controller/routecoordinator/roster_test.go
+++ b/controller/routecoordinator/roster_test.go
@@ -15,142 +15,141 @@
 	return &wire.GatewayEntry{Address: fmt.Sprintf("10.0.0.%03d:80", i), Zone: "z"}
 }
 
-// asks lets a relay call, with the gateways that follow it.
-func asks(c *Coordinator, relay int, revision uint64, followers ...int) {
+// callAsRelay makes the call of a relay with the gateways that follow it.
+func callAsRelay(c *Coordinator, relay int, revision uint64, followers ...int) {
 	req := &wire.SyncRequest{Gateway: fmt.Sprint(relay), Address: entry(relay).GetAddress(), Zone: "z", MembersRevision: revision}
 	for _, i := range followers {
 		req.Members = append(req.Members, entry(i))
 	}
-	c.hear(c.Clock.Now(), req)
+	c.observeGateway(c.Clock.Now(), req)
 }
 
-// All gateways are listed once, whether they ask themselves or follow another one; who has
-// changed its relay may be told by both for a while.
-func TestTheListOfGateways(t *testing.T) {
+// All gateways are listed once, whether they call themselves or follow another one; one that
+// has changed its relay may be listed by both for a while.
+func TestGatewayList(t *testing.T) {
 	for name, test := range map[string]struct {
-		happens func(cu *Coordinator)
-		want    uint32
+		act  func(co *Coordinator)
+		want uint32
 	}{
-		"two relays":                  {func(cu *Coordinator) { asks(cu, 1, 7, 3, 4); asks(cu, 2, 8, 5) }, 5},
-		"one follower has moved":      {func(cu *Coordinator) { asks(cu, 1, 7, 3, 4); asks(cu, 2, 8, 4, 5) }, 5},
-		"a list that is known stands": {func(cu *Coordinator) { asks(cu, 1, 7, 3, 4); asks(cu, 1, 7) }, 3},
-		"the last follower has left":  {func(cu *Coordinator) { asks(cu, 1, 7, 3, 4); asks(cu, 1, 0) }, 1},
-		"a follower asks itself":      {func(cu *Coordinator) { asks(cu, 1, 7, 3); asks(cu, 3, 0) }, 2},
-		"a relay is silent": {func(cu *Coordinator) {
-			asks(cu, 1, 7, 3)
-			cu.forgetGateways(cu.Clock.Now().Add(gatewayLease + time.Millisecond))
+		"two relays":                             {func(co *Coordinator) { callAsRelay(co, 1, 7, 3, 4); callAsRelay(co, 2, 8, 5) }, 5},
+		"one follower has changed its relay":     {func(co *Coordinator) { callAsRelay(co, 1, 7, 3, 4); callAsRelay(co, 2, 8, 4, 5) }, 5},
+		"an omitted list is kept":                {func(co *Coordinator) { callAsRelay(co, 1, 7, 3, 4); callAsRelay(co, 1, 7) }, 3},
+		"the last follower has left":             {func(co *Coordinator) { callAsRelay(co, 1, 7, 3, 4); callAsRelay(co, 1, 0) }, 1},
+		"a follower calls the controller itself": {func(co *Coordinator) { callAsRelay(co, 1, 7, 3); callAsRelay(co, 3, 0) }, 2},
+		"a relay is silent": {func(co *Coordinator) {
+			callAsRelay(co, 1, 7, 3)
+			co.pruneGateways(co.Clock.Now().Add(gatewayLease + time.Millisecond))
 		}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			cu, k := newCurator()
-			lead(cu, k)
-			test.happens(cu)
-			res := cu.news(cu.Clock.Now().Add(time.Second), &wire.SyncRequest{GatewaysRevision: 1})
+			co, k := newCoordinator()
+			lead(co, k)
+			test.act(co)
+			res := co.buildResponse(co.Clock.Now().Add(time.Second), &wire.SyncRequest{GatewaysRevision: 1})
 			c.Check(res.GetGateways(), qt.Equals, test.want)
 			c.Check(res.GetGatewayList(), qt.HasLen, int(test.want))
-			// A caller that knows the list is not told it again.
-			again := cu.news(cu.Clock.Now().Add(time.Second), &wire.SyncRequest{GatewaysRevision: res.GetGatewaysRevision()})
+			// A caller that has the list is not sent it again.
+			again := co.buildResponse(co.Clock.Now().Add(time.Second), &wire.SyncRequest{GatewaysRevision: res.GetGatewaysRevision()})
 			c.Check(again.GetGatewayList(), qt.HasLen, 0)
 		})
 	}
 }
 
-// Two hundred gateways that start within a moment are told of in a few lists, and not in
-// one for each that has come.
-func TestManyStartsMakeFewLists(t *testing.T) {
+// Two hundred gateways that start within a moment cause a few lists, not one each.
+func TestSimultaneousStartsMakeFewLists(t *testing.T) {
 	c := qt.New(t)
-	cu, k := newCurator()
-	lead(cu, k)
-	now := cu.Clock.Now()
+	co, k := newCoordinator()
+	lead(co, k)
+	now := co.Clock.Now()
 	revisions := map[uint64]bool{}
 	for i := range 200 {
-		asks(cu, i, 0)
-		revisions[cu.news(now.Add(time.Duration(i)*time.Millisecond), &wire.SyncRequest{}).GetGatewaysRevision()] = true
+		callAsRelay(co, i, 0)
+		revisions[co.buildResponse(now.Add(time.Duration(i)*time.Millisecond), &wire.SyncRequest{}).GetGatewaysRevision()] = true
 	}
 	c.Check(len(revisions) <= 3, qt.IsTrue, qt.Commentf("%d lists", len(revisions)))
 }
 
-// Loads are kept as a sum, which follows each gateway's latest word.
-func TestLoadsFollowTheLatestWord(t *testing.T) {
+// The totals of loads match the latest call of each gateway.
+func TestLoadsMatchLatestCalls(t *testing.T) {
 	c := qt.New(t)
-	cu, k := newCurator()
-	lead(cu, k)
-	now := cu.Clock.Now()
+	co, k := newCoordinator()
+	lead(co, k)
+	now := co.Clock.Now()
 	for _, n := range []uint32{5, 3} {
-		cu.hear(now, &wire.SyncRequest{Gateway: "a", Loads: []*wire.Load{{Backend: "e", Requests: n, Adapters: []string{"m/x"}}}})
+		co.observeGateway(now, &wire.SyncRequest{Gateway: "a", Loads: []*wire.Load{{Backend: "e", Requests: n, Adapters: []string{"m/x"}}}})
 	}
-	cu.hear(now, &wire.SyncRequest{Gateway: "b", Loads: []*wire.Load{{Backend: "e", Requests: 2, Adapters: []string{"m/y"}}}})
-	c.Check(cu.uses()["e"].Requests, qt.Equals, 5.0)
-	c.Check(cu.uses()["e"].Adapters, qt.DeepEquals, map[string]bool{"m/x": true, "m/y": true})
-	c.Check(fmt.Sprint(cu.news(now, &wire.SyncRequest{Gateway: "a"}).GetLoads()), qt.Equals, fmt.Sprint([]*wire.Load{{Backend: "e", Requests: 2}}))
-	cu.forgetGateways(now.Add(gatewayLease + time.Millisecond))
-	c.Check(cu.uses(), qt.HasLen, 0)
+	co.observeGateway(now, &wire.SyncRequest{Gateway: "b", Loads: []*wire.Load{{Backend: "e", Requests: 2, Adapters: []string{"m/y"}}}})
+	c.Check(co.uses()["e"].Requests, qt.Equals, 5.0)
+	c.Check(co.uses()["e"].Adapters, qt.DeepEquals, map[string]bool{"m/x": true, "m/y": true})
+	c.Check(fmt.Sprint(co.buildResponse(now, &wire.SyncRequest{Gateway: "a"}).GetLoads()), qt.Equals, fmt.Sprint([]*wire.Load{{Backend: "e", Requests: 2}}))
+	co.pruneGateways(now.Add(gatewayLease + time.Millisecond))
+	c.Check(co.uses(), qt.HasLen, 0)
 }
 
-// What an engine says that it holds goes to the leader and not to each gateway.
-func TestAnnouncementsToGatewaysLeaveOutWhatEnginesHold(t *testing.T) {
+// The holdings in an engine's announcement are sent to the leader, not to each gateway.
+func TestAnnouncementsOmitHoldings(t *testing.T) {
 	c := qt.New(t)
 	a := &wire.Announcement{Id: "e", Adapters: []string{"m/x@0"}, Models: []string{"m"}}
 	c.Check(forGateways(a).GetAdapters(), qt.HasLen, 0)
 	c.Check(a.GetAdapters(), qt.HasLen, 1)
 }
 
-// An engine's order met a conflict: its state has to be asked for, and until it is known
-// there is nothing to tell, and nobody is answered without need.
-func TestAnEngineThatIsAskedIsNoNews(t *testing.T) {
+// After a conflict an engine's state must be queried; until it is known there is no update, and
+// no call is answered early.
+func TestConfirmingAnEngineIsNoUpdate(t *testing.T) {
 	c := qt.New(t)
-	cu, k := newCurator()
-	lead(cu, k)
-	now := cu.Clock.Now()
-	withEngine(cu, "m/x@0")
-	known := cu.news(now, &wire.SyncRequest{Gateway: "a"})
-	cu.placer.Want(now, "m/y", nil, now.Add(time.Second))
-	load := cu.placer.Plan(now)[0]
-	cu.placer.Done(now, load, placer.Accepted, nil)
+	co, k := newCoordinator()
+	lead(co, k)
+	now := co.Clock.Now()
+	withEngine(co, "m/x@0")
+	known := co.buildResponse(now, &wire.SyncRequest{Gateway: "a"})
+	co.placer.Want(now, "m/y", nil, now.Add(time.Second))
+	load := co.placer.Plan(now)[0]
+	co.placer.Done(now, load, placer.Accepted, nil)
 	question := load
 	question.Kind = placer.Confirm
-	cu.placer.Want(now, "m/z", nil, now.Add(time.Second))
-	cu.placer.Done(now, cu.placer.Plan(now)[0], placer.Conflict, nil)
-	cu.placer.Done(now, question, placer.Holds, nil)
+	co.placer.Want(now, "m/z", nil, now.Add(time.Second))
+	co.placer.Done(now, co.placer.Plan(now)[0], placer.Conflict, nil)
+	co.placer.Done(now, question, placer.Holds, nil)
 	w := &waiter{deadline: now.Add(time.Hour), request: &wire.SyncRequest{
 		Gateway: "a", Epoch: known.GetEpoch(), AnnouncementRevision: known.GetAnnouncementRevision(), HoldingRevision: known.GetHoldingRevision(),
 	}}
 	for range 3 {
-		told := cu.news(now, w.request)
-		w.request.HoldingRevision = told.GetHoldingRevision()
+		res := co.buildResponse(now, w.request)
+		w.request.HoldingRevision = res.GetHoldingRevision()
 	}
-	c.Check(cu.isDue(now.Add(time.Second), w), qt.IsFalse)
+	c.Check(co.isDue(now.Add(time.Second), w), qt.IsFalse)
 }
 
-func benchmarkAnswers(b *testing.B, asking, each int) {
-	cu, k := newCurator()
-	lead(cu, k)
-	for i := range asking {
+func benchmarkAnswers(b *testing.B, callers, members int) {
+	co, k := newCoordinator()
+	lead(co, k)
+	for i := range callers {
 		var followers []int
-		for j := range each {
+		for j := range members {
 			followers = append(followers, 1000*(i+1)+j)
 		}
-		asks(cu, i, uint64(i+1), followers...)
+		callAsRelay(co, i, uint64(i+1), followers...)
 		req := &wire.SyncRequest{Gateway: fmt.Sprint(i), Address: entry(i).GetAddress(), Zone: "z", MembersRevision: uint64(i + 1)}
 		for e := range 62 {
 			req.Loads = append(req.Loads, &wire.Load{Backend: fmt.Sprint("e", e), Requests: 2, Adapters: []string{"m/a", "m/b"}})
 		}
-		cu.hear(cu.Clock.Now(), req)
+		co.observeGateway(co.Clock.Now(), req)
 	}
-	now := cu.Clock.Now().Add(time.Second)
-	known := cu.news(now, &wire.SyncRequest{Gateway: "0"})
+	now := co.Clock.Now().Add(time.Second)
+	known := co.buildResponse(now, &wire.SyncRequest{Gateway: "0"})
 	req := &wire.SyncRequest{
 		Gateway: "0", Epoch: known.GetEpoch(), GatewaysRevision: known.GetGatewaysRevision(),
 		ControllersRevision: known.GetControllersRevision(), HoldingRevision: known.GetHoldingRevision(),
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		cu.news(now, req)
+		co.buildResponse(now, req)
 	}
 }
 
-// BenchmarkAnswer measures one answer to a gateway that knows everything but the loads.
+// BenchmarkAnswer measures one response to a gateway that is up to date except for the loads.
 func BenchmarkAnswer(b *testing.B) {
 	for name, size := range map[string]struct{ asking, each int }{
 		"9 gateways":                {9, 0},
@@ -163,24 +162,25 @@
 	}
 }
 
-// A gateway is told at once of adapters that it asked for and that do not come in time.
-func TestDeclinedAdaptersAreToldToWhoAsked(t *testing.T) {
+// A gateway is notified immediately of adapters that it requested and that will not be loaded
+// in time.
+func TestDeclinedAdaptersAreReportedOnce(t *testing.T) {
 	c := qt.New(t)
-	cu, k := newCurator()
-	lead(cu, k)
-	now := cu.Clock.Now()
+	co, k := newCoordinator()
+	lead(co, k)
+	now := co.Clock.Now()
 	waiters := map[string]*waiter{}
 	for _, name := range []string{"a", "b"} {
-		req := &wire.SyncRequest{Gateway: name, Epoch: cu.epoch, HoldingRevision: cu.placer.Revision()}
-		cu.hear(now, req)
+		req := &wire.SyncRequest{Gateway: name, Epoch: co.epoch, HoldingRevision: co.placer.Revision()}
+		co.observeGateway(now, req)
 		waiters[name] = &waiter{request: req, deadline: now.Add(time.Hour)}
 	}
-	cu.gateways["a"].wants["m/x"] = now
-	cu.placer.Want(now, "m/x", nil, now.Add(time.Millisecond))
-	cu.placer.Plan(now.Add(2 * time.Millisecond))
-	cu.wake(now)
-	c.Check(cu.isDue(now, waiters["a"]), qt.IsTrue)
-	c.Check(cu.isDue(now, waiters["b"]), qt.IsFalse)
-	c.Check(cu.news(now, waiters["a"].request).GetDeclined(), qt.DeepEquals, []string{"m/x"})
-	c.Check(cu.isDue(now, waiters["a"]), qt.IsFalse)
+	co.gateways["a"].wants["m/x"] = now
+	co.placer.Want(now, "m/x", nil, now.Add(time.Millisecond))
+	co.placer.Plan(now.Add(2 * time.Millisecond))
+	co.markUrgent(now)
+	c.Check(co.isDue(now, waiters["a"]), qt.IsTrue)
+	c.Check(co.isDue(now, waiters["b"]), qt.IsFalse)
+	c.Check(co.buildResponse(now, waiters["a"].request).GetDeclined(), qt.DeepEquals, []string{"m/x"})
+	c.Check(co.isDue(now, waiters["a"]), qt.IsFalse)
 }
--- a/controller/routecoordinator/routecoordinator.go
+++ b/controller/routecoordinator/routecoordinator.go
@@ -1,8 +1,8 @@
-// Package curator owns a controller's state where requests are routed by a table: the
-// table and the versions of adapters, which are replicated; the backend servers, which
-// announce themselves; and, while the instance leads, the placement of adapters.
+// Package routecoordinator owns a controller's state where requests are routed by a table: the
+// table and the versions of adapters, which are replicated; the backend servers, which announce
+// themselves; and, while the instance leads, the placement of adapters.
 //
-// One goroutine does all of it; calls from others come through a bounded ring.
+// All state belongs to one goroutine; calls from others come through a bounded queue.
 package routecoordinator
 
 import (
@@ -28,30 +28,30 @@
 )
 
 const (
-	callRing = 8192
-	// tickEvery bounds how soon gateways hear of news, and how many small answers a
+	callQueueSize = 8192
+	// tickInterval bounds how soon gateways receive updates, and how many small responses a
 	// series of changes causes.
-	tickEvery = 20 * time.Millisecond
+	tickInterval = 20 * time.Millisecond
 	// gatewayLease is how long a gateway's loads count after its last call: a few calls.
 	gatewayLease = 1500 * time.Millisecond
-	// answersPerSecond bounds the answers to all gateways together that only tell where
-	// adapters are. With few gateways each is told at once; with many, bytes between zones
-	// and the leader's time go before it, but for gateways whose requests wait.
+	// answersPerSecond bounds the responses to all gateways together that contain only
+	// holdings. With few gateways each is answered immediately; with many, traffic between
+	// zones and the leader's time matter more, except for gateways whose requests wait.
 	answersPerSecond = 400
-	// planSpacing is the least time between two plans: a plan looks at all engines and at
-	// all that is wanted.
-	planSpacing = 5 * time.Millisecond
-	// summaryEvery is the time between two log lines on the placement as a whole.
-	summaryEvery = time.Second
-	// forgetEvery is the time between two looks at what counts no longer, while another
+	// minPlanInterval is the minimum time between two plans: a plan covers all engines and all
+	// demand.
+	minPlanInterval = 5 * time.Millisecond
+	// summaryInterval is the time between two log lines on the placement as a whole.
+	summaryInterval = time.Second
+	// pruneInterval is the time between two removals of expired knowledge, while another
 	// instance leads.
-	forgetEvery = time.Second
-	// forgetAfter is how long backend servers that left are remembered, so that late
+	pruneInterval = time.Second
+	// forgetAfter is how long departed backend servers are remembered, so that delayed
 	// announcements don't bring them back.
 	forgetAfter = 60 * time.Second
 )
 
-// Raft is what the curator uses of the replicated log.
+// Raft is what the coordinator uses of the replicated log.
 type Raft interface {
 	Standing() *keeper.Standing
 	Leads() bool
@@ -64,26 +64,26 @@
 	Clock clockwork.Clock
 	Log   *slog.Logger
 	Raft  Raft
-	// Committed brings committed entries.
+	// Committed delivers committed entries.
 	Committed <-chan keeper.Item
-	// SendOrder takes orders to engines and reports each one's end. It must not block.
+	// SendOrder sends orders to engines and reports the outcome of each. It must not block.
 	SendOrder func(order placer.Order, term uint64, done func(placer.Outcome, *placer.State))
-	// Relay passes announcements on to the other controllers. It must not block.
+	// Relay forwards announcements to the other controllers. It must not block.
 	Relay func(announcements []*wire.Announcement)
 	// Controllers returns the addresses of all controllers.
 	Controllers func() []string
-	// CountHeld counts requests that are held back, and those that no longer are; nil counts
+	// CountHeld counts requests that are quarantined, and those that are released; nil counts
 	// nothing.
 	CountHeld func(change string)
 
-	// Limits is the rule by which customers are kept to their limits.
+	// Limits is the rule that enforces the limits of customers.
 	Limits lender.Rule
 	Policy placer.Policy
-	// SilentAfter is the time without an announcement after which a backend server counts
-	// as silent.
+	// SilentAfter is the time without an announcement after which a backend server counts as
+	// silent.
 	SilentAfter time.Duration
-	// HandoverDelay is how long a new leader gives no orders, so that those of the one before
-	// it have ended.
+	// HandoverDelay is how long a new leader gives no orders, so that those of its predecessor
+	// have ended.
 	HandoverDelay time.Duration
 	// SnapshotEntries is the number of entries, and SnapshotBytes their size, after which a
 	// snapshot replaces the log.
@@ -97,81 +97,84 @@
 	logBytes   int
 	compacting atomic.Bool
 
-	// led is set once a leader was known in this life. Before that, the table of the last
-	// snapshot may be an old one.
-	led     bool
-	tracker *tracker.Tracker
-	// taken is the revision of the tracker that the placer knows.
-	taken    uint64
-	versions uint64
-	waiters  []*waiter
-	// gateways are those that ask this controller, by name; loads is the sum of theirs.
+	// leaderKnown is set once this incarnation has known a leader. Before that, the table of
+	// the last snapshot may be outdated.
+	leaderKnown bool
+	tracker     *tracker.Tracker
+	// appliedRevision is the revision of the tracker that the placer has.
+	appliedRevision uint64
+	versions        uint64
+	waiters         []*waiter
+	// gateways are those that call this controller, by name; loads are their totals.
 	gateways map[string]*gatewayState
 	loads    *disseminator.LoadTotals
 	roster   roster
-	// holdings are what the placer has said that engines hold.
+	// holdings are what engines hold, as reported by the placer.
 	holdings *disseminator.Holdings
 	arbiter  arbiter.Arbiter
 	// requestLimits are those that backend servers have named to any gateway.
 	requestLimits throttler.Book
-	// knowledge is what the leader has learnt, this one or another, whose holdings are heard.
-	knowledge *placer.Knowledge
-	heard     *disseminator.Holdings
-	forgotten time.Time
+	// knowledge is what the leader, this instance or another, has learnt; leaderHoldings are
+	// the holdings received from another leader.
+	knowledge      *placer.Knowledge
+	leaderHoldings *disseminator.Holdings
+	prunedAt       time.Time
 
-	term        uint64
-	ordersAfter time.Time
-	summarized  time.Time
-	planned     time.Time
-	placer      *placer.Placer
-	// lender lends of customers' limits while this instance leads.
-	lender *lender.Lender
-	// startedAt is when this life began, and met when each gateway was in the roster last.
-	startedAt time.Time
-	met       map[string]time.Time
-	lookedAt  time.Time
+	term         uint64
+	ordersAfter  time.Time
+	summarizedAt time.Time
+	plannedAt    time.Time
+	placer       *placer.Placer
+	// allocator grants request quota of customers' limits while this instance leads.
+	allocator *lender.Lender
+	// startedAt is when this incarnation began, and gatewaySeenAt when each gateway was last in
+	// the roster.
+	startedAt         time.Time
+	gatewaySeenAt     map[string]time.Time
+	gatewaysCheckedAt time.Time
 }
 
-// gatewayState is what a gateway said last.
+// gatewayState is the last reported state of a gateway.
 type gatewayState struct {
-	seen  time.Time
-	entry *wire.GatewayEntry
-	// members are the gateways that follow it, by the list with that number.
+	lastCallAt time.Time
+	entry      *wire.GatewayEntry
+	// members are the gateways that follow it, as listed at membersRevision.
 	members         []*wire.GatewayEntry
 	membersRevision uint64
 	// loads are its own and those of its members.
 	loads []*wire.Load
-	// answered is when it was last told of news.
-	answered time.Time
-	// wants are the adapters that its requests wait for, and when it said so last; urgent
-	// is set once one of them is there.
+	// answeredAt is when it was last sent an update.
+	answeredAt time.Time
+	// wants are the adapters that its requests wait for, with the time of its last request for
+	// them; urgent is set once one of them is loaded.
 	wants  map[string]time.Time
 	urgent bool
-	// declined are adapters that it asked for and that it is to be told do not come.
+	// declined are adapters that it requested and that will not be loaded in time, not yet
+	// reported to it.
 	declined []string
 }
 
-// wantLease is how long a gateway is told at once of an adapter that it asked for.
+// wantLease is how long a gateway is notified immediately of an adapter that it requested.
 const wantLease = 3 * time.Second
 
-// Init prepares the curator for calls before Run.
+// Init prepares the coordinator for calls before Run.
 func (c *Coordinator) Init() {
-	c.calls = caller.New(callRing)
+	c.calls = caller.New(callQueueSize)
 	c.epoch = rand.Uint64()
 	c.state = recorder.New()
 	c.tracker = &tracker.Tracker{SilentAfter: c.SilentAfter, ForgetAfter: forgetAfter}
 	c.gateways = map[string]*gatewayState{}
-	c.startedAt, c.met = c.Clock.Now(), map[string]time.Time{}
+	c.startedAt, c.gatewaySeenAt = c.Clock.Now(), map[string]time.Time{}
 	c.loads = disseminator.NewLoadTotals()
 	c.holdings = disseminator.NewHoldings()
 	c.initArbiter()
 	c.knowledge = placer.NewKnowledge(c.Policy)
-	c.heard = disseminator.NewHoldings()
+	c.leaderHoldings = disseminator.NewHoldings()
 }
 
 // Run works until ctx ends.
 func (c *Coordinator) Run(ctx context.Context) {
-	ticker := c.Clock.NewTicker(tickEvery)
+	ticker := c.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -187,9 +190,9 @@
 	}
 }
 
-// Call runs f in the curator's goroutine and waits for it.
+// Call runs f in the coordinator's goroutine and waits for it.
 func (c *Coordinator) Call(ctx context.Context, f func(now time.Time)) error {
-	return errors.Wrap(c.calls.Call(ctx, f), "curator")
+	return errors.Wrap(c.calls.Call(ctx, f), "routecoordinator")
 }
 
 func (c *Coordinator) apply(item keeper.Item) {
@@ -216,9 +219,9 @@
 
 func (c *Coordinator) tableChanged() {
 	table := c.state.Table().GetTable()
-	c.Log.Info("a table is in force", "Version", table.GetVersion(), "Routes", len(table.GetRoutes()))
-	if c.lender != nil {
-		c.lender.SetCustomers(c.Clock.Now(), table.GetCustomers())
+	c.Log.Info("routing table in force", "Version", table.GetVersion(), "Routes", len(table.GetRoutes()))
+	if c.allocator != nil {
+		c.allocator.SetCustomers(c.Clock.Now(), table.GetCustomers())
 	}
 	if c.placer != nil {
 		c.placer.SetTable(table)
@@ -242,8 +245,8 @@
 func (c *Coordinator) restore(s *wire.Snapshot) {
 	state, err := recorder.Restore(s.GetState())
 	if err != nil {
-		// The snapshot's checksum was right, so it was written by another version.
-		c.Log.Error("a snapshot can't be decoded", "Error", err.Error())
+		// The snapshot's checksum was valid, so another version wrote it.
+		c.Log.Error("cannot decode the snapshot", "Error", err.Error())
 		return
 	}
 	c.state = state
@@ -263,7 +266,7 @@
 		defer c.compacting.Store(false)
 		data, err := recorder.Encode(frozen)
 		if err != nil {
-			c.Log.Error("the state can't be encoded", "Error", err.Error())
+			c.Log.Error("cannot encode the state", "Error", err.Error())
 			return
 		}
 		c.Raft.Compact(frozen.GetApplied(), data)
@@ -272,45 +275,45 @@
 
 func (c *Coordinator) tick(now time.Time) {
 	c.tracker.Tick(now)
-	c.takeChanges()
-	c.follow(now)
+	c.applyChanges()
+	c.followLeadership(now)
 	if c.placer != nil {
 		c.placer.SetUse(c.uses())
 		c.plan(now)
 	}
-	if c.lender != nil {
-		c.lender.Tick(now)
+	if c.allocator != nil {
+		c.allocator.Tick(now)
 	}
 	c.arbiter.Tick(now)
 	if c.leads(now) {
 		c.arbiter.Lead(now, c.term)
 	}
-	c.forgetGateways(now)
-	c.forgetLimits(now)
-	c.meetGateways(now)
-	if c.placer == nil && now.Sub(c.forgotten) >= forgetEvery {
-		c.forgotten = now
+	c.pruneGateways(now)
+	c.pruneRequestLimits(now)
+	c.recordGateways(now)
+	if c.placer == nil && now.Sub(c.prunedAt) >= pruneInterval {
+		c.prunedAt = now
 		c.knowledge.Forget(now)
 	}
 	c.answerWaiters(now)
 }
 
-// follow begins a term as leader, once all that was committed before has been applied,
-// and ends it.
-func (c *Coordinator) follow(now time.Time) {
-	standing := c.Raft.Standing()
-	leads := standing.Leads(now)
-	c.led = c.led || leads || standing.Leader != ""
+// followLeadership begins a term as leader, once all entries committed before it have been
+// applied, and ends it.
+func (c *Coordinator) followLeadership(now time.Time) {
+	status := c.Raft.Standing()
+	leads := status.Leads(now)
+	c.leaderKnown = c.leaderKnown || leads || status.Leader != ""
 	switch {
-	case leads && c.term != standing.Term && c.state.Applied() >= standing.TermStart:
-		c.begin(now, standing.Term)
-	case !leads && c.term != 0 && c.term != standing.Term:
+	case leads && c.term != status.Term && c.state.Applied() >= status.TermStart:
+		c.beginTerm(now, status.Term)
+	case !leads && c.term != 0 && c.term != status.Term:
 		c.Log.Info("this instance no longer leads", "Term", c.term)
-		c.term, c.placer, c.lender = 0, nil, nil
+		c.term, c.placer, c.allocator = 0, nil, nil
 	}
 }
 
-func (c *Coordinator) begin(now time.Time, term uint64) {
+func (c *Coordinator) beginTerm(now time.Time, term uint64) {
 	c.term = term
 	c.ordersAfter = now.Add(c.HandoverDelay)
 	c.placer = placer.NewWith(c.knowledge)
@@ -318,8 +321,8 @@
 	c.holdings.Reset(c.placer.Revision())
 	c.arbiter.Begin()
 	c.placer.SetTable(c.state.Table().GetTable())
-	c.lender = &lender.Lender{Rule: c.Limits, Known: c.knownGateways(now)}
-	c.lender.Begin(now, term, c.state.Table().GetTable().GetCustomers())
+	c.allocator = &lender.Lender{Rule: c.Limits, Known: c.knownGateways(now)}
+	c.allocator.Begin(now, term, c.state.Table().GetTable().GetCustomers())
 	for _, a := range c.tracker.All() {
 		c.placer.SetEngine(a)
 		c.placer.SetLimit(a.GetId(), c.limitOf(a.GetId()))
@@ -332,60 +335,60 @@
 
 // leads reports whether the instance may give orders now.
 func (c *Coordinator) leads(now time.Time) bool {
-	standing := c.Raft.Standing()
-	return c.term != 0 && c.term == standing.Term && standing.Leads(now)
+	status := c.Raft.Standing()
+	return c.term != 0 && c.term == status.Term && status.Leads(now)
 }
 
 func (c *Coordinator) plan(now time.Time) {
 	if !c.leads(now) || now.Before(c.ordersAfter) {
 		return
 	}
-	c.planned = now
-	c.wake(now)
-	if now.Sub(c.summarized) >= summaryEvery {
-		c.summarized = now
-		if standings := c.lender.Standings(now, false); len(standings) > 0 {
-			c.Log.Info("limits", "Customers", standings)
+	c.plannedAt = now
+	c.markUrgent(now)
+	if now.Sub(c.summarizedAt) >= summaryInterval {
+		c.summarizedAt = now
+		if statuses := c.allocator.Standings(now, false); len(statuses) > 0 {
+			c.Log.Info("limits", "Customers", statuses)
 		}
 		c.Log.Info("placement", "Summary", c.placer.Summary(), "Gateways", c.roster.count(), "Asking", len(c.gateways))
 	}
 	for _, order := range c.placer.Plan(now) {
-		c.carry(order)
+		c.dispatchOrder(order)
 	}
 }
 
-// planSoon plans at once, unless that was done just now: then the next tick does.
+// planSoon plans immediately, unless a plan was just made: then the next tick plans.
 func (c *Coordinator) planSoon(now time.Time) {
-	if now.Sub(c.planned) >= planSpacing {
+	if now.Sub(c.plannedAt) >= minPlanInterval {
 		c.plan(now)
 	}
 }
 
-// giveNext gives an engine its next orders.
-func (c *Coordinator) giveNext(now time.Time, backend string) {
+// sendNextOrders sends an engine its next orders.
+func (c *Coordinator) sendNextOrders(now time.Time, backend string) {
 	if !c.leads(now) || now.Before(c.ordersAfter) {
 		return
 	}
 	for _, order := range c.placer.Next(now, backend) {
-		c.carry(order)
+		c.dispatchOrder(order)
 	}
 }
 
-func (c *Coordinator) carry(order placer.Order) {
+func (c *Coordinator) dispatchOrder(order placer.Order) {
 	term := c.term
 	c.SendOrder(order, term, func(outcome placer.Outcome, state *placer.State) {
 		c.calls.Post(func(now time.Time) {
 			if c.term == term && c.placer != nil {
 				c.placer.Done(now, order, outcome, state)
-				c.giveNext(now, order.Backend)
+				c.sendNextOrders(now, order.Backend)
 			}
 		})
 	})
 }
 
-// wake marks the gateways whose requests wait for adapters that have come, or do not come
-// in time.
-func (c *Coordinator) wake(now time.Time) {
+// markUrgent marks the gateways whose requests wait for adapters that are now loaded, or will
+// not be in time.
+func (c *Coordinator) markUrgent(now time.Time) {
 	for _, adapter := range c.placer.TakeDeclined() {
 		for _, g := range c.gateways {
 			if _, ok := g.wants[adapter]; ok {
@@ -397,15 +400,15 @@
 	}
 	for _, adapter := range c.placer.TakeLoaded() {
 		for _, g := range c.gateways {
-			if said, ok := g.wants[adapter]; ok {
-				g.urgent = g.urgent || now.Sub(said) < wantLease
+			if at, ok := g.wants[adapter]; ok {
+				g.urgent = g.urgent || now.Sub(at) < wantLease
 				delete(g.wants, adapter)
 			}
 		}
 	}
 }
 
-// uses returns what the gateways have at each backend server.
+// uses returns the gateways' requests at each backend server, and the adapters that they use.
 func (c *Coordinator) uses() map[string]*placer.Use {
 	total := map[string]*placer.Use{}
 	c.loads.Each(func(backend string, requests uint32, adapters map[string]int) {
--- a/controller/routecoordinator/routecoordinator_test.go
+++ b/controller/routecoordinator/routecoordinator_test.go
@@ -18,29 +18,29 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// keeperFake is a log that applies each command at once.
-type keeperFake struct {
-	standing keeper.Standing
-	index    uint64
-	in       chan keeper.Item
-	mu       sync.Mutex
+// fakeRaft is a log that applies each command immediately.
+type fakeRaft struct {
+	status keeper.Standing
+	index  uint64
+	in     chan keeper.Item
+	mu     sync.Mutex
 }
 
-func (k *keeperFake) Standing() *keeper.Standing { return &k.standing }
-func (k *keeperFake) Leads() bool                { return k.standing.Role != 0 }
-func (k *keeperFake) Compact(uint64, []byte)     {}
+func (k *fakeRaft) Standing() *keeper.Standing { return &k.status }
+func (k *fakeRaft) Leads() bool                { return k.status.Role != 0 }
+func (k *fakeRaft) Compact(uint64, []byte)     {}
 
-func (k *keeperFake) Propose(_ context.Context, cmd *wire.Command) (recorder.Result, error) {
+func (k *fakeRaft) Propose(_ context.Context, cmd *wire.Command) (recorder.Result, error) {
 	k.in <- k.item(cmd)
 	return recorder.Result{}, nil
 }
 
 // item is a committed command.
-func (k *keeperFake) item(cmd *wire.Command) keeper.Item {
+func (k *fakeRaft) item(cmd *wire.Command) keeper.Item {
 	return keeper.Item{Applied: []keeper.Applied{k.entry(cmd)}}
 }
 
-func (k *keeperFake) entry(cmd *wire.Command) keeper.Applied {
+func (k *fakeRaft) entry(cmd *wire.Command) keeper.Applied {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.index++
@@ -57,10 +57,10 @@
 	}}}
 }
 
-// newCurator returns a curator whose goroutine is the test's: calls are carried out by
-// run, so that nothing depends on timing.
-func newCurator() (*Coordinator, *keeperFake) {
-	k := &keeperFake{in: make(chan keeper.Item, 16)}
+// newCoordinator returns a coordinator without a goroutine of its own: the test applies entries
+// and calls, so that nothing depends on timing.
+func newCoordinator() (*Coordinator, *fakeRaft) {
+	k := &fakeRaft{in: make(chan keeper.Item, 16)}
 	c := &Coordinator{
 		Clock: clockwork.NewFakeClock(), Log: slog.New(slog.DiscardHandler), Raft: k, Committed: k.in,
 		SendOrder: func(placer.Order, uint64, func(placer.Outcome, *placer.State)) {}, Relay: func([]*wire.Announcement) {},
@@ -71,94 +71,94 @@
 	return c, k
 }
 
-func lead(c *Coordinator, k *keeperFake) {
-	k.standing = keeper.Standing{Role: 3, Term: 2, Leader: "a", LeaseUntil: c.Clock.Now().Add(time.Hour)}
+func lead(c *Coordinator, k *fakeRaft) {
+	k.status = keeper.Standing{Role: 3, Term: 2, Leader: "a", LeaseUntil: c.Clock.Now().Add(time.Hour)}
 	c.tick(c.Clock.Now())
 }
 
-func TestTablesOfHigherVersionsAreTold(t *testing.T) {
+func TestOnlyNewerTablesAreSent(t *testing.T) {
 	c := qt.New(t)
-	cu, k := newCurator()
-	lead(cu, k)
+	co, k := newCoordinator()
+	lead(co, k)
 	for _, change := range []struct {
 		version uint64
 		want    string
 	}{{5, "a"}, {4, "a"}, {5, "a"}, {7, "d"}} {
 		document := map[uint64]string{5: "a", 4: "b", 7: "d"}[change.version]
-		if change.version == 5 && cu.state.Table() != nil {
-			document = "other content under the version held"
+		if change.version == 5 && co.state.Table() != nil {
+			document = "other content under the same version"
 		}
-		cu.apply(keeper.Item{Applied: []keeper.Applied{k.entry(putTable(change.version, document))}})
-		c.Check(string(cu.state.Table().GetDocument()), qt.Equals, change.want)
+		co.apply(keeper.Item{Applied: []keeper.Applied{k.entry(putTable(change.version, document))}})
+		c.Check(string(co.state.Table().GetDocument()), qt.Equals, change.want)
 	}
-	res := cu.news(cu.Clock.Now(), &wire.SyncRequest{WantTable: true})
+	res := co.buildResponse(co.Clock.Now(), &wire.SyncRequest{WantTable: true})
 	c.Check(res.GetTable().GetVersion(), qt.Equals, uint64(7))
-	c.Check(cu.news(cu.Clock.Now(), &wire.SyncRequest{WantTable: true, TableVersion: 7}).GetTable(), qt.IsNil)
-	c.Check(cu.news(cu.Clock.Now(), &wire.SyncRequest{}).GetTable(), qt.IsNil)
+	c.Check(co.buildResponse(co.Clock.Now(), &wire.SyncRequest{WantTable: true, TableVersion: 7}).GetTable(), qt.IsNil)
+	c.Check(co.buildResponse(co.Clock.Now(), &wire.SyncRequest{}).GetTable(), qt.IsNil)
 }
 
-// A controller that restarts with a snapshot does not hand out its table before a leader
-// was known: the table may have been replaced since.
-func TestTheTableOfASnapshotWaitsForALeader(t *testing.T) {
+// A controller that restarts from a snapshot does not send its table before a leader was known:
+// the table may have been replaced since.
+func TestSnapshotTableWaitsForLeader(t *testing.T) {
 	c := qt.New(t)
-	before, k := newCurator()
+	before, k := newCoordinator()
 	before.apply(keeper.Item{Applied: []keeper.Applied{k.entry(putTable(5, "a"))}})
 	state, err := before.state.Snapshot()
 	c.Assert(err, qt.IsNil)
-	cu, k := newCurator()
-	cu.apply(keeper.Item{Restore: &wire.Snapshot{Index: 1, Term: 1, State: state}})
-	cu.tick(cu.Clock.Now())
-	c.Check(cu.news(cu.Clock.Now(), &wire.SyncRequest{WantTable: true}).GetTableVersion(), qt.Equals, uint64(0))
-	lead(cu, k)
-	c.Check(cu.news(cu.Clock.Now(), &wire.SyncRequest{WantTable: true}).GetTable().GetVersion(), qt.Equals, uint64(5))
+	co, k := newCoordinator()
+	co.apply(keeper.Item{Restore: &wire.Snapshot{Index: 1, Term: 1, State: state}})
+	co.tick(co.Clock.Now())
+	c.Check(co.buildResponse(co.Clock.Now(), &wire.SyncRequest{WantTable: true}).GetTableVersion(), qt.Equals, uint64(0))
+	lead(co, k)
+	c.Check(co.buildResponse(co.Clock.Now(), &wire.SyncRequest{WantTable: true}).GetTable().GetVersion(), qt.Equals, uint64(5))
 }
 
-// Of many gateways, the one whose requests wait for an adapter is told of it at once, the
-// others a little later; tables are told to all at once.
-func TestWhoIsToldFirst(t *testing.T) {
+// Of many gateways, the one whose requests wait for an adapter is notified immediately, the
+// others after an interval; tables are sent to all immediately.
+func TestUrgentUpdatesAreDueFirst(t *testing.T) {
 	c := qt.New(t)
-	cu, k := newCurator()
-	lead(cu, k)
-	now := cu.Clock.Now()
+	co, k := newCoordinator()
+	lead(co, k)
+	now := co.Clock.Now()
 	waiters := map[string]*waiter{}
 	for i := range 200 {
 		name := string(rune('A' + i))
-		req := &wire.SyncRequest{Gateway: name, Epoch: cu.epoch, HoldingRevision: cu.placer.Revision()}
-		cu.hear(now, req)
-		cu.gateways[name].answered = now
+		req := &wire.SyncRequest{Gateway: name, Epoch: co.epoch, HoldingRevision: co.placer.Revision()}
+		co.observeGateway(now, req)
+		co.gateways[name].answeredAt = now
 		waiters[name] = &waiter{request: req, deadline: now.Add(time.Hour)}
 	}
-	cu.gateways["B"].wants["m/x"] = now
-	c.Check(cu.isDue(now, waiters["A"]), qt.IsFalse)
-	cu.placer.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{Name: "s", Engine: &wire.EngineLimits{AdapterSlots: 4, Models: []string{"m"}}}}})
-	cu.placer.SetEngine(&wire.Announcement{Id: "e", Service: "s", Slots: 4})
-	report := cu.placer.Plan(now)[0]
-	cu.placer.Done(now, report, placer.Holds, &placer.State{Models: []string{"m"}})
-	cu.placer.Want(now, "m/x", nil, time.Time{})
-	cu.placer.Done(now, cu.placer.Plan(now)[0], placer.Holds, nil)
-	cu.wake(now)
-	c.Check(cu.isDue(now, waiters["B"]), qt.IsTrue)
-	c.Check(cu.isDue(now, waiters["A"]), qt.IsFalse)
-	c.Check(cu.isDue(now.Add(time.Second), waiters["A"]), qt.IsTrue)
-	cu.apply(keeper.Item{Applied: []keeper.Applied{k.entry(putTable(9, "t"))}})
-	c.Check(cu.isDue(now, waiters["A"]), qt.IsTrue)
+	co.gateways["B"].wants["m/x"] = now
+	c.Check(co.isDue(now, waiters["A"]), qt.IsFalse)
+	co.placer.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{Name: "s", Engine: &wire.EngineLimits{AdapterSlots: 4, Models: []string{"m"}}}}})
+	co.placer.SetEngine(&wire.Announcement{Id: "e", Service: "s", Slots: 4})
+	report := co.placer.Plan(now)[0]
+	co.placer.Done(now, report, placer.Holds, &placer.State{Models: []string{"m"}})
+	co.placer.Want(now, "m/x", nil, time.Time{})
+	co.placer.Done(now, co.placer.Plan(now)[0], placer.Holds, nil)
+	co.markUrgent(now)
+	c.Check(co.isDue(now, waiters["B"]), qt.IsTrue)
+	c.Check(co.isDue(now, waiters["A"]), qt.IsFalse)
+	c.Check(co.isDue(now.Add(time.Second), waiters["A"]), qt.IsTrue)
+	co.apply(keeper.Item{Applied: []keeper.Applied{k.entry(putTable(9, "t"))}})
+	c.Check(co.isDue(now, waiters["A"]), qt.IsTrue)
 }
 
-// A call whose caller has given up may still run, while the caller goes on. The race
-// detector watches what both touch.
-func TestCallsThatAreGivenUp(t *testing.T) {
+// A call whose caller has given up may still run while the caller continues. The race detector
+// checks the data that both access.
+func TestAbandonedCalls(t *testing.T) {
 	c := qt.New(t)
-	cu, _ := newCurator()
-	gone, cancel := context.WithCancel(context.Background())
+	co, _ := newCoordinator()
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	for range 200 {
 		ran := make(chan struct{})
 		go func() {
-			call := <-cu.calls.Calls()
-			call(cu.Clock.Now())
+			call := <-co.calls.Calls()
+			call(co.Clock.Now())
 			close(ran)
 		}()
-		_, err := cu.Document(gone)
+		_, err := co.Document(cancelled)
 		c.Check(err == nil || errors.Is(err, context.Canceled), qt.IsTrue)
 		<-ran
 	}
--- a/controller/routecoordinator/sync.go
+++ b/controller/routecoordinator/sync.go
@@ -11,20 +11,20 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// waiter is a gateway's call that waits for news.
+// waiter is a gateway's call that waits for updates.
 type waiter struct {
 	request  *wire.SyncRequest
 	deadline time.Time
-	// answer takes the answer, once. It has room for it.
+	// answer receives the response once; it has a buffer of one.
 	answer chan *wire.SyncResponse
 }
 
-// Sync answers a gateway as soon as there is news for it, or when its wait is over.
+// Sync answers a gateway as soon as there is an update for it, or when its wait is over.
 func (c *Coordinator) Sync(ctx context.Context, req *wire.SyncRequest) (*wire.SyncResponse, error) {
 	w := &waiter{request: req, answer: make(chan *wire.SyncResponse, 1)}
 	err := c.Call(ctx, func(now time.Time) {
 		w.deadline = now.Add(time.Duration(req.GetWaitMs()) * time.Millisecond)
-		c.hear(now, req)
+		c.observeGateway(now, req)
 		if c.isDue(now, w) {
 			c.answer(now, w)
 			return
@@ -38,12 +38,12 @@
 	case res := <-w.answer:
 		return res, nil
 	case <-ctx.Done():
-		return nil, errors.Wrap(ctx.Err(), "curator: sync")
+		return nil, errors.Wrap(ctx.Err(), "routecoordinator: sync")
 	}
 }
 
-// hear takes in what a gateway says of its requests, and of those of its members.
-func (c *Coordinator) hear(now time.Time, req *wire.SyncRequest) {
+// observeGateway records what a gateway reports about its requests and those of its members.
+func (c *Coordinator) observeGateway(now time.Time, req *wire.SyncRequest) {
 	if req.GetKnowledge() {
 		return
 	}
@@ -52,7 +52,7 @@
 		g = &gatewayState{wants: map[string]time.Time{}}
 		c.gateways[req.GetGateway()] = g
 	}
-	g.seen = now
+	g.lastCallAt = now
 	c.loads.Remove(g.loads)
 	g.loads = req.GetLoads()
 	c.loads.Add(g.loads)
@@ -64,17 +64,17 @@
 		c.roster.stale = c.roster.stale || g.membersRevision != req.GetMembersRevision()
 		g.members, g.membersRevision = req.GetMembers(), req.GetMembersRevision()
 	}
-	c.hearLimits(now, req.GetRequestLimits())
+	c.receiveRequestLimits(now, req.GetRequestLimits())
 	c.arbiter.Hear(now, req.GetRunReports())
 	for _, d := range req.GetDemand() {
 		c.knowledge.Demand(now, d.GetAdapter(), int(d.GetRequests()))
 	}
 }
 
-// forgetGateways drops those that have not called for long.
-func (c *Coordinator) forgetGateways(now time.Time) {
+// pruneGateways drops gateways whose lease has expired.
+func (c *Coordinator) pruneGateways(now time.Time) {
 	for name, g := range c.gateways {
-		if now.Sub(g.seen) > gatewayLease {
+		if now.Sub(g.lastCallAt) > gatewayLease {
 			c.loads.Remove(g.loads)
 			delete(c.gateways, name)
 			c.roster.stale = true
@@ -82,7 +82,7 @@
 	}
 }
 
-// Acquire notes that requests wait for adapters.
+// Acquire records that requests wait for adapters.
 func (c *Coordinator) Acquire(ctx context.Context, req *wire.AcquireRequest) error {
 	leads := false
 	err := c.Call(ctx, func(now time.Time) {
@@ -92,7 +92,7 @@
 		}
 		g := c.gateways[req.GetGateway()]
 		for _, w := range req.GetWants() {
-			c.placer.Want(now, w.GetAdapter(), w.GetAvoid(), waitsUntil(now, w))
+			c.placer.Want(now, w.GetAdapter(), w.GetAvoid(), waitDeadline(now, w))
 			if g != nil {
 				g.wants[w.GetAdapter()] = now
 				g.urgent = g.urgent || c.placer.Ready(w.GetAdapter())
@@ -107,8 +107,8 @@
 	return err
 }
 
-// waitsUntil returns when the requests for an adapter give up; zero if that is not known.
-func waitsUntil(now time.Time, w *wire.Want) time.Time {
+// waitDeadline returns when the requests for an adapter give up; zero if unknown.
+func waitDeadline(now time.Time, w *wire.Want) time.Time {
 	if w.GetLeftMs() == 0 {
 		return time.Time{}
 	}
@@ -130,7 +130,7 @@
 
 // isDue reports whether a call is to be answered now.
 func (c *Coordinator) isDue(now time.Time, w *waiter) bool {
-	if !now.Before(w.deadline) || c.hasUrgentNews(w.request) {
+	if !now.Before(w.deadline) || c.hasUrgentUpdate(w.request) {
 		return true
 	}
 	g := c.gateways[w.request.GetGateway()]
@@ -141,19 +141,19 @@
 		return false
 	}
 	interval := time.Second * time.Duration(len(c.gateways)) / answersPerSecond
-	return g == nil || g.urgent || now.Sub(g.answered) >= interval
+	return g == nil || g.urgent || now.Sub(g.answeredAt) >= interval
 }
 
 func (c *Coordinator) answer(now time.Time, w *waiter) {
 	if g := c.gateways[w.request.GetGateway()]; g != nil {
-		g.answered = now
+		g.answeredAt = now
 		g.urgent = false
 	}
-	w.answer <- c.news(now, w.request)
+	w.answer <- c.buildResponse(now, w.request)
 }
 
-// hasUrgentNews reports whether there is something that all gateways must know soon.
-func (c *Coordinator) hasUrgentNews(req *wire.SyncRequest) bool {
+// hasUrgentUpdate reports whether there is something that all gateways must know soon.
+func (c *Coordinator) hasUrgentUpdate(req *wire.SyncRequest) bool {
 	return req.GetEpoch() != c.epoch ||
 		req.GetAnnouncementRevision() != c.tracker.Revision() ||
 		req.GetVersionRevision() != c.versions ||
@@ -162,15 +162,15 @@
 		c.arbiter.HasNews(c.term, req.GetSuspectsRevision())
 }
 
-// table returns the table that gateways may be told of, or nil.
+// table returns the table that may be sent to gateways, or nil.
 func (c *Coordinator) table() *wire.RoutingTable {
-	if !c.led {
+	if !c.leaderKnown {
 		return nil
 	}
 	return c.state.Table().GetTable()
 }
 
-func (c *Coordinator) news(now time.Time, req *wire.SyncRequest) *wire.SyncResponse {
+func (c *Coordinator) buildResponse(now time.Time, req *wire.SyncRequest) *wire.SyncResponse {
 	c.roster.refresh(now, c.gateways)
 	controllers := c.Controllers()
 	res := &wire.SyncResponse{
@@ -200,7 +200,7 @@
 			res.Table = table
 		}
 	}
-	c.tellLimits(now, req, res)
+	c.addRequestLimits(now, req, res)
 	if res.GetLeads() {
 		res.Suspects, res.SuspectsRevision = c.arbiter.Tell(c.term, req.GetSuspectsRevision())
 	}
@@ -210,7 +210,7 @@
 		res.Declined, g.declined = g.declined, nil
 	}
 	if c.placer != nil {
-		c.takeHoldings()
+		c.updateHoldings()
 		res.HoldingRevision = max(req.GetHoldingRevision(), c.holdings.Revision())
 		res.Holdings, res.HoldingsSince = c.holdings.Since(req.GetHoldingRevision())
 		if req.GetKnowledge() {
@@ -222,18 +222,18 @@
 	return res
 }
 
-// takeHoldings takes what the placer says of engines that have changed.
-func (c *Coordinator) takeHoldings() {
+// updateHoldings takes the holdings of changed engines from the placer.
+func (c *Coordinator) updateHoldings() {
 	for _, h := range c.placer.TakeChanged() {
 		c.holdings.Set(c.placer.Revision(), h.GetBackend(), h.GetAdapters())
 	}
-	// An engine whose state has to be asked for is no news; without this all gateways would
-	// be answered again and again until it is.
+	// An engine whose state must be queried changes the revision but no holdings; without this
+	// all gateways would be answered again and again until its state is known.
 	c.holdings.Advance(c.placer.Revision())
 }
 
-// forGateways returns an announcement without what an engine says that it holds: gateways
-// hear of that from the leader.
+// forGateways returns an announcement without the engine's own list of holdings: gateways
+// receive those from the leader.
 func forGateways(a *wire.Announcement) *wire.Announcement {
 	if len(a.GetAdapters()) == 0 && len(a.GetModels()) == 0 {
 		return a
@@ -243,7 +243,7 @@
 	return a
 }
 
-// loadsWithout returns the loads of all gateways but one and its members.
+// loadsWithout returns the loads of all gateways except one and its members.
 func (c *Coordinator) loadsWithout(g *gatewayState) []*wire.Load {
 	own := map[string]uint32{}
 	if g != nil {
@@ -260,26 +260,27 @@
 	return loads
 }
 
-// ReceiveAnnouncements takes what a backend server said of itself, here or to another controller.
+// ReceiveAnnouncements takes announcements of backend servers, made here or to another
+// controller.
 func (c *Coordinator) ReceiveAnnouncements(ctx context.Context, list []*wire.Announcement, relayed bool) error {
 	return c.Call(ctx, func(now time.Time) {
-		var news []*wire.Announcement
+		var accepted []*wire.Announcement
 		for _, a := range list {
-			isNews, _ := c.tracker.Observe(now, a)
-			if isNews {
-				news = append(news, a)
+			isNew, _ := c.tracker.Observe(now, a)
+			if isNew {
+				accepted = append(accepted, a)
 			}
 		}
-		c.takeChanges()
-		if len(news) > 0 && !relayed {
-			c.Relay(news)
+		c.applyChanges()
+		if len(accepted) > 0 && !relayed {
+			c.Relay(accepted)
 		}
 	})
 }
 
-// takeChanges passes on to the placer what has changed among the backend servers.
-func (c *Coordinator) takeChanges() {
-	for _, a := range c.tracker.Since(c.taken) {
+// applyChanges passes changed backend servers on to the placer.
+func (c *Coordinator) applyChanges() {
+	for _, a := range c.tracker.Since(c.appliedRevision) {
 		c.Log.Info("a backend server has changed", "Backend", a.GetId(), "Service", a.GetService(), "Address", a.GetAddress(),
 			"Draining", a.GetDraining(), "Gone", a.GetGone(), "Silent", a.GetSilent(), "Sequence", a.GetSequence())
 		if c.placer != nil {
@@ -287,11 +288,11 @@
 		}
 		if a.GetGone() {
 			c.holdings.Drop(a.GetId())
-			c.heard.Drop(a.GetId())
+			c.leaderHoldings.Drop(a.GetId())
 			c.knowledge.ForgetEngine(a.GetId())
 		}
 	}
-	c.taken = c.tracker.Revision()
+	c.appliedRevision = c.tracker.Revision()
 }
 
 // Document returns the operator's document in force here.
