--- a/pkg/ranker/ranker.go
+++ b/pkg/ranker/ranker.go
@@ -1,6 +1,6 @@
-// Package ranker orders candidates for a party as in rendezvous hashing: every process that
-// has the same candidates gets the same order, without being told, and a candidate that comes
-// or goes leaves the order of the others alone.
+// Package ranker orders candidates for a key by rendezvous hashing: every process that has the
+// same candidates computes the same order without communication, and adding or removing a
+// candidate does not change the order of the others.
 package ranker
 
 import (
@@ -9,11 +9,11 @@
 	"slices"
 )
 
-// Score is how much a party prefers a candidate: a number that is as good as random,
-// and the same everywhere.
-func Score(party, candidate string) uint64 {
+// Score returns how much a key prefers a candidate: a pseudo-random number that is the same in
+// every process.
+func Score(key, candidate string) uint64 {
 	sum := fnv.New64a()
-	_, _ = sum.Write([]byte(party + " " + candidate))
+	_, _ = sum.Write([]byte(key + " " + candidate))
 	// FNV mixes the last bytes poorly into the high bits.
 	n := sum.Sum64()
 	n ^= n >> 33
@@ -21,18 +21,18 @@
 	return n ^ n>>33
 }
 
-// Sort sorts candidates by a party's preference, the most preferred first.
-func Sort(candidates []string, party string) {
+// Sort sorts candidates by their score for a key, highest first.
+func Sort(candidates []string, key string) {
 	type ranked struct {
-		name       string
-		preference uint64
+		name  string
+		score uint64
 	}
 	list := make([]ranked, len(candidates))
 	for i, name := range candidates {
-		list[i] = ranked{name, Score(party, name)}
+		list[i] = ranked{name, Score(key, name)}
 	}
 	slices.SortFunc(list, func(a, b ranked) int {
-		return cmp.Or(cmp.Compare(b.preference, a.preference), cmp.Compare(a.name, b.name))
+		return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.name, b.name))
 	})
 	for i, r := range list {
 		candidates[i] = r.name
--- a/pkg/ranker/ranker_test.go
+++ b/pkg/ranker/ranker_test.go
@@ -16,8 +16,8 @@
 	return list
 }
 
-// Many parties that choose among a few candidates spread over them.
-func TestPartiesSpread(t *testing.T) {
+// Many keys that choose among a few candidates spread over them.
+func TestKeysSpreadOverCandidates(t *testing.T) {
 	c := qt.New(t)
 	first := map[string]int{}
 	for i := range 1000 {
@@ -31,17 +31,17 @@
 	}
 }
 
-// The order does not depend on the order before, and the loss of a candidate leaves that of
-// the others as it was.
-func TestALostCandidateChangesNothingElse(t *testing.T) {
+// The order does not depend on the input order, and removing a candidate does not change the
+// order of the others.
+func TestRemovedCandidateKeepsTheOrderOfTheOthers(t *testing.T) {
 	c := qt.New(t)
 	whole, reversed := names(20), names(20)
 	slices.Reverse(reversed)
 	Sort(whole, "p")
 	Sort(reversed, "p")
 	c.Check(reversed, qt.DeepEquals, whole)
-	lost := whole[3]
-	rest := slices.DeleteFunc(names(20), func(name string) bool { return name == lost })
+	removed := whole[3]
+	rest := slices.DeleteFunc(names(20), func(name string) bool { return name == removed })
 	Sort(rest, "p")
 	c.Check(rest, qt.DeepEquals, slices.Delete(slices.Clone(whole), 3, 4))
 }
