--- a/pkg/relayplanner/arranger_test.go
+++ b/pkg/relayplanner/relayplanner_test.go
@@ -19,42 +19,43 @@
 	return list
 }
 
-func arrangeAll(list []*wire.GatewayEntry) (direct map[string]bool, followers map[string]int) {
+func assignAll(list []*wire.GatewayEntry) (direct map[string]bool, followers map[string]int) {
 	direct, followers = map[string]bool{}, map[string]int{}
 	for _, self := range list {
-		place := Assign(list, self)
-		if place.Direct {
+		assignment := Assign(list, self)
+		if assignment.Direct {
 			direct[self.GetAddress()] = true
 			continue
 		}
-		followers[place.Relays[0]]++
+		followers[assignment.Relays[0]]++
 	}
 	return direct, followers
 }
 
-// Who asks the controllers, from a few gateways to the size that the system is made for.
-func TestSizes(t *testing.T) {
+// Which gateways ask the controllers, from a single one to the size that the system is designed
+// for.
+func TestAssignmentsBySystemSize(t *testing.T) {
 	for name, test := range map[string]struct {
-		zones, each   int
-		direct        int
-		mostFollowers int
+		zones, each  int
+		direct       int
+		maxFollowers int
 	}{
-		"one gateway":                {1, 1, 1, 0},
-		"nine in four zones":         {4, 2, 8, 0},
-		"as many as need no relay":   {2, 8, 16, 0},
-		"one more":                   {2, 9, 4, 9},
-		"two hundred in six zones":   {6, 33, 18, 20},
-		"twelve hundred in 28 zones": {28, 43, 84, 24},
-		"three hundred in one zone":  {1, 300, 19, 40},
+		"one gateway":                  {1, 1, 1, 0},
+		"eight in four zones":          {4, 2, 8, 0},
+		"largest zones without relays": {2, 8, 16, 0},
+		"one more in each":             {2, 9, 4, 9},
+		"two hundred in six zones":     {6, 33, 18, 20},
+		"twelve hundred in 28 zones":   {28, 43, 84, 24},
+		"three hundred in one zone":    {1, 300, 19, 40},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			list := gateways(test.zones, test.each)
-			direct, followers := arrangeAll(list)
+			direct, followers := assignAll(list)
 			c.Check(len(direct), qt.Equals, test.direct)
 			for relay, n := range followers {
 				c.Check(direct[relay], qt.IsTrue, qt.Commentf("%s is a follower itself", relay))
-				c.Check(n <= test.mostFollowers, qt.IsTrue, qt.Commentf("%s has %d", relay, n))
+				c.Check(n <= test.maxFollowers, qt.IsTrue, qt.Commentf("%s has %d", relay, n))
 			}
 		})
 	}
@@ -62,10 +63,10 @@
 
 // The loss of a relay moves its own followers and makes one other gateway a relay; all
 // others keep theirs.
-func TestALostRelayMovesOnlyItsFollowers(t *testing.T) {
+func TestLostRelayMovesOnlyItsFollowers(t *testing.T) {
 	c := qt.New(t)
 	list := gateways(1, 40)
-	before, _ := arrangeAll(list)
+	before, _ := assignAll(list)
 	lost := ""
 	for relay := range before {
 		lost = relay
@@ -77,7 +78,7 @@
 			rest = append(rest, g)
 		}
 	}
-	after, _ := arrangeAll(rest)
+	after, _ := assignAll(rest)
 	newRelays := 0
 	for relay := range after {
 		if !before[relay] {
@@ -94,26 +95,26 @@
 	}
 }
 
-// A gateway that the list does not have yet takes a place as if it were in it.
-func TestWhoIsNotListedYet(t *testing.T) {
+// A gateway that is not listed yet gets an assignment as if it were.
+func TestGatewayNotListedYet(t *testing.T) {
 	c := qt.New(t)
 	list := gateways(2, 20)
-	place := Assign(list, &wire.GatewayEntry{Zone: "z1", Address: "10.0.1.99:80"})
-	c.Check(place.Direct || len(place.Relays) == 2, qt.IsTrue)
+	assignment := Assign(list, &wire.GatewayEntry{Zone: "z1", Address: "10.0.1.99:80"})
+	c.Check(assignment.Direct || len(assignment.Relays) == 2, qt.IsTrue)
 	c.Check(Assign(nil, list[0]), qt.DeepEquals, Assignment{Direct: true})
 }
 
-// One that reaches no controller asks gateways of other zones first, and never itself.
-func TestElsewhere(t *testing.T) {
+// A gateway that reaches no controller asks gateways of other zones first, and never itself.
+func TestFallbacksPreferOtherZones(t *testing.T) {
 	c := qt.New(t)
 	list := gateways(3, 5)
-	place := Assign(list, list[0])
-	c.Assert(place.Fallbacks, qt.HasLen, 8)
+	assignment := Assign(list, list[0])
+	c.Assert(assignment.Fallbacks, qt.HasLen, 8)
 	zones := map[string]string{}
 	for _, g := range list {
 		zones[g.GetAddress()] = g.GetZone()
 	}
-	for i, address := range place.Fallbacks {
+	for i, address := range assignment.Fallbacks {
 		c.Check(address == list[0].GetAddress(), qt.IsFalse)
 		c.Check(zones[address] == "z0", qt.Equals, i >= 4)
 	}
