--- a/pkg/planner/placements.go
+++ b/pkg/planner/placements.go
@@ -6,89 +6,88 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// UpdateEngine takes in what an engine tells of itself. A new incarnation is an empty
-// engine: what was leased on the old one is void.
+// UpdateEngine processes an engine's announcement. A new incarnation is an empty engine: leases
+// on the old one are void.
 func (p *Planner) UpdateEngine(now time.Time, b *wire.Backend, drained bool) {
 	e := p.engines[b.GetName()]
 	if e != nil && e.info.GetIncarnation() != b.GetIncarnation() {
-		p.dropEngine(e)
+		p.removeEngine(e)
 		e = nil
 	}
 	if e == nil {
-		e = &engine{placements: map[string]*Placement{}, unloaded: map[string]time.Time{}}
+		e = &engine{placements: map[string]*Placement{}, unloadedAt: map[string]time.Time{}}
 		p.engines[b.GetName()] = e
 		p.byBase = nil
 	}
-	e.info, e.seen, e.drained = b, now, drained
-	p.readBack(now, e)
-	p.adoptOrphans(now, e)
+	e.info, e.lastAnnounced, e.drained = b, now, drained
+	p.reconcileLoaded(now, e)
+	p.adoptOrphanedLeases(now, e)
 }
 
-// readBack takes the engine's own list for what is loaded, where no order of this
-// leader is newer than the list can be.
-func (p *Planner) readBack(now time.Time, e *engine) {
+// reconcileLoaded takes the engine's own list for what is loaded, where no order of this leader
+// is newer than the list can be.
+func (p *Planner) reconcileLoaded(now time.Time, e *engine) {
 	listed := map[string]bool{}
 	for _, name := range e.info.GetLoaded() {
 		listed[name] = true
-		if now.Sub(e.unloaded[name]) < p.Policy.BackendLease {
+		if now.Sub(e.unloadedAt[name]) < p.Policy.BackendLease {
 			continue
 		}
-		delete(e.unloaded, name)
+		delete(e.unloadedAt, name)
 		if e.placements[name] == nil {
-			p.place(now, e, name, Loaded)
+			p.addPlacement(now, e, name, Loaded)
 		}
 	}
 	for name, pl := range e.placements {
 		stable := pl.State == Loaded || pl.State == Recalling
 		if stable && !listed[name] && now.Sub(pl.Since) > p.Policy.BackendLease {
-			p.dropPlacement(e, pl)
+			p.invalidatePlacement(e, pl)
 		}
 	}
 }
 
-func (p *Planner) adoptOrphans(now time.Time, e *engine) {
-	for id, grants := range p.orphans {
+func (p *Planner) adoptOrphanedLeases(now time.Time, e *engine) {
+	for id, grants := range p.orphanedLeases {
 		for _, g := range grants {
 			if g.GetBackend() == e.info.GetName() {
-				p.adopt(now, id, g)
+				p.adoptLease(now, id, g)
 			}
 		}
 	}
 }
 
-// ResetSession takes a session's full list of leases for all that it holds.
+// ResetSession replaces all leases of a session by its full list.
 func (p *Planner) ResetSession(now time.Time, id SessionID, held []*wire.LeaseGrant) {
 	p.RemoveSession(id)
 	for _, g := range held {
 		if p.engines[g.GetBackend()] == nil {
-			p.orphans[id] = append(p.orphans[id], g)
+			p.orphanedLeases[id] = append(p.orphanedLeases[id], g)
 			continue
 		}
-		p.adopt(now, id, g)
+		p.adoptLease(now, id, g)
 	}
 }
 
-func (p *Planner) adopt(now time.Time, id SessionID, g *wire.LeaseGrant) {
+func (p *Planner) adoptLease(now time.Time, id SessionID, g *wire.LeaseGrant) {
 	e := p.engines[g.GetBackend()]
 	lease := LeaseID(g.GetId())
 	if e.info.GetIncarnation() != g.GetIncarnation() {
-		p.recall(id, lease)
+		p.recallLease(id, lease)
 		return
 	}
 	pl := e.placements[g.GetAdapter()]
 	if pl == nil {
 		// The engine's list may lag behind a load that an earlier leader ordered.
-		pl = p.place(now, e, g.GetAdapter(), Loaded)
+		pl = p.addPlacement(now, e, g.GetAdapter(), Loaded)
 	}
 	if pl.State != Loaded && pl.State != Recalling {
-		p.recall(id, lease)
+		p.recallLease(id, lease)
 		return
 	}
-	p.hold(id, lease, pl)
+	p.addHolder(id, lease, pl)
 }
 
-// place adds a placement.
-func (p *Planner) place(now time.Time, e *engine, name string, state State) *Placement {
+func (p *Planner) addPlacement(now time.Time, e *engine, name string, state State) *Placement {
 	pl := &Placement{
 		Backend: e.info.GetName(), Incarnation: e.info.GetIncarnation(), Adapter: name,
 		State: state, Since: now, LastUsed: now, holders: map[SessionID]LeaseID{},
@@ -101,8 +100,7 @@
 	return pl
 }
 
-// remove forgets a placement.
-func (p *Planner) remove(e *engine, pl *Placement) {
+func (p *Planner) removePlacement(e *engine, pl *Placement) {
 	delete(e.placements, pl.Adapter)
 	delete(p.placed[pl.Adapter], pl.Backend)
 	if len(p.placed[pl.Adapter]) == 0 {
@@ -111,8 +109,7 @@
 	delete(p.clearing, pl)
 }
 
-// turn gives a placement a new state.
-func (p *Planner) turn(now time.Time, pl *Placement, state State) {
+func (p *Planner) setState(now time.Time, pl *Placement, state State) {
 	pl.State, pl.Since = state, now
 	if state == Recalling || state == Unloading {
 		p.clearing[pl] = true
@@ -121,8 +118,7 @@
 	delete(p.clearing, pl)
 }
 
-// hold notes that a session holds a lease.
-func (p *Planner) hold(id SessionID, lease LeaseID, pl *Placement) {
+func (p *Planner) addHolder(id SessionID, lease LeaseID, pl *Placement) {
 	pl.holders[id] = lease
 	p.leases[lease] = pl
 	if p.held[id] == nil {
@@ -131,51 +127,51 @@
 	p.held[id][lease] = pl
 }
 
-// unhold takes that back.
-func (p *Planner) unhold(id SessionID, lease LeaseID, pl *Placement) {
+func (p *Planner) removeHolder(id SessionID, lease LeaseID, pl *Placement) {
 	delete(pl.holders, id)
 	delete(p.leases, lease)
 	delete(p.held[id], lease)
 }
 
-// ExpireEngines forgets engines that have not announced themselves for too long.
+// ExpireEngines removes engines that have not announced themselves for BackendLease.
 func (p *Planner) ExpireEngines(now time.Time) {
 	for _, e := range p.engines {
-		if now.Sub(e.seen) > p.Policy.BackendLease {
-			p.dropEngine(e)
+		if now.Sub(e.lastAnnounced) > p.Policy.BackendLease {
+			p.removeEngine(e)
 		}
 	}
 }
 
-func (p *Planner) dropEngine(e *engine) {
+func (p *Planner) removeEngine(e *engine) {
 	for _, pl := range e.placements {
-		p.dropPlacement(e, pl)
+		p.invalidatePlacement(e, pl)
 	}
 	delete(p.engines, e.info.GetName())
-	p.dropped = append(p.dropped, e.info.GetName())
+	p.removedEngines = append(p.removedEngines, e.info.GetName())
 	p.byBase = nil
 }
 
-// TakeRemovedEngines returns the engines that were forgotten since the last call.
+// TakeRemovedEngines returns the engines that were removed since the last call.
 func (p *Planner) TakeRemovedEngines() []string {
-	dropped := p.dropped
-	p.dropped = nil
-	return dropped
+	removed := p.removedEngines
+	p.removedEngines = nil
+	return removed
 }
 
-// dropPlacement forgets a placement whose adapter is gone; its leases are void.
-func (p *Planner) dropPlacement(e *engine, pl *Placement) {
+// invalidatePlacement removes a placement whose adapter is no longer loaded; its leases are
+// void.
+func (p *Planner) invalidatePlacement(e *engine, pl *Placement) {
 	for id, lease := range pl.holders {
-		p.unhold(id, lease, pl)
-		p.recall(id, lease)
+		p.removeHolder(id, lease, pl)
+		p.recallLease(id, lease)
 	}
-	if pl.order != 0 {
+	if pl.pendingOrder != 0 {
 		p.closeOrder(pl)
 	}
-	p.remove(e, pl)
+	p.removePlacement(e, pl)
 }
 
-func (p *Planner) recall(id SessionID, lease LeaseID) {
+func (p *Planner) recallLease(id SessionID, lease LeaseID) {
 	if p.recalled[id] == nil {
 		p.recalled[id] = map[LeaseID]bool{}
 	}
--- a/pkg/planner/plan.go
+++ b/pkg/planner/plan.go
@@ -12,76 +12,76 @@
 )
 
 const (
-	// fillTarget is the part of an engine's batch that one adapter should fill
-	// before it gets a second engine.
-	fillTarget     = 0.75
-	forgetAdapters = 4 * popularityIn
-	forgetEvery    = 10 * time.Second
-	// roundsAhead bounds how many times the loads at once are looked at in a plan.
-	roundsAhead = 16
+	// targetBatchFill is the part of an engine's batch that one adapter should fill before it
+	// gets a second engine.
+	targetBatchFill       = 0.75
+	adapterExpiry         = 4 * popularityDecay
+	adapterExpiryInterval = 10 * time.Second
+	// maxLoadRounds bounds the adapters in a plan, in multiples of MaxConcurrentLoads.
+	maxLoadRounds = 16
 )
 
-// Plan returns the orders that are due. Each is under way until Done is called.
+// Plan returns the orders that are due. Each is in flight until RecordOutcome is called.
 func (p *Planner) Plan(now time.Time) []Order {
 	p.ExpireEngines(now)
-	p.refill(now)
-	p.forgetIdle(now)
-	orders := p.unloads(now)
-	clearing := p.clearingSoon()
+	p.refillTokens(now)
+	p.expireAdapters(now)
+	orders := p.dueUnloads(now)
+	clearing := p.countClearing()
 	recalls := p.Policy.MaxConcurrentLoads
-	for _, a := range p.wanting(now) {
-		e := p.roomFor(now, a)
+	for _, a := range p.adaptersToLoad(now) {
+		e := p.engineWithFreeSlot(now, a)
 		switch {
 		case e == nil && clearing > 0:
-			// A slot that is being cleared is for this adapter.
+			// A slot that is being cleared is reserved for this adapter.
 			clearing--
 		case e == nil && recalls > 0:
 			recalls--
-			p.makeRoom(now, a)
+			p.recallVictim(now, a)
 		case e != nil && p.loading < p.Policy.MaxConcurrentLoads && p.tokens >= 1:
-			orders = append(orders, p.load(now, e, a))
+			orders = append(orders, p.orderLoad(now, e, a))
 		}
 	}
 	return orders
 }
 
-func (p *Planner) refill(now time.Time) {
-	p.tokens += now.Sub(p.filledAt).Seconds() * p.Policy.LoadsPerSecond
+func (p *Planner) refillTokens(now time.Time) {
+	p.tokens += now.Sub(p.refilledAt).Seconds() * p.Policy.LoadsPerSecond
 	p.tokens = min(p.tokens, max(1, float64(p.Policy.MaxConcurrentLoads)))
-	p.filledAt = now
+	p.refilledAt = now
 }
 
-func (p *Planner) forgetIdle(now time.Time) {
-	if now.Sub(p.forgotAt) < forgetEvery {
+func (p *Planner) expireAdapters(now time.Time) {
+	if now.Sub(p.adaptersExpiredAt) < adapterExpiryInterval {
 		return
 	}
-	p.forgotAt = now
+	p.adaptersExpiredAt = now
 	for name, a := range p.adapters {
-		if a.outstanding() == 0 && now.Sub(a.lastUsed) > forgetAdapters {
+		if a.outstanding() == 0 && now.Sub(a.lastUsed) > adapterExpiry {
 			delete(p.adapters, name)
 		}
 	}
 }
 
-// unloads orders away recalled adapters on which nobody holds a lease any more.
-func (p *Planner) unloads(now time.Time) []Order {
-	if !p.settled {
+// dueUnloads orders the unload of recalled adapters on which no session holds a lease any more.
+func (p *Planner) dueUnloads(now time.Time) []Order {
+	if !p.synced {
 		return nil
 	}
 	var orders []Order
 	for pl := range p.clearing {
 		e := p.engines[pl.Backend]
 		if pl.State == Recalling && len(pl.holders) == 0 && p.mayOrder(now, e) {
-			p.turn(now, pl, Unloading)
-			orders = append(orders, p.order(now, Unload, e, pl))
+			p.setState(now, pl, Unloading)
+			orders = append(orders, p.newOrder(now, Unload, e, pl))
 		}
 	}
 	return orders
 }
 
-// clearingSoon counts the places that are being cleared at engines that answer. One at an
-// engine that does not may never come free, and nothing must wait for it.
-func (p *Planner) clearingSoon() int {
+// countClearing counts the slots that are being cleared at engines that answer. One at an
+// engine that does not may never become free, and nothing must wait for it.
+func (p *Planner) countClearing() int {
 	n := 0
 	for pl := range p.clearing {
 		if p.engines[pl.Backend].reachable() {
@@ -91,32 +91,31 @@
 	return n
 }
 
-// wanting returns the adapters that need one more engine, most urgent first. No
-// more are returned than a few rounds of loads could serve.
-func (p *Planner) wanting(now time.Time) []*adapter {
+// adaptersToLoad returns the adapters that need one more engine, most urgent first, and no more
+// than a few rounds of loads could serve.
+func (p *Planner) adaptersToLoad(now time.Time) []*adapter {
 	var all []*adapter
 	for _, a := range p.active {
 		if now.Before(a.notBefore) {
 			continue
 		}
 		n := p.replicas(a.name)
-		if n.loading == 0 && n.all < p.replicasFor(a) {
+		if n.loading == 0 && n.all < p.targetReplicas(a) {
 			all = append(all, a)
 		}
 	}
 	slices.SortFunc(all, func(a, b *adapter) int {
 		return cmp.Or(cmp.Compare(p.urgency(now, b), p.urgency(now, a)), cmp.Compare(a.name, b.name))
 	})
-	return all[:min(len(all), roundsAhead*p.Policy.MaxConcurrentLoads)]
+	return all[:min(len(all), maxLoadRounds*p.Policy.MaxConcurrentLoads)]
 }
 
-// urgency weighs how long requests have waited against how many would share the
-// engine's steps.
+// urgency weighs how long requests have waited against how many would share the engine's steps.
 func (p *Planner) urgency(now time.Time, a *adapter) float64 {
-	if a.since.IsZero() {
+	if a.waitingSince.IsZero() {
 		return 0
 	}
-	waited := now.Sub(a.since).Seconds()
+	waited := now.Sub(a.waitingSince).Seconds()
 	return p.Policy.StallWeight*waited + p.Policy.BatchWeight*float64(a.waiting.total)
 }
 
@@ -125,7 +124,7 @@
 func (p *Planner) replicas(name string) replicaCount {
 	n := replicaCount{}
 	for backend, pl := range p.placed[name] {
-		if p.engines[backend].takesWork() && (pl.State == Loading || pl.State == Loaded) {
+		if p.engines[backend].isAvailable() && (pl.State == Loading || pl.State == Loaded) {
 			n.all++
 		}
 		if pl.State == Loading {
@@ -135,11 +134,11 @@
 	return n
 }
 
-// replicasFor keeps an adapter on few engines, so that gateways that don't talk to
-// each other still fill the same batches.
-func (p *Planner) replicasFor(a *adapter) int {
+// targetReplicas keeps an adapter on few engines, so that gateways fill the same batches
+// without communicating.
+func (p *Planner) targetReplicas(a *adapter) int {
 	batch := float64(p.group(a.base).batch)
-	return max(1, int(math.Ceil(float64(a.outstanding())/(batch*fillTarget))))
+	return max(1, int(math.Ceil(float64(a.outstanding())/(batch*targetBatchFill))))
 }
 
 // engineGroup is the engines of one base model.
@@ -169,28 +168,28 @@
 	return &engineGroup{batch: 1}
 }
 
-// roomFor returns the least loaded engine with a free slot for an adapter.
-func (p *Planner) roomFor(now time.Time, a *adapter) *engine {
+// engineWithFreeSlot returns the least loaded engine with a free slot for an adapter.
+func (p *Planner) engineWithFreeSlot(now time.Time, a *adapter) *engine {
 	var best *engine
-	for _, e := range p.usable(now, a) {
+	for _, e := range p.eligibleEngines(now, a) {
 		if len(e.placements) >= int(e.info.GetSlots()) {
 			continue
 		}
-		if best == nil || p.burden(e) < p.burden(best) {
+		if best == nil || p.engineLoad(e) < p.engineLoad(best) {
 			best = e
 		}
 	}
 	return best
 }
 
-// usable returns the engines that may be ordered to load an adapter, by name.
-func (p *Planner) usable(now time.Time, a *adapter) []*engine {
+// eligibleEngines returns the engines that may be ordered to load an adapter, by name.
+func (p *Planner) eligibleEngines(now time.Time, a *adapter) []*engine {
 	var all []*engine
 	for _, e := range p.group(a.base).engines {
-		if !e.takesWork() || !p.mayOrder(now, e) {
+		if !e.isAvailable() || !p.mayOrder(now, e) {
 			continue
 		}
-		if e.placements[a.name] != nil || now.Before(a.avoid[e.info.GetName()]) {
+		if e.placements[a.name] != nil || now.Before(a.avoidUntil[e.info.GetName()]) {
 			continue
 		}
 		all = append(all, e)
@@ -198,9 +197,9 @@
 	return all
 }
 
-// mayOrder keeps a new leader from ordering engines that do not check fencing
-// numbers while an order of the old leader can still arrive, and leaves engines alone
-// that have not answered.
+// mayOrder keeps a new leader from ordering engines that do not check fencing numbers while an
+// order of the old leader can still arrive, and excludes engines in backoff after an order
+// without an answer.
 func (p *Planner) mayOrder(now time.Time, e *engine) bool {
 	if now.Before(e.notBefore) {
 		return false
@@ -208,26 +207,26 @@
 	return e.info.GetChecksFencing() || now.Sub(p.started) > p.Policy.OrderTimeout
 }
 
-// burden is an engine's work: what it reported, and what the adapters on it have
-// drawn since.
-func (p *Planner) burden(e *engine) float64 {
+// engineLoad is the requests that an engine reported, and one for each adapter on it, for those
+// since the report.
+func (p *Planner) engineLoad(e *engine) float64 {
 	reported := float64(e.info.GetRunning() + e.info.GetWaiting())
 	return reported + float64(len(e.placements))
 }
 
-// makeRoom recalls one adapter, so that a later plan finds a free slot. Adapters
-// without demand go first; one in use goes only for one that has starved.
-func (p *Planner) makeRoom(now time.Time, a *adapter) {
-	if !p.settled {
+// recallVictim recalls one adapter, so that a later plan finds a free slot. Adapters without
+// demand go first; one in use is recalled only for one that is starving.
+func (p *Planner) recallVictim(now time.Time, a *adapter) {
+	if !p.synced {
 		return
 	}
 	var idle, busy []*Placement
-	for _, e := range p.usable(now, a) {
+	for _, e := range p.eligibleEngines(now, a) {
 		for _, pl := range e.placements {
 			if pl.State != Loaded || now.Sub(pl.Since) < p.Policy.MinResidence {
 				continue
 			}
-			p.describe(now, pl)
+			p.refreshUsage(now, pl)
 			if p.inDemand(pl) {
 				busy = append(busy, pl)
 				continue
@@ -236,20 +235,20 @@
 		}
 	}
 	candidates := idle
-	starved := !a.since.IsZero() && now.Sub(a.since) > p.Policy.StarveAfter
-	if len(candidates) == 0 && starved {
+	starving := !a.waitingSince.IsZero() && now.Sub(a.waitingSince) > p.Policy.StarveAfter
+	if len(candidates) == 0 && starving {
 		candidates = busy
 	}
 	if len(candidates) == 0 {
 		return
 	}
-	p.startRecall(now, p.pick(candidates))
+	p.startRecall(now, p.pickVictim(candidates))
 }
 
 func (p *Planner) startRecall(now time.Time, pl *Placement) {
-	p.turn(now, pl, Recalling)
+	p.setState(now, pl, Recalling)
 	for id, lease := range pl.holders {
-		p.recall(id, lease)
+		p.recallLease(id, lease)
 	}
 }
 
@@ -258,7 +257,7 @@
 	return a != nil && a.outstanding() > 0
 }
 
-func (p *Planner) describe(now time.Time, pl *Placement) {
+func (p *Planner) refreshUsage(now time.Time, pl *Placement) {
 	if a := p.adapters[pl.Adapter]; a != nil {
 		a.decay(now)
 		pl.Popularity = a.popularity
@@ -268,14 +267,14 @@
 	}
 }
 
-func (p *Planner) pick(candidates []*Placement) *Placement {
+func (p *Planner) pickVictim(candidates []*Placement) *Placement {
 	if p.Policy.Evict != nil {
 		return p.Policy.Evict(candidates)
 	}
 	return LeastPopular(candidates)
 }
 
-// LeastPopular picks the adapter with the fewest requests lately.
+// LeastPopular picks the adapter with the fewest recent requests.
 func LeastPopular(candidates []*Placement) *Placement {
 	return slices.MinFunc(candidates, func(a, b *Placement) int {
 		return cmp.Or(
@@ -296,55 +295,55 @@
 	})
 }
 
-func (p *Planner) load(now time.Time, e *engine, a *adapter) Order {
-	pl := p.place(now, e, a.name, Loading)
-	delete(e.unloaded, a.name)
+func (p *Planner) orderLoad(now time.Time, e *engine, a *adapter) Order {
+	pl := p.addPlacement(now, e, a.name, Loading)
+	delete(e.unloadedAt, a.name)
 	p.loading++
 	p.tokens--
-	return p.order(now, Load, e, pl)
+	return p.newOrder(now, Load, e, pl)
 }
 
-func (p *Planner) order(now time.Time, kind OrderKind, e *engine, pl *Placement) Order {
+func (p *Planner) newOrder(now time.Time, kind OrderKind, e *engine, pl *Placement) Order {
 	if !e.reachable() {
-		// One order at a time shows whether it answers again.
+		// One order at a time probes whether it answers again.
 		e.notBefore = now.Add(p.Policy.OrderTimeout)
 	}
-	pl.order = OrderID(p.next())
-	p.orders[pl.order] = pl
+	pl.pendingOrder = OrderID(p.newID())
+	p.orders[pl.pendingOrder] = pl
 	return Order{
-		ID: pl.order, Term: p.term, Kind: kind, Backend: pl.Backend,
+		ID: pl.pendingOrder, Term: p.term, Kind: kind, Backend: pl.Backend,
 		Incarnation: pl.Incarnation, Address: e.info.GetAddress(), Adapter: pl.Adapter,
 	}
 }
 
-// RecordOutcome takes in how an order ended.
+// RecordOutcome processes the outcome of an order.
 func (p *Planner) RecordOutcome(now time.Time, id OrderID, outcome Outcome) {
 	pl := p.orders[id]
 	if pl == nil {
 		return
 	}
-	kind, ok := pl.State, outcome == Completed
+	state, ok := pl.State, outcome == Completed
 	p.closeOrder(pl)
 	e := p.engines[pl.Backend]
-	p.noteAnswer(now, e, outcome)
+	p.recordAnswer(now, e, outcome)
 	switch {
-	case kind == Loading && ok:
-		p.turn(now, pl, Loaded)
-		p.succeeded(pl)
-	case kind == Loading:
-		p.remove(e, pl)
-		p.failed(now, pl)
+	case state == Loading && ok:
+		p.setState(now, pl, Loaded)
+		p.loadSucceeded(pl)
+	case state == Loading:
+		p.removePlacement(e, pl)
+		p.loadFailed(now, pl)
 	case ok:
-		p.remove(e, pl)
-		e.unloaded[pl.Adapter] = now
+		p.removePlacement(e, pl)
+		e.unloadedAt[pl.Adapter] = now
 	default:
-		// The adapter may still be there; the engine's next list tells.
-		p.turn(now, pl, Recalling)
+		// The adapter may still be loaded; the engine's next list shows that.
+		p.setState(now, pl, Recalling)
 	}
 }
 
-// noteAnswer counts the orders in a row that an engine has not answered.
-func (p *Planner) noteAnswer(now time.Time, e *engine, outcome Outcome) {
+// recordAnswer counts consecutive orders that an engine has not answered.
+func (p *Planner) recordAnswer(now time.Time, e *engine, outcome Outcome) {
 	if outcome != Unanswered {
 		e.unanswered, e.notBefore = 0, time.Time{}
 		return
@@ -354,22 +353,22 @@
 }
 
 func (p *Planner) closeOrder(pl *Placement) {
-	delete(p.orders, pl.order)
-	pl.order = 0
+	delete(p.orders, pl.pendingOrder)
+	pl.pendingOrder = 0
 	if pl.State == Loading {
 		p.loading--
 	}
 }
 
-func (p *Planner) succeeded(pl *Placement) {
+func (p *Planner) loadSucceeded(pl *Placement) {
 	if a := p.adapters[pl.Adapter]; a != nil {
 		a.failures = 0
 	}
 }
 
-// failed backs the adapter off, longer each time, and sends it elsewhere, so that
-// one that can't be loaded does not use up the weight store.
-func (p *Planner) failed(now time.Time, pl *Placement) {
+// loadFailed backs the adapter off, longer each time, and avoids the engine, so that one that
+// can't be loaded does not use up the weight store.
+func (p *Planner) loadFailed(now time.Time, pl *Placement) {
 	a := p.adapters[pl.Adapter]
 	if a == nil {
 		return
@@ -377,10 +376,10 @@
 	a.failures++
 	wait := p.Policy.FailureBackoff.Wait(a.failures, 0)
 	a.notBefore = now.Add(wait)
-	a.avoid[pl.Backend] = now.Add(2 * wait)
+	a.avoidUntil[pl.Backend] = now.Add(2 * wait)
 }
 
-// Backend returns what an engine last announced, or nil.
+// Backend returns the last announcement of an engine, or nil.
 func (p *Planner) Backend(name string) *wire.Backend {
 	if e := p.engines[name]; e != nil {
 		return e.info
--- a/pkg/planner/planner.go
+++ b/pkg/planner/planner.go
@@ -1,10 +1,10 @@
-// Package planner decides which adapters are loaded on which model engines, and
-// which sessions may use them.
+// Package planner decides which adapters are loaded on which model engines, and which sessions
+// may use them.
 //
-// It is pure: announcements, demand and the time go in, orders and leases come
-// out. An adapter is unloaded only when no session holds a lease on it there, so an
-// adapter that serves a request is never chosen. Load reports are hints: they may
-// change a choice, never a promise. It is not safe for concurrent use.
+// It is pure: announcements, demand and the time go in, orders and leases come out. An adapter
+// is unloaded only when no session holds a lease on it there, so an adapter that serves a
+// request is never chosen. Load reports are hints: they may change a choice, never a guarantee.
+// It is not safe for concurrent use.
 package planner
 
 import (
@@ -23,10 +23,10 @@
 // LeaseID names a lease on one adapter at one engine for one session.
 type LeaseID uint64
 
-// OrderID names an order; it rises within one leader's term.
+// OrderID names an order; it increases within one leader's term.
 type OrderID uint64
 
-// OrderKind tells orders apart.
+// OrderKind is the kind of an order.
 type OrderKind int
 
 // The kinds of orders.
@@ -35,14 +35,14 @@
 	Unload
 )
 
-// Outcome is how an order ended.
+// Outcome is the result of an order.
 type Outcome int
 
 // The outcomes of orders.
 const (
-	// Completed means that the engine has done it.
+	// Completed means that the engine has carried it out.
 	Completed Outcome = iota
-	// Refused means that the engine has answered that it does not.
+	// Refused means that the engine has answered that it does not carry it out.
 	Refused
 	// Unanswered means that the engine was not reached, or gave no answer.
 	Unanswered
@@ -59,14 +59,14 @@
 	Adapter     string
 }
 
-// State is how far an adapter is at an engine.
+// State is the state of an adapter at an engine.
 type State int
 
 // The states of a placement.
 const (
 	Loading State = iota + 1
 	Loaded
-	// Recalling means that the sessions were asked to hand back their leases.
+	// Recalling means that the sessions were asked to return their leases.
 	Recalling
 	Unloading
 )
@@ -76,13 +76,13 @@
 	return [...]string{"", "Loading", "Loaded", "Recalling", "Unloading"}[s]
 }
 
-// Policy holds the settings of a deployment's placement.
+// Policy holds the settings of adapter placement.
 type Policy struct {
-	// LoadsPerSecond and LoadsAtOnce are what the weight store allows.
+	// LoadsPerSecond and MaxConcurrentLoads are what the weight store allows.
 	LoadsPerSecond     float64
 	MaxConcurrentLoads int
-	// StallWeight counts the time that requests wait for a load, BatchWeight the
-	// number of requests that a load lets run together.
+	// StallWeight weighs the time that requests wait for a load, BatchWeight the number of
+	// requests that a load lets run together.
 	StallWeight float64
 	BatchWeight float64
 	// StarveAfter is how long an adapter waits before one in use is recalled.
@@ -91,13 +91,13 @@
 	MinResidence time.Duration
 	// BackendLease is how long an engine is known after its last announcement.
 	BackendLease time.Duration
-	// OrderTimeout is how long an order can be under way.
+	// OrderTimeout is how long an order can be in flight.
 	OrderTimeout time.Duration
-	// FailureBackoff is the wait after failed loads of an adapter, and before the next order
-	// to an engine that has not answered. Without it a plan repeats an order each time that
-	// the one before has failed: thousands a minute to an engine behind a cut link.
+	// FailureBackoff is the wait after failed loads of an adapter, and before the next order to
+	// an engine that has not answered. Without it a plan repeats an order each time that the
+	// one before has failed: thousands a minute to an engine behind a network partition.
 	FailureBackoff retrier.Backoff
-	// Evict picks the adapter to give up. Nil takes the least popular one.
+	// Evict picks the adapter to unload. Nil takes the least popular one.
 	Evict func(candidates []*Placement) *Placement
 }
 
@@ -114,66 +114,65 @@
 	// Popularity is the adapter's decayed number of requests.
 	Popularity float64
 
-	holders map[SessionID]LeaseID
-	order   OrderID
+	holders      map[SessionID]LeaseID
+	pendingOrder OrderID
 }
 
 // Holders returns the number of sessions that hold a lease.
 func (p *Placement) Holders() int { return len(p.holders) }
 
 type engine struct {
-	info       *wire.Backend
-	seen       time.Time
-	drained    bool
-	placements map[string]*Placement
-	// unloaded tells when an order took an adapter away, since the engine's own
-	// list lags behind.
-	unloaded map[string]time.Time
-	// unanswered counts the orders in a row that it did not answer, and notBefore is when
-	// it may be given the next one.
+	info          *wire.Backend
+	lastAnnounced time.Time
+	drained       bool
+	placements    map[string]*Placement
+	// unloadedAt is when an order unloaded an adapter, since the engine's own list lags behind.
+	unloadedAt map[string]time.Time
+	// unanswered counts consecutive orders that it did not answer, and notBefore is when it may
+	// be given the next one.
 	unanswered int
 	notBefore  time.Time
 }
 
-func (e *engine) takesWork() bool { return !e.info.GetLeaving() && !e.drained }
+func (e *engine) isAvailable() bool { return !e.info.GetLeaving() && !e.drained }
 
-// reachable reports whether it has answered the last order. An engine may announce itself
+// reachable reports whether the engine has answered the last order. It may announce itself
 // although no order reaches it.
 func (e *engine) reachable() bool { return e.unanswered == 0 }
 
 // adapter is the demand for one adapter of all sessions together.
 type adapter struct {
-	name       string
-	base       string
-	waiting    counts
-	running    counts
-	since      time.Time
-	popularity float64
-	decayedAt  time.Time
-	lastUsed   time.Time
-	failures   int
-	notBefore  time.Time
-	avoid      map[string]time.Time
+	name         string
+	base         string
+	waiting      counts
+	running      counts
+	waitingSince time.Time
+	popularity   float64
+	decayedAt    time.Time
+	lastUsed     time.Time
+	failures     int
+	notBefore    time.Time
+	avoidUntil   map[string]time.Time
 }
 
 func (a *adapter) outstanding() uint32 { return a.waiting.total + a.running.total }
 
 // counts are numbers of requests by session, with their sum.
 type counts struct {
-	by    map[SessionID]uint32
-	total uint32
+	bySession map[SessionID]uint32
+	total     uint32
 }
 
 func (n *counts) set(id SessionID, value uint32) {
-	if n.by == nil {
-		n.by = map[SessionID]uint32{}
+	if n.bySession == nil {
+		n.bySession = map[SessionID]uint32{}
 	}
-	n.total += value - n.by[id]
+	n.total += value - n.bySession[id]
 	if value == 0 {
-		delete(n.by, id)
+		delete(n.bySession, id)
 		return
 	}
-	n.by[id] = value
+	n.bySession[id] = value
 }
 
 // Planner holds the placements of one leader's term. Set the exported fields, then
@@ -183,7 +182,7 @@
 
 	term     uint64
 	started  time.Time
-	nextID   uint64
+	lastID   uint64
 	engines  map[string]*engine
 	adapters map[string]*adapter
 	// active are the adapters with requests that wait or run.
@@ -193,41 +192,41 @@
 	// clearing are the placements that are being recalled or unloaded.
 	clearing map[*Placement]bool
 	// byBase are the engines of each base model in the order of their names.
-	byBase   map[string]*engineGroup
-	dropped  []string
-	forgotAt time.Time
-	leases   map[LeaseID]*Placement
-	held     map[SessionID]map[LeaseID]*Placement
-	recalled map[SessionID]map[LeaseID]bool
-	orders   map[OrderID]*Placement
-	loading  int
-	tokens   float64
-	filledAt time.Time
-	settled  bool
-	// orphans are leases reported to this leader whose engine it doesn't know yet.
-	orphans map[SessionID][]*wire.LeaseGrant
+	byBase            map[string]*engineGroup
+	removedEngines    []string
+	adaptersExpiredAt time.Time
+	leases            map[LeaseID]*Placement
+	held              map[SessionID]map[LeaseID]*Placement
+	recalled          map[SessionID]map[LeaseID]bool
+	orders            map[OrderID]*Placement
+	loading           int
+	tokens            float64
+	refilledAt        time.Time
+	synced            bool
+	// orphanedLeases were reported to this leader for engines that it does not know yet.
+	orphanedLeases map[SessionID][]*wire.LeaseGrant
 }
 
-// Start begins a leader's term with no knowledge.
+// Start begins a leader's term with an empty state.
 func (p *Planner) Start(now time.Time, term uint64) {
 	p.term, p.started = term, now
-	p.nextID = 0
+	p.lastID = 0
 	p.engines = map[string]*engine{}
 	p.adapters, p.active = map[string]*adapter{}, map[string]*adapter{}
 	p.placed, p.clearing = map[string]map[string]*Placement{}, map[*Placement]bool{}
-	p.byBase, p.dropped, p.forgotAt = nil, nil, now
+	p.byBase, p.removedEngines, p.adaptersExpiredAt = nil, nil, now
 	p.held = map[SessionID]map[LeaseID]*Placement{}
 	p.leases = map[LeaseID]*Placement{}
 	p.recalled = map[SessionID]map[LeaseID]bool{}
 	p.orders = map[OrderID]*Placement{}
-	p.orphans = map[SessionID][]*wire.LeaseGrant{}
-	p.loading, p.tokens, p.filledAt = 0, 1, now
-	p.settled = false
+	p.orphanedLeases = map[SessionID][]*wire.LeaseGrant{}
+	p.loading, p.tokens, p.refilledAt = 0, 1, now
+	p.synced = false
 }
 
-// SetSynced tells whether all that sessions hold is known. Nothing is recalled or
+// SetSynced sets whether all leases that sessions hold are known. Nothing is recalled or
 // unloaded before.
-func (p *Planner) SetSynced(settled bool) { p.settled = settled }
+func (p *Planner) SetSynced(synced bool) { p.synced = synced }
 
 // Placements returns all placements by engine and adapter.
 func (p *Planner) Placements() []*Placement {
--- a/pkg/planner/planner_bench_test.go
+++ b/pkg/planner/planner_bench_test.go
@@ -9,8 +9,8 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// BenchmarkPlan times one round of planning at a size: engines with 8 slots each, all
-// full, and adapters in demand.
+// BenchmarkPlan measures one plan for engines with 8 slots each, all full, and adapters in
+// demand.
 func BenchmarkPlan(b *testing.B) {
 	sizes := map[string]struct{ engines, adapters int }{
 		"engines=18/adapters=3000":     {18, 3000},
--- a/pkg/planner/planner_test.go
+++ b/pkg/planner/planner_test.go
@@ -21,8 +21,8 @@
 	}
 }
 
-// bench drives a planner with engines and one gateway for each session.
-type bench struct {
+// harness drives a planner with engines and one gateway for each session.
+type harness struct {
 	now      time.Time
 	planner  *planner.Planner
 	loaded   map[string]map[string]bool
@@ -34,8 +34,8 @@
 	restarts map[string]int
 }
 
-func newBench(engines, slots int) *bench {
-	b := &bench{
+func newHarness(engines, slots int) *harness {
+	b := &harness{
 		now: time.Unix(1000, 0), planner: &planner.Planner{Policy: policy()}, loaded: map[string]map[string]bool{},
 		leases: map[planner.SessionID]map[uint64]*wire.LeaseGrant{}, inUse: map[uint64]int{},
 		slots: slots, fencing: true, restarts: map[string]int{},
@@ -49,7 +49,7 @@
 	return b
 }
 
-func (b *bench) announce() {
+func (b *harness) announce() {
 	for name, loaded := range b.loaded {
 		info := &wire.Backend{
 			Name: name, Incarnation: fmt.Sprint(b.restarts[name]), Kind: wire.BackendKind_BACKEND_KIND_ENGINE,
@@ -62,8 +62,8 @@
 	}
 }
 
-// want reports demand of a session and takes its leases.
-func (b *bench) want(id planner.SessionID, adapter string, waiting uint32) {
+// requestAdapter reports demand of a session and takes its leases.
+func (b *harness) requestAdapter(id planner.SessionID, adapter string, waiting uint32) {
 	b.planner.RecordDemand(b.now, id, &wire.AdapterDemand{Adapter: adapter, BaseModel: "base", Waiting: waiting, Started: waiting})
 	if b.leases[id] == nil {
 		b.leases[id] = map[uint64]*wire.LeaseGrant{}
@@ -73,8 +73,8 @@
 	}
 }
 
-// handBack releases recalled leases that no request uses.
-func (b *bench) handBack(id planner.SessionID) {
+// releaseRecalled releases recalled leases that no request uses.
+func (b *harness) releaseRecalled(id planner.SessionID) {
 	for _, lease := range b.planner.Recalls(id) {
 		if b.inUse[lease] == 0 {
 			b.planner.Release(id, planner.LeaseID(lease))
@@ -83,34 +83,34 @@
 	}
 }
 
-// step lets time pass, carries orders out, and returns the adapters that were
-// unloaded while a request used them.
-func (b *bench) step(d time.Duration, fail bool) []string {
+// step advances the time, carries out orders, and returns the adapters that were unloaded while
+// a request used them.
+func (b *harness) step(d time.Duration, fail bool) []string {
 	b.now = b.now.Add(d)
-	var wrong []string
+	var unloadedInUse []string
 	for _, o := range b.orders {
 		current := fmt.Sprint(b.restarts[o.Backend]) == o.Incarnation
 		if o.Kind == planner.Unload && current {
-			wrong = append(wrong, b.users(o)...)
+			unloadedInUse = append(unloadedInUse, b.users(o)...)
 			delete(b.loaded[o.Backend], o.Adapter)
 		}
 		if o.Kind == planner.Load && current && !fail {
 			b.loaded[o.Backend][o.Adapter] = true
 		}
-		b.planner.RecordOutcome(b.now, o.ID, ended(current && !fail))
+		b.planner.RecordOutcome(b.now, o.ID, outcomeOf(current && !fail))
 	}
 	b.orders = b.planner.Plan(b.now)
-	return wrong
+	return unloadedInUse
 }
 
-func ended(ok bool) planner.Outcome {
+func outcomeOf(ok bool) planner.Outcome {
 	if ok {
 		return planner.Completed
 	}
 	return planner.Refused
 }
 
-func (b *bench) users(o planner.Order) []string {
+func (b *harness) users(o planner.Order) []string {
 	var users []string
 	for _, leases := range b.leases {
 		for id, g := range leases {
@@ -123,29 +123,29 @@
 	return users
 }
 
-func TestNeverUnloadsWhatServes(t *testing.T) {
+func TestAdaptersInUseAreNotUnloaded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := newBench(3, 2)
+		b := newHarness(3, 2)
 		for range 150 {
 			id := planner.SessionID(rapid.IntRange(1, 3).Draw(rt, "session"))
 			adapter := fmt.Sprintf("a%d", rapid.IntRange(0, 11).Draw(rt, "adapter"))
 			switch rapid.IntRange(0, 6).Draw(rt, "event") {
 			case 0, 1:
-				b.want(id, adapter, rapid.Uint32Range(0, 5).Draw(rt, "waiting"))
+				b.requestAdapter(id, adapter, rapid.Uint32Range(0, 5).Draw(rt, "waiting"))
 			case 2:
-				b.begin(rt, id)
+				b.startRequest(rt, id)
 			case 3:
 				b.inUse = map[uint64]int{}
 			case 4:
-				b.handBack(id)
+				b.releaseRecalled(id)
 			case 5:
 				name := fmt.Sprintf("engine-%d", rapid.IntRange(0, 2).Draw(rt, "engine"))
 				b.restarts[name]++
 				b.loaded[name] = map[string]bool{}
 			}
 			b.announce()
-			if wrong := b.step(300*time.Millisecond, rapid.IntRange(0, 9).Draw(rt, "fails") == 0); len(wrong) > 0 {
-				rt.Fatalf("unloaded in use: %v", wrong)
+			if unloadedInUse := b.step(300*time.Millisecond, rapid.IntRange(0, 9).Draw(rt, "fails") == 0); len(unloadedInUse) > 0 {
+				rt.Fatalf("adapters unloaded while in use: %v", unloadedInUse)
 			}
 			for name, loaded := range b.loaded {
 				if len(loaded) > b.slots {
@@ -156,8 +156,8 @@
 	})
 }
 
-// begin starts a request under a lease that was not recalled.
-func (b *bench) begin(rt *rapid.T, id planner.SessionID) {
+// startRequest starts a request under a lease that was not recalled.
+func (b *harness) startRequest(rt *rapid.T, id planner.SessionID) {
 	recalled := map[uint64]bool{}
 	for _, lease := range b.planner.Recalls(id) {
 		recalled[lease] = true
@@ -175,11 +175,11 @@
 
 func TestFailingAdapterDoesNotStarveOthers(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(3, 4)
+	b := newHarness(3, 4)
 	loads := map[string]int{}
 	for range 100 {
-		b.want(1, "broken", 50)
-		b.want(1, "fine", 1)
+		b.requestAdapter(1, "broken", 50)
+		b.requestAdapter(1, "fine", 1)
 		b.announce()
 		b.now = b.now.Add(100 * time.Millisecond)
 		for _, o := range b.planner.Plan(b.now) {
@@ -188,25 +188,25 @@
 			if ok {
 				b.loaded[o.Backend][o.Adapter] = true
 			}
-			b.planner.RecordOutcome(b.now, o.ID, ended(ok))
+			b.planner.RecordOutcome(b.now, o.ID, outcomeOf(ok))
 		}
 	}
 	c.Assert(loads["fine"], qt.Equals, 1)
-	c.Assert(loads["broken"] < 8, qt.IsTrue, qt.Commentf("%d loads of what can't be loaded", loads["broken"]))
+	c.Assert(loads["broken"] < 8, qt.IsTrue, qt.Commentf("%d loads of an adapter that can't be loaded", loads["broken"]))
 }
 
-// An engine goes on announcing itself, but no order reaches it. It gets few of them, longer
-// apart each time, and what waits for a place is loaded where orders arrive.
-func TestUnreachableEnginesAreLeftAlone(t *testing.T) {
+// An engine still announces itself, but no order reaches it. It gets few orders, longer apart
+// each time, and an adapter that waits for a slot is loaded where orders arrive.
+func TestUnreachableEnginesGetFewOrders(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(2, 1)
+	b := newHarness(2, 1)
 	b.loaded["engine-0"]["old-0"] = true
 	b.loaded["engine-1"]["old-1"] = true
 	b.announce()
 	b.now = b.now.Add(2 * time.Second)
 	lost := 0
 	for range 600 {
-		b.want(1, "new", 5)
+		b.requestAdapter(1, "new", 5)
 		b.announce()
 		b.now = b.now.Add(20 * time.Millisecond)
 		for _, o := range b.planner.Plan(b.now) {
@@ -222,51 +222,51 @@
 			}
 			b.planner.RecordOutcome(b.now, o.ID, planner.Completed)
 		}
-		b.handBack(1)
+		b.releaseRecalled(1)
 	}
 	c.Check(b.loaded["engine-1"]["new"], qt.IsTrue)
-	c.Check(lost <= 12, qt.IsTrue, qt.Commentf("%d orders in 12 s to an engine that nobody reaches", lost))
+	c.Check(lost <= 12, qt.IsTrue, qt.Commentf("%d orders in 12 s to an unreachable engine", lost))
 }
 
-func TestWeightStoreIsSpared(t *testing.T) {
+func TestLoadsRespectTheWeightStoreLimits(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(10, 10)
+	b := newHarness(10, 10)
 	for i := range 100 {
-		b.want(1, fmt.Sprintf("a%d", i), 1)
+		b.requestAdapter(1, fmt.Sprintf("a%d", i), 1)
 	}
 	total := 0
 	for range 20 {
 		b.announce()
-		c.Assert(len(b.orders) <= 3, qt.IsTrue, qt.Commentf("%d loads at once", len(b.orders)))
+		c.Assert(len(b.orders) <= 3, qt.IsTrue, qt.Commentf("%d concurrent loads", len(b.orders)))
 		total += len(b.orders)
 		c.Assert(b.step(100*time.Millisecond, false), qt.HasLen, 0)
 	}
 	c.Assert(total <= 2*10+3, qt.IsTrue, qt.Commentf("%d loads in 2s at 10 a second", total))
 }
 
-func TestNewLeader(t *testing.T) {
+func TestNewLeaderRestrictsOrders(t *testing.T) {
 	cases := map[string]struct {
-		settled, fencing bool
-		after            time.Duration
-		orders           int
+		synced, fencing bool
+		after           time.Duration
+		orders          int
 	}{
-		"before all sessions reported nothing is recalled": {fencing: true, after: time.Second},
-		"afterwards it is": {settled: true, fencing: true, after: time.Second, orders: 1},
-		"an engine that ignores numbers is left alone first": {settled: true, after: time.Second},
-		"until no old order can arrive any more":             {settled: true, after: 6 * time.Second, orders: 1},
+		"no recall before all sessions have reported":    {fencing: true, after: time.Second},
+		"a recall afterwards":                            {synced: true, fencing: true, after: time.Second, orders: 1},
+		"no order at first to an engine without fencing": {synced: true, after: time.Second},
+		"an order once no old one can arrive any more":   {synced: true, after: 6 * time.Second, orders: 1},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBench(1, 1)
+			b := newHarness(1, 1)
 			b.fencing = tc.fencing
 			b.loaded["engine-0"]["old"] = true
 			b.planner.Start(b.now, 2)
-			b.planner.SetSynced(tc.settled)
+			b.planner.SetSynced(tc.synced)
 			b.announce()
 			b.now = b.now.Add(tc.after)
 			b.announce()
-			b.want(1, "new", 5)
+			b.requestAdapter(1, "new", 5)
 			b.planner.Plan(b.now)
 			b.now = b.now.Add(600 * time.Millisecond)
 			b.announce()
