--- a/pkg/placer/engine.go
+++ b/pkg/placer/engine.go
@@ -8,128 +8,131 @@
 	"bronzelead.example/pkg/wire"
 )
 
-type placeState int
+type slotState int
 
 const (
-	// loading is an adapter on its way.
-	loading placeState = iota
-	// ready is an adapter that requests may use.
+	// loading means that the load was ordered and has not ended.
+	loading slotState = iota
+	// ready means that requests may use the adapter.
 	ready
-	// leaving is an adapter of which the gateways have been told that it goes.
-	leaving
-	// dropping is an adapter whose unload waits for its runs.
-	dropping
+	// draining means that the gateways are notified of the coming unload.
+	draining
+	// unloading means that the unload was ordered; it waits for running requests.
+	unloading
 )
 
-// place is one adapter at an engine.
-type place struct {
-	state   placeState
+// adapterSlot holds one adapter at an engine.
+type adapterSlot struct {
+	state   slotState
 	version uint64
-	// at is when the state is to be looked at again.
-	at time.Time
-	// begun is when the load was ordered, and depth how many adapters were held since
-	// the engine last had this one; -1 if it never had.
-	begun time.Time
-	depth int
+	// nextCheck is when the state is to be checked again.
+	nextCheck time.Time
+	// orderedAt is when the load was ordered, and reuseDistance how many adapters were held
+	// since the engine last had this one; -1 if it never had.
+	orderedAt     time.Time
+	reuseDistance int
 	// warm is set if the load should come from the engine's own memory.
 	warm bool
-	// coming is how many cold loads were on their way when it began.
-	coming int
-	// repeated is set if the order was given again, a question went unanswered, or this
-	// instance was late itself, so that the time until its end was seen says nothing.
-	repeated bool
+	// coldLoads is the number of cold loads in flight when it was ordered.
+	coldLoads int
+	// timingInvalid is set if the order was sent again, a Confirm went unanswered, or this
+	// instance was late itself, so that the observed load time means nothing.
+	timingInvalid bool
 	// accepted is set once the engine has accepted the load.
 	accepted bool
-	// pending is set once the engine has accepted an unload that waits for runs.
-	pending bool
-	// since is when the adapter became ready.
-	since time.Time
+	// unloadPending is set once the engine has accepted an unload that waits for running
+	// requests.
+	unloadPending bool
+	// readySince is when the adapter became ready.
+	readySince time.Time
 }
 
-// queued is an adapter that waits for its load.
-type queued struct {
+// queuedLoad is an adapter queued for loading.
+type queuedLoad struct {
 	adapter string
-	// until is when the requests that wait for it give up; zero if none waits.
-	until time.Time
+	// deadline is when the requests that wait for it time out; zero if none waits.
+	deadline time.Time
 }
 
-// engine is what the leader knows of one start of an engine.
+// engine is the leader's view of one incarnation of an engine.
 type engine struct {
-	info     *wire.Announcement
-	accepted uint64
-	reported bool
-	busy     bool
+	info           *wire.Announcement
+	acceptedOrders uint64
+	reported       bool
+	orderInFlight  bool
 	// limit is its request limit.
 	limit throttler.Limit
-	// asking is set while a question whether a load has ended is under way.
-	asking bool
-	// askedAt is when the last question was asked.
-	askedAt time.Time
-	// model is set once the base model is there.
-	model bool
-	// modelAt is when a load of the base model is to be looked at.
-	modelAt time.Time
-	// unanswered is an order without an answer, which is given again as it was.
-	unanswered *Order
-	// failures counts orders in a row without an answer.
+	// confirmInFlight is set while a Confirm is unanswered.
+	confirmInFlight bool
+	// confirmSentAt is when the last Confirm was sent.
+	confirmSentAt time.Time
+	// modelLoaded is set once the base model is loaded.
+	modelLoaded bool
+	// nextModelCheck is when a load of the base model is to be checked.
+	nextModelCheck time.Time
+	// retryOrder is an order without an answer, which is sent again unchanged.
+	retryOrder *Order
+	// failures counts consecutive orders without an answer.
 	failures int
-	// waitUntil is when the engine may be given orders again.
-	waitUntil time.Time
-	places    map[string]*place
-	*memory
-	// queue are adapters to be loaded.
-	queue []queued
-	// rooms are what places cost there, the cheapest first, as of the last plan.
-	rooms []float64
-	use   Usage
+	// backoffUntil is when the engine may be given orders again.
+	backoffUntil time.Time
+	slots        map[string]*adapterSlot
+	*weightCache
+	// queue holds the adapters to be loaded.
+	queue []queuedLoad
+	// slotCosts are the costs of taking its slots, cheapest first, as of the last plan.
+	slotCosts []float64
+	usage     Usage
 }
 
-func newEngine(m *memory) *engine { return &engine{memory: m, places: map[string]*place{}} }
+func newEngine(cache *weightCache) *engine {
+	return &engine{weightCache: cache, slots: map[string]*adapterSlot{}}
+}
 
-func (e *engine) open() bool {
+func (e *engine) isAvailable() bool {
 	return !e.info.GetDraining() && !e.info.GetSilent() && !e.info.GetGone()
 }
 
-// takesOrders reports whether adapters may be placed at the engine.
-func (e *engine) takesOrders() bool {
-	return e.open() && e.reported && e.model && e.failures < failuresToAvoid
+// acceptsAdapters reports whether adapters may be placed at the engine.
+func (e *engine) acceptsAdapters() bool {
+	return e.isAvailable() && e.reported && e.modelLoaded && e.failures < avoidAfterFailures
 }
 
-// serves reports whether requests may use what the engine holds. A single order without
-// an answer says nothing about that.
-func (e *engine) serves() bool { return e.open() && e.failures < failuresToDoubt }
+// servesRequests reports whether requests may use the engine's adapters. A single order without
+// an answer is no evidence against that.
+func (e *engine) servesRequests() bool { return e.isAvailable() && e.failures < lostAfterFailures }
 
 const (
-	// failuresToAvoid is the number of orders in a row without an answer after which other
-	// engines are preferred.
-	failuresToAvoid = 6
-	// failuresToDoubt is the number after which the engine counts as lost.
-	failuresToDoubt = 12
-	// failuresOfRefusal is what a refused connection counts for: nothing listens there.
-	failuresOfRefusal = 3
+	// avoidAfterFailures is the number of consecutive orders without an answer after which
+	// other engines are preferred.
+	avoidAfterFailures = 6
+	// lostAfterFailures is the number after which the engine counts as lost.
+	lostAfterFailures = 12
+	// refusedConnectionFailures is what a refused connection counts for: nothing listens there.
+	refusedConnectionFailures = 3
 )
 
-// waits returns the place of an adapter in the queue, or -1.
-func (e *engine) waits(adapter string) int {
-	return slices.IndexFunc(e.queue, func(q queued) bool { return q.adapter == adapter })
+// queueIndex returns the position of an adapter in the queue, or -1.
+func (e *engine) queueIndex(adapter string) int {
+	return slices.IndexFunc(e.queue, func(q queuedLoad) bool { return q.adapter == adapter })
 }
 
-func (e *engine) coming() int {
+func (e *engine) loadingCount() int {
 	n := 0
-	for _, held := range e.places {
-		if held.state == loading {
+	for _, slot := range e.slots {
+		if slot.state == loading {
 			n++
 		}
 	}
 	return n
 }
 
-// blocked returns the adapter whose unload waits for its runs: until these have ended
-// the engine takes no other orders.
-func (e *engine) blocked() (string, *place) {
-	for adapter, held := range e.places {
-		if held.state == dropping && held.pending {
-			return adapter, held
+// blockingUnload returns the adapter whose unload waits for running requests: until these have
+// ended the engine takes no other orders.
+func (e *engine) blockingUnload() (string, *adapterSlot) {
+	for adapter, slot := range e.slots {
+		if slot.state == unloading && slot.unloadPending {
+			return adapter, slot
 		}
 	}
 	return "", nil
--- a/pkg/placer/holdings.go
+++ b/pkg/placer/holdings.go
@@ -11,37 +11,38 @@
 
 // TakeLoaded returns the adapters that were loaded since the last call.
 func (p *Placer) TakeLoaded() []string {
-	fresh := p.fresh
-	p.fresh = nil
-	return fresh
+	loaded := p.loaded
+	p.loaded = nil
+	return loaded
 }
 
-// Ready reports whether requests may use an adapter somewhere.
+// Ready reports whether requests may use an adapter at any engine.
 func (p *Placer) Ready(adapter string) bool {
 	for _, e := range p.engines {
-		if held := e.places[adapter]; held != nil && held.state == ready && e.serves() {
+		if slot := e.slots[adapter]; slot != nil && slot.state == ready && e.servesRequests() {
 			return true
 		}
 	}
 	return false
 }
 
-// Revision grows with each change of what the gateways have to know.
+// Revision increases with each change that gateways have to know.
 func (p *Placer) Revision() uint64 { return p.revision }
 
-// TakeChanged returns all that the engines hold whose holdings changed since the last call.
+// TakeChanged returns the whole holdings of each engine whose holdings changed since the last
+// call.
 func (p *Placer) TakeChanged() []*wire.Holding {
 	list := make([]*wire.Holding, 0, len(p.changed))
 	for _, id := range slices.Sorted(maps.Keys(p.changed)) {
 		e := p.engines[id]
 		if e == nil || !e.reported {
-			// One whose state has to be asked for is told of when it has answered.
+			// An engine that has not reported its state yet follows once it has.
 			continue
 		}
 		h := &wire.Holding{Backend: id}
-		for adapter, held := range e.places {
-			if held.state == ready {
-				h.Adapters = append(h.Adapters, adapter+"@"+strconv.FormatUint(held.version, 10))
+		for adapter, slot := range e.slots {
+			if slot.state == ready {
+				h.Adapters = append(h.Adapters, adapter+"@"+strconv.FormatUint(slot.version, 10))
 			}
 		}
 		list = append(list, h)
@@ -50,50 +51,50 @@
 	return list
 }
 
-func (p *Placer) touch(e *engine) {
+func (p *Placer) markChanged(e *engine) {
 	p.revision++
 	p.changed[e.info.GetId()] = true
 }
 
-// Summary counts what the placer has in hand.
+// Summary counts the placer's engines, adapters and pending loads.
 type Summary struct {
-	// Engines may take adapters; Unusable are known but may not.
+	// Engines accept adapters; Unusable ones are known but do not.
 	Engines  int
 	Unusable int
-	// Ready, Loading and Going are adapters in places, Queued those that wait for one.
+	// Ready, Loading and Going are adapters in slots, Queued those that wait for one.
 	Ready   int
 	Loading int
 	Going   int
 	Queued  int
 	// Wanted are adapters that no engine could be chosen for.
 	Wanted int
-	// Dropped are wants that could not be met in time, since the leader began.
+	// Dropped counts the loads that were not possible in time in this leader's term.
 	Dropped int
-	// ColdLoad, MaxComing and HostAdapters are what has been learnt.
+	// ColdLoad, MaxComing and HostAdapters are the learned estimates.
 	ColdLoad     time.Duration
 	MaxComing    int
 	HostAdapters int
 }
 
-// Summary returns the counts of now.
+// Summary returns the current counts.
 func (p *Placer) Summary() Summary {
 	s := Summary{
-		Wanted: len(p.wants), Dropped: p.dropped, ColdLoad: p.coldLoad, MaxComing: int(p.maxComing), HostAdapters: p.hostAdapters,
+		Wanted: len(p.pendingLoads), Dropped: p.declinedTotal, ColdLoad: p.coldLoad, MaxComing: int(p.storeConcurrency), HostAdapters: p.hostAdapters,
 	}
 	for _, e := range p.engines {
-		if !e.takesOrders() {
+		if !e.acceptsAdapters() {
 			s.Unusable++
 			continue
 		}
 		s.Engines++
 		s.Queued += len(e.queue)
-		for _, held := range e.places {
-			switch held.state {
+		for _, slot := range e.slots {
+			switch slot.state {
 			case ready:
 				s.Ready++
 			case loading:
 				s.Loading++
-			case leaving, dropping:
+			case draining, unloading:
 				s.Going++
 			}
 		}
--- a/pkg/placer/orders.go
+++ b/pkg/placer/orders.go
@@ -5,66 +5,66 @@
 	"time"
 )
 
-// nextOrder returns the most useful order for an engine that has none under way.
+// nextOrder returns the most useful order for an engine that has none in flight.
 func (p *Placer) nextOrder(now time.Time, e *engine) (Order, bool) {
-	if o := e.unanswered; o != nil {
-		e.unanswered = nil
+	if o := e.retryOrder; o != nil {
+		e.retryOrder = nil
 		return *o, true
 	}
 	if !e.reported {
 		return Order{Kind: Report}, true
 	}
-	if !e.model {
+	if !e.modelLoaded {
 		return p.loadModel(now, e)
 	}
-	if adapter, held := e.blocked(); held != nil {
-		return Order{Kind: Unload, Adapter: adapter}, !now.Before(held.at)
+	if adapter, slot := e.blockingUnload(); slot != nil {
+		return Order{Kind: Unload, Adapter: adapter}, !now.Before(slot.nextCheck)
 	}
-	if o, ok := p.followUp(now, e); ok {
+	if o, ok := p.nextUnload(now, e); ok {
 		return o, true
 	}
 	if o, ok := p.nextLoad(now, e); ok {
 		return o, true
 	}
-	p.makeRoom(now, e)
+	p.drainVictims(now, e)
 	return Order{}, false
 }
 
-// loadModel loads the base model of an engine that has restarted empty, or asks whether
-// it is there. The weight store allows only so many loads a second.
+// loadModel loads the base model of an engine that has restarted empty, or checks whether it is
+// loaded. The weight store allows only so many of these loads a second.
 func (p *Placer) loadModel(now time.Time, e *engine) (Order, bool) {
 	limits := p.limits[e.info.GetService()]
-	if !e.open() || limits == nil || len(limits.GetModels()) == 0 || now.Before(e.modelAt) {
+	if !e.isAvailable() || limits == nil || len(limits.GetModels()) == 0 || now.Before(e.nextModelCheck) {
 		return Order{}, false
 	}
-	if e.modelAt.IsZero() {
-		if now.Before(p.modelLoadAt) {
+	if e.nextModelCheck.IsZero() {
+		if now.Before(p.nextModelLoad) {
 			return Order{}, false
 		}
 		if rate := limits.GetLoadsPerSecond(); rate > 0 {
-			p.modelLoadAt = now.Add(time.Duration(float64(time.Second) / rate))
+			p.nextModelLoad = now.Add(time.Duration(float64(time.Second) / rate))
 		}
 	}
 	return Order{Kind: LoadModel, Adapter: limits.GetModels()[0]}, true
 }
 
-// followUp carries out unloads that were announced.
-func (p *Placer) followUp(now time.Time, e *engine) (Order, bool) {
-	for adapter, held := range e.places {
-		if now.Before(held.at) {
+// nextUnload orders unloads that the gateways were notified of.
+func (p *Placer) nextUnload(now time.Time, e *engine) (Order, bool) {
+	for adapter, slot := range e.slots {
+		if now.Before(slot.nextCheck) {
 			continue
 		}
-		switch held.state {
-		case leaving:
-			if e.use.Adapters[adapter] {
-				// A gateway has not heard yet, or its request still runs: an unload
-				// would wait for it, and meanwhile the engine takes no other orders.
-				held.at = now.Add(p.policy.ConfirmInterval)
+		switch slot.state {
+		case draining:
+			if e.usage.Adapters[adapter] {
+				// A gateway has not received the notice yet, or its request still runs: an
+				// unload would wait for it, and meanwhile the engine takes no other orders.
+				slot.nextCheck = now.Add(p.policy.ConfirmInterval)
 				continue
 			}
-			held.state = dropping
+			slot.state = unloading
 			return Order{Kind: Unload, Adapter: adapter}, true
-		case dropping:
+		case unloading:
 			return Order{Kind: Unload, Adapter: adapter}, true
 		case loading, ready:
 		}
@@ -72,88 +72,87 @@
 	return Order{}, false
 }
 
-// question asks whether the load has ended that should have ended first. It goes out
-// beside other orders, since it changes nothing.
-func (p *Placer) question(now time.Time, e *engine) (Order, bool) {
+// nextConfirm checks the load that should have ended first. It is sent alongside other orders,
+// since it changes nothing.
+func (p *Placer) nextConfirm(now time.Time, e *engine) (Order, bool) {
 	first := ""
-	for adapter, held := range e.places {
-		if held.state != loading || !held.accepted || now.Before(held.at) {
+	for adapter, slot := range e.slots {
+		if slot.state != loading || !slot.accepted || now.Before(slot.nextCheck) {
 			continue
 		}
-		if first == "" || held.at.Before(e.places[first].at) {
+		if first == "" || slot.nextCheck.Before(e.slots[first].nextCheck) {
 			first = adapter
 		}
 	}
 	if first == "" {
 		return Order{}, false
 	}
-	return Order{Kind: Confirm, Adapter: first, Version: e.places[first].version}, true
+	return Order{Kind: Confirm, Adapter: first, Version: e.slots[first].version}, true
 }
 
-func (p *Placer) slots(e *engine) int {
+func (p *Placer) slotCount(e *engine) int {
 	if limits := p.limits[e.info.GetService()]; limits != nil {
 		return int(limits.GetAdapterSlots())
 	}
 	return 0
 }
 
-// nextLoad loads what is queued, if there is a free place or a newer version takes the
-// place of an older.
+// nextLoad orders a queued load, if a slot is free or a newer version replaces an older one.
 func (p *Placer) nextLoad(now time.Time, e *engine) (Order, bool) {
-	if !e.open() || e.coming() >= p.policy.MaxLoadsPerEngine {
+	if !e.isAvailable() || e.loadingCount() >= p.policy.MaxLoadsPerEngine {
 		return Order{}, false
 	}
-	p.dropLate(now, e)
-	for i, waiting := range e.queue {
-		adapter := waiting.adapter
-		held := e.places[adapter]
-		if held != nil && (held.state != ready || held.version >= p.versions[adapter]) {
+	p.dropLateLoads(now, e)
+	for i, queued := range e.queue {
+		adapter := queued.adapter
+		slot := e.slots[adapter]
+		if slot != nil && (slot.state != ready || slot.version >= p.versions[adapter]) {
 			e.queue = slices.Delete(e.queue, i, i+1)
 			return p.nextLoad(now, e)
 		}
-		if held == nil && len(e.places) >= p.slots(e) {
+		if slot == nil && len(e.slots) >= p.slotCount(e) {
 			continue
 		}
-		warm, coming := p.warm(e, adapter), p.comingCold()
-		if !warm && float64(coming) >= p.maxComing {
+		warm, coldLoads := p.isCached(e, adapter), p.coldLoadsInFlight()
+		if !warm && float64(coldLoads) >= p.storeConcurrency {
 			continue
 		}
 		e.queue = slices.Delete(e.queue, i, i+1)
-		e.places[adapter] = &place{
-			state: loading, version: p.versions[adapter], begun: now, depth: e.depth(adapter), warm: warm, coming: coming,
-			at: now.Add(p.expected(e, adapter)),
+		e.slots[adapter] = &adapterSlot{
+			state: loading, version: p.versions[adapter], orderedAt: now, reuseDistance: e.reuseDistance(adapter), warm: warm, coldLoads: coldLoads,
+			nextCheck: now.Add(p.firstConfirmDelay(e, adapter)),
 		}
 		if !warm {
-			p.cold++
+			p.coldLoadCount++
 		}
-		if held != nil {
-			p.touch(e)
+		if slot != nil {
+			p.markChanged(e)
 		}
 		return Order{Kind: Load, Adapter: adapter, Version: p.versions[adapter]}, true
 	}
 	return Order{}, false
 }
 
-// dropLate takes adapters out of an engine's queue that can't be loaded before the requests
-// that wait for them give up: with a third of the engines lost, loads that came too late
-// took half of the weight store's time and as many places.
-func (p *Placer) dropLate(now time.Time, e *engine) {
-	e.queue = slices.DeleteFunc(e.queue, func(q queued) bool {
-		late := !q.until.IsZero() && now.Add(p.loadTime(e, q.adapter)).After(q.until)
+// dropLateLoads removes adapters from an engine's queue that can't be loaded before the
+// requests that wait for them time out: with a third of the engines lost, late loads took half
+// of the weight store's time and as many slots.
+func (p *Placer) dropLateLoads(now time.Time, e *engine) {
+	e.queue = slices.DeleteFunc(e.queue, func(q queuedLoad) bool {
+		late := !q.deadline.IsZero() && now.Add(p.expectedLoad(e, q.adapter)).After(q.deadline)
 		if late {
-			p.drop(q.adapter)
+			p.decline(q.adapter)
 		}
 		return late
 	})
 }
 
-// makeRoom tells the gateways that the least wanted adapters go, until the queue and
-// the reserve have places.
-func (p *Placer) makeRoom(now time.Time, e *engine) {
+// drainVictims notifies the gateways of the unload of the adapters with the least demand, until
+// the queue and the reserve have slots.
+func (p *Placer) drainVictims(now time.Time, e *engine) {
 	need := len(e.queue) + p.policy.ReservedSlots
-	free := p.slots(e) - len(e.places)
-	for _, held := range e.places {
-		if held.state == leaving || held.state == dropping {
+	free := p.slotCount(e) - len(e.slots)
+	for _, slot := range e.slots {
+		if slot.state == draining || slot.state == unloading {
 			free++
 		}
 	}
@@ -162,31 +161,31 @@
 		if victim == "" {
 			return
 		}
-		held := e.places[victim]
-		held.state, held.at = leaving, now.Add(p.policy.UnloadNotice)
-		p.touch(e)
+		slot := e.slots[victim]
+		slot.state, slot.nextCheck = draining, now.Add(p.policy.UnloadNotice)
+		p.markChanged(e)
 		free++
 	}
 }
 
-// victim returns the adapter at an engine for which there is the least demand, of those
-// that no request uses.
-func (p *Placer) victim(now time.Time, e *engine, pressed bool) string {
-	idleFor := p.policy.MinIdle
-	if pressed {
-		idleFor = p.policy.MinIdleUnderPressure
-	}
-	victim, least := "", 0.0
-	for adapter, held := range e.places {
-		if held.state != ready || now.Sub(held.since) < idleFor || e.use.Adapters[adapter] {
+// victim returns the adapter at an engine for which there is the least demand, of those that no
+// request uses.
+func (p *Placer) victim(now time.Time, e *engine, underPressure bool) string {
+	minIdle := p.policy.MinIdle
+	if underPressure {
+		minIdle = p.policy.MinIdleUnderPressure
+	}
+	victim, lowest := "", 0.0
+	for adapter, slot := range e.slots {
+		if slot.state != ready || now.Sub(slot.readySince) < minIdle || e.usage.Adapters[adapter] {
 			continue
 		}
-		if d := p.demand[adapter]; d != nil && now.Sub(d.last) < idleFor {
+		if d := p.demand[adapter]; d != nil && now.Sub(d.lastRequest) < minIdle {
 			continue
 		}
-		rate := p.rate(now, adapter)
-		if victim == "" || rate < least {
-			victim, least = adapter, rate
+		rate := p.ratePerReplica(now, adapter)
+		if victim == "" || rate < lowest {
+			victim, lowest = adapter, rate
 		}
 	}
 	return victim
--- a/pkg/placer/outcomes.go
+++ b/pkg/placer/outcomes.go
@@ -7,92 +7,94 @@
 	"time"
 )
 
-// RecordOutcome takes the end of an order. State is set for reports that were answered.
+// RecordOutcome processes the outcome of an order. State is set for reports that were answered.
 func (p *Placer) RecordOutcome(now time.Time, o Order, outcome Outcome, state *EngineState) {
 	e := p.engines[o.Backend]
 	if e == nil {
 		return
 	}
 	if o.Kind == Confirm {
-		p.doneQuestion(now, e, o, outcome)
+		p.recordConfirm(now, e, o, outcome)
 		return
 	}
-	e.busy = false
+	e.orderInFlight = false
 	if outcome == Unknown || outcome == Unreachable {
-		p.doneUnanswered(now, e, o, outcome)
+		p.recordNoAnswer(now, e, o, outcome)
 		return
 	}
 	e.failures = 0
-	if o.repeated {
-		outcome = afterRepeat(o, outcome)
+	if o.retried {
+		outcome = outcomeAfterRetry(o, outcome)
 	}
 	switch {
 	case outcome == WrongIncarnation:
 		delete(p.engines, o.Backend)
 	case o.Kind == Report:
-		p.doneReport(now, e, outcome, state)
-	case outcome == Conflict && (!o.repeated || o.Kind != Unload):
-		// What the engine has accepted is known only after its reports have caught up.
-		// Requests that wait for adapters here are better served elsewhere.
+		p.recordReport(now, e, outcome, state)
+	case outcome == Conflict && (!o.retried || o.Kind != Unload):
+		// What the engine has accepted is known only after its reports have caught up. Requests
+		// that wait for adapters here are better served elsewhere.
 		e.reported = false
-		p.giveBack(now, e)
-		e.waitUntil = now.Add(p.policy.ResyncDelay)
+		p.requeueElsewhere(now, e)
+		e.backoffUntil = now.Add(p.policy.ResyncDelay)
 	case o.Kind == LoadModel:
-		p.doneModel(now, e, outcome)
+		p.recordModelLoad(now, e, outcome)
 	case o.Kind == Unload:
-		p.doneUnload(now, e, o.Adapter, outcome)
+		p.recordUnload(now, e, o.Adapter, outcome)
 	default:
-		p.doneLoad(now, e, o, outcome)
+		p.recordLoad(now, e, o, outcome)
 	}
 }
 
-// doneUnanswered lets an order without an answer be given again as it was. Each order
-// names the number of those accepted before, so that only one of the two is carried out,
-// whenever the first arrives.
-func (p *Placer) doneUnanswered(now time.Time, e *engine, o Order, outcome Outcome) {
-	p.countFailure(now, e, outcome)
+// recordNoAnswer has an order without an answer sent again unchanged. Each order names the
+// number of those accepted before, so that only one of the two is carried out, whenever the
+// first arrives.
+func (p *Placer) recordNoAnswer(now time.Time, e *engine, o Order, outcome Outcome) {
+	p.recordFailure(now, e, outcome)
 	if o.Kind == Report {
-		// It changes nothing and comes again by itself.
+		// It changes nothing and is sent again anyway.
 		return
 	}
-	o.repeated = true
-	e.unanswered = &o
-	if held := e.places[o.Adapter]; held != nil {
-		held.repeated = true
+	o.retried = true
+	e.retryOrder = &o
+	if slot := e.slots[o.Adapter]; slot != nil {
+		slot.timingInvalid = true
 	}
 }
 
-// giveBack lets what waits for loads at an engine be loaded elsewhere.
-func (p *Placer) giveBack(now time.Time, e *engine) {
+// requeueElsewhere lets the adapters queued at an engine be loaded elsewhere.
+func (p *Placer) requeueElsewhere(now time.Time, e *engine) {
 	for _, q := range e.queue {
-		if q.until.IsZero() {
+		if q.deadline.IsZero() {
 			continue
 		}
-		p.RequestLoad(now, q.adapter, []string{e.info.GetId()}, q.until)
+		p.RequestLoad(now, q.adapter, []string{e.info.GetId()}, q.deadline)
 	}
 	e.queue = nil
 }
 
-// countFailure counts an order without an answer. An engine that gives none is asked less
-// often each time, and in the end what waits for it goes elsewhere.
-func (p *Placer) countFailure(now time.Time, e *engine, outcome Outcome) {
+// recordFailure counts an order without an answer. The engine gets orders less often each time,
+// and in the end its queue is moved elsewhere.
+func (p *Placer) recordFailure(now time.Time, e *engine, outcome Outcome) {
 	e.failures++
 	if outcome == Unreachable {
-		e.failures += failuresOfRefusal - 1
+		e.failures += refusedConnectionFailures - 1
 	}
-	if e.failures >= failuresToAvoid {
-		p.giveBack(now, e)
+	if e.failures >= avoidAfterFailures {
+		p.requeueElsewhere(now, e)
 	}
-	if outcome == Unreachable || e.failures >= failuresToAvoid {
-		// One without an answer has taken its timeout already; a refused connection takes no time.
-		e.waitUntil = now.Add(p.policy.RetryBackoff.Wait(e.failures, rand.Float64()))
+	if outcome == Unreachable || e.failures >= avoidAfterFailures {
+		// An unanswered order has taken its timeout already; a refused connection takes no
+		// time.
+		e.backoffUntil = now.Add(p.policy.RetryBackoff.Wait(e.failures, rand.Float64()))
 	}
 }
 
-// afterRepeat tells the outcome of an order that was given again after no answer. Where the
-// engine holds or takes what was asked for, the order was accepted once, the first time or now. A
-// conflict tells nothing of it: another order may have been carried out in between.
-func afterRepeat(o Order, outcome Outcome) Outcome {
+// outcomeAfterRetry returns the outcome of an order that was sent again after no answer. If the
+// engine holds or takes what was requested, the order was accepted once, at the first or the
+// second attempt. A conflict proves nothing: another order may have been carried out in
+// between.
+func outcomeAfterRetry(o Order, outcome Outcome) Outcome {
 	accepted := outcome == Completed || outcome == Accepted
 	if accepted && o.Kind != Unload {
 		return Accepted
@@ -100,149 +102,149 @@
 	return outcome
 }
 
-// modelAgain is the time between two questions whether a base model is there.
-const modelAgain = 100 * time.Millisecond
+// modelCheckInterval is the time between two checks whether a base model is loaded.
+const modelCheckInterval = 100 * time.Millisecond
 
-func (p *Placer) doneModel(now time.Time, e *engine, outcome Outcome) {
+func (p *Placer) recordModelLoad(now time.Time, e *engine, outcome Outcome) {
 	switch outcome {
 	case Completed:
-		e.model = true
-		p.touch(e)
+		e.modelLoaded = true
+		p.markChanged(e)
 	case Accepted:
-		e.accepted++
-		e.modelAt = now.Add(modelAgain)
+		e.acceptedOrders++
+		e.nextModelCheck = now.Add(modelCheckInterval)
 	default:
-		e.modelAt = now.Add(modelAgain)
+		e.nextModelCheck = now.Add(modelCheckInterval)
 	}
 }
 
-// doneQuestion takes the answer to a load that was sent again. While the load is under
-// way the engine accepts it without counting it.
-func (p *Placer) doneQuestion(now time.Time, e *engine, o Order, outcome Outcome) {
-	e.asking = false
-	held := e.places[o.Adapter]
+// recordConfirm processes the answer to a Confirm. While the load is in progress the engine
+// accepts it without counting it.
+func (p *Placer) recordConfirm(now time.Time, e *engine, o Order, outcome Outcome) {
+	e.confirmInFlight = false
+	slot := e.slots[o.Adapter]
 	switch outcome {
 	case WrongIncarnation:
 		delete(p.engines, o.Backend)
 		return
 	case Unknown, Unreachable:
-		p.countFailure(now, e, outcome)
-		if held != nil {
-			// Its end will be seen late.
-			held.repeated = true
+		p.recordFailure(now, e, outcome)
+		if slot != nil {
+			// Its end will be observed late.
+			slot.timingInvalid = true
 		}
 	default:
 		e.failures = 0
 	}
-	if held == nil || held.state != loading {
+	if slot == nil || slot.state != loading {
 		return
 	}
-	if now.Sub(e.askedAt) > lateSight {
-		held.repeated = true
+	if now.Sub(e.confirmSentAt) > maxObservationDelay {
+		slot.timingInvalid = true
 	}
 	if outcome == Completed {
-		p.loaded(now, e, o.Adapter, held)
+		p.markReady(now, e, o.Adapter, slot)
 		return
 	}
-	held.at = now.Add(p.policy.ConfirmInterval)
-	if cold := held.begun.Add(p.expectedCold()); held.warm && outcome == Accepted && held.at.Before(cold) {
-		held.at = cold
+	slot.nextCheck = now.Add(p.policy.ConfirmInterval)
+	if coldCheck := slot.orderedAt.Add(p.firstColdConfirmDelay()); slot.warm && outcome == Accepted && slot.nextCheck.Before(coldCheck) {
+		slot.nextCheck = coldCheck
 	}
-	if now.Sub(held.begun) > p.policy.LoadTimeout {
-		// It is not there after all; what the engine holds has to be asked.
+	if now.Sub(slot.orderedAt) > p.policy.LoadTimeout {
+		// The adapter is not there after all; the engine has to report its state again.
 		e.reported = false
 	}
 }
 
-// loaded lets requests use an adapter.
-func (p *Placer) loaded(now time.Time, e *engine, adapter string, held *place) {
-	held.state, held.since = ready, now
-	p.learn(now, held)
-	p.pace.add(now)
-	p.fresh = append(p.fresh, adapter)
-	e.remember(adapter)
-	p.touch(e)
+// markReady lets requests use an adapter.
+func (p *Placer) markReady(now time.Time, e *engine, adapter string, slot *adapterSlot) {
+	slot.state, slot.readySince = ready, now
+	p.learnLoadTime(now, slot)
+	p.loadRate.add(now)
+	p.loaded = append(p.loaded, adapter)
+	e.recordSeen(adapter)
+	p.markChanged(e)
 }
 
-func (p *Placer) doneLoad(now time.Time, e *engine, o Order, outcome Outcome) {
-	held := e.places[o.Adapter]
+func (p *Placer) recordLoad(now time.Time, e *engine, o Order, outcome Outcome) {
+	slot := e.slots[o.Adapter]
 	if outcome == Accepted {
-		e.accepted++
+		e.acceptedOrders++
 	}
-	if held == nil || held.state != loading {
+	if slot == nil || slot.state != loading {
 		return
 	}
-	if now.Sub(held.begun) > lateSight {
-		held.repeated = true
+	if now.Sub(slot.orderedAt) > maxObservationDelay {
+		slot.timingInvalid = true
 	}
 	switch outcome {
 	case Completed:
-		p.loaded(now, e, o.Adapter, held)
+		p.markReady(now, e, o.Adapter, slot)
 	case Accepted:
-		held.accepted = true
-		held.at = now.Add(p.expected(e, o.Adapter))
+		slot.accepted = true
+		slot.nextCheck = now.Add(p.firstConfirmDelay(e, o.Adapter))
 	case Refused:
-		delete(e.places, o.Adapter)
-		e.waitUntil = now.Add(p.policy.ResyncDelay)
+		delete(e.slots, o.Adapter)
+		e.backoffUntil = now.Add(p.policy.ResyncDelay)
 	}
 }
 
-func (p *Placer) doneUnload(now time.Time, e *engine, adapter string, outcome Outcome) {
-	held := e.places[adapter]
+func (p *Placer) recordUnload(now time.Time, e *engine, adapter string, outcome Outcome) {
+	slot := e.slots[adapter]
 	switch {
-	case outcome == Refused || held == nil:
-		delete(e.places, adapter)
+	case outcome == Refused || slot == nil:
+		delete(e.slots, adapter)
 	case outcome == Conflict:
-		// It was given again after no answer; the first was accepted and may wait for runs.
-		e.accepted++
-		held.pending, held.at = true, now.Add(p.policy.UnloadCheckInterval)
+		// It is a retry; the first order was accepted and may wait for running requests.
+		e.acceptedOrders++
+		slot.unloadPending, slot.nextCheck = true, now.Add(p.policy.UnloadCheckInterval)
 	case outcome == Completed:
-		if !held.pending {
-			// One that was accepted before has been counted.
-			e.accepted++
+		if !slot.unloadPending {
+			// An unload that was accepted before has been counted.
+			e.acceptedOrders++
 		}
-		delete(e.places, adapter)
-		e.remember(adapter)
+		delete(e.slots, adapter)
+		e.recordSeen(adapter)
 	case outcome == Accepted:
-		if !held.pending {
-			e.accepted++
+		if !slot.unloadPending {
+			e.acceptedOrders++
 		}
-		held.pending, held.at = true, now.Add(p.policy.UnloadCheckInterval)
+		slot.unloadPending, slot.nextCheck = true, now.Add(p.policy.UnloadCheckInterval)
 	}
 }
 
-func (p *Placer) doneReport(now time.Time, e *engine, outcome Outcome, state *EngineState) {
+func (p *Placer) recordReport(now time.Time, e *engine, outcome Outcome, state *EngineState) {
 	if outcome != Completed || state == nil {
-		e.waitUntil = now.Add(p.policy.ResyncDelay)
+		e.backoffUntil = now.Add(p.policy.ResyncDelay)
 		return
 	}
 	e.reported = true
-	e.accepted = state.Accepted
-	e.model = len(state.Models) > 0
-	places := map[string]*place{}
+	e.acceptedOrders = state.Accepted
+	e.modelLoaded = len(state.Models) > 0
+	slots := map[string]*adapterSlot{}
 	for _, qualified := range state.Adapters {
 		adapter, version := splitVersion(qualified)
-		places[adapter] = &place{state: ready, version: version, since: now}
-		if held := e.places[adapter]; held != nil && held.state != loading {
-			places[adapter].state, places[adapter].at, places[adapter].pending = held.state, held.at, held.pending
+		slots[adapter] = &adapterSlot{state: ready, version: version, readySince: now}
+		if slot := e.slots[adapter]; slot != nil && slot.state != loading {
+			slots[adapter].state, slots[adapter].nextCheck, slots[adapter].unloadPending = slot.state, slot.nextCheck, slot.unloadPending
 		}
-		e.remember(adapter)
+		e.recordSeen(adapter)
 		if p.demand[adapter] == nil {
-			// A leader that has just begun knows of no requests; what is there was wanted.
-			p.demand[adapter] = &demand{rate: assumedRate, last: now.Add(-p.policy.MinIdle)}
+			// A new leader has seen no requests yet; loaded adapters were in demand.
+			p.demand[adapter] = &demand{rate: assumedRate, lastRequest: now.Add(-p.policy.MinIdle)}
 		}
 	}
 	for _, qualified := range state.Loading {
 		adapter, version := splitVersion(qualified)
-		places[adapter] = &place{state: loading, version: version, at: now, begun: now, depth: -1, accepted: true}
+		slots[adapter] = &adapterSlot{state: loading, version: version, nextCheck: now, orderedAt: now, reuseDistance: -1, accepted: true}
 	}
-	e.places = places
-	p.touch(e)
+	e.slots = slots
+	p.markChanged(e)
 }
 
 func splitVersion(qualified string) (string, uint64) {
 	adapter, version, _ := strings.Cut(qualified, "@")
-	// No version counts as the lowest.
+	// A missing version counts as the lowest.
 	n, _ := strconv.ParseUint(version, 10, 64)
 	return adapter, n
 }
--- a/pkg/placer/placer.go
+++ b/pkg/placer/placer.go
@@ -1,11 +1,10 @@
-// Package placer decides which adapters are loaded at which engines, for a leader that
-// alone gives orders. It is pure: demand, reports and the ends of orders go in, orders
-// come out.
+// Package placer decides which adapters are loaded at which engines, for a leader that alone
+// gives orders. It is pure: demand, reports and the outcomes of orders go in, orders come out.
 //
-// It answers three load patterns. Rare adapters at once: each is loaded when a request
-// waits for it, at an engine with a free place, which is kept free ahead of need. Demand
-// that moves on: popularity is forgotten within seconds, and what nobody asks for goes
-// first. A hot adapter: it gets copies in proportion to its requests.
+// It answers three load patterns. Many rare adapters at once: each is loaded when a request
+// waits for it, at an engine with a slot that is kept free ahead of need. Shifting demand:
+// popularity decays within seconds, and adapters without requests are unloaded first. A hot
+// adapter: it gets replicas in proportion to its requests.
 package placer
 
 import (
@@ -19,18 +18,18 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// OrderKind says what an order asks for.
+// OrderKind is the kind of an order.
 type OrderKind int
 
 // The kinds of orders.
 const (
-	// Report asks an engine for its state.
+	// Report requests an engine's state.
 	Report OrderKind = iota
 	// Load loads an adapter.
 	Load
-	// Confirm is a load sent again, to learn whether the adapter is there.
+	// Confirm is a load sent again, to check whether the adapter is loaded.
 	Confirm
-	// Unload gives an adapter up.
+	// Unload unloads an adapter.
 	Unload
 	// LoadModel loads a base model, without which an engine takes no adapters.
 	LoadModel
@@ -44,108 +43,110 @@
 // Order is an instruction to one engine.
 type Order struct {
 	Kind OrderKind
-	// Backend is the start that is meant; Address, Name and BornMs are as it announced them.
+	// Backend is the incarnation that is meant; Address, Name and BornMs are as it announced
+	// them.
 	Backend string
 	Address string
 	Name    string
 	BornMs  uint64
 	// Adapter is MODEL/NAME, or the base model alone.
 	Adapter string
-	// Version to load; 0 is the newest.
+	// Version is the version to load; 0 is the newest.
 	Version uint64
 	// After is the number of orders that the engine has accepted so far.
 	After uint64
 
-	// repeated is set if the order is given again after no answer.
-	repeated bool
+	// retried is set if the order is sent again after no answer.
+	retried bool
 }
 
-// Outcome is how an order ended.
+// Outcome is the result of an order.
 type Outcome int
 
 // The outcomes of orders.
 const (
-	// Unknown means that nothing was answered; the order may still be carried out.
+	// Unknown means that no answer came; the order may still be carried out.
 	Unknown Outcome = iota
 	// Unreachable means that no connection could be opened, so that nothing was sent.
 	Unreachable
 	// Accepted means that the engine carries it out.
 	Accepted
-	// Completed means that what was asked for is the case.
+	// Completed means that the requested state is reached.
 	Completed
 	// Conflict means that the engine has accepted another number of orders.
 	Conflict
 	// Refused means that the engine does not carry it out.
 	Refused
-	// WrongIncarnation means that the engine is another start than the one meant.
+	// WrongIncarnation means that the engine is another incarnation than the one meant.
 	WrongIncarnation
 )
 
 // EngineState is what an engine reported of itself.
 type EngineState struct {
 	Accepted uint64
-	// Models are the base models there.
+	// Models are the base models that are loaded.
 	Models   []string
 	Adapters []string
 	Loading  []string
 }
 
-// Placer holds what the leader knows. Make one with New.
+// Placer holds the leader's view of engines and pending loads. Create one with New.
 type Placer struct {
 	*LearnedState
-	limits   map[string]*wire.EngineLimits
-	engines  map[string]*engine
-	versions map[string]uint64
-	wants    map[string]*want
-	revision uint64
-	// changed are the engines whose holdings changed since TakeChanged was called last.
+	limits       map[string]*wire.EngineLimits
+	engines      map[string]*engine
+	versions     map[string]uint64
+	pendingLoads map[string]*pendingLoad
+	revision     uint64
+	// changed are the engines whose holdings changed since the last TakeChanged.
 	changed map[string]bool
-	// index lists the engines at which each adapter is or soon will be, as of the last plan.
-	index map[string][]string
-	// dropping lists those from which each adapter goes, as of the last plan.
-	dropping map[string][]string
-	// fresh are adapters that were loaded since TakeLoaded was called last.
-	fresh []string
-	// dropped counts wants that could not be met in time, and declined are those since
-	// TakeDeclined was called last.
-	dropped  int
-	declined []string
-	// pace is the rate at which loads end, and crowdedSince is since when more adapters wait
-	// than there are engines; zero if that is not so.
-	pace         pace
-	crowdedSince time.Time
-	// cold is the number of cold loads on their way, if coldKnown is set.
-	cold      int
-	coldKnown bool
-	// modelLoadAt is when the weight store allows the next load of a base model.
-	modelLoadAt time.Time
+	// locations lists the engines at which each adapter is or soon will be, as of the last
+	// plan.
+	locations map[string][]string
+	// unloadingAt lists those that unload each adapter, as of the last plan.
+	unloadingAt map[string][]string
+	// loaded are adapters that were loaded since the last TakeLoaded.
+	loaded []string
+	// declinedTotal counts loads that were not possible in time, and declined are those since
+	// the last TakeDeclined.
+	declinedTotal int
+	declined      []string
+	// loadRate is the rate at which loads end, and overloadedSince is since when more adapters
+	// wait than there are engines; zero if that is not so.
+	loadRate        loadRate
+	overloadedSince time.Time
+	// coldLoadCount is the number of cold loads in flight, if coldLoadCountValid is set.
+	coldLoadCount      int
+	coldLoadCountValid bool
+	// nextModelLoad is when the weight store allows the next load of a base model.
+	nextModelLoad time.Time
 }
 
-type want struct {
+type pendingLoad struct {
 	avoid []string
 	since time.Time
-	// until is when the last of the requests that wait gives up.
-	until time.Time
+	// deadline is when the last of the waiting requests times out.
+	deadline time.Time
 	// requests is about how many requests wait.
 	requests int
 }
 
-// New returns a placer that knows nothing yet.
+// New returns a placer without learned state.
 func New(policy Policy) *Placer { return NewWith(NewLearnedState(policy)) }
 
-// NewWith returns a placer that goes on from what a leader before it has learnt.
-func NewWith(k *LearnedState) *Placer {
+// NewWith returns a placer that continues from what an earlier leader has learned.
+func NewWith(learned *LearnedState) *Placer {
 	return &Placer{
-		LearnedState: k, limits: map[string]*wire.EngineLimits{}, engines: map[string]*engine{},
-		versions: map[string]uint64{}, wants: map[string]*want{}, changed: map[string]bool{},
+		LearnedState: learned, limits: map[string]*wire.EngineLimits{}, engines: map[string]*engine{},
+		versions: map[string]uint64{}, pendingLoads: map[string]*pendingLoad{}, changed: map[string]bool{},
 	}
 }
 
-// Until loads have shown how many the weight store carries at once, two for each engine
-// are assumed, and at least firstMaxComing.
+// Until loads have shown how many the weight store carries at once, two for each engine are
+// assumed, and at least initialStoreConcurrency.
 const (
-	firstMaxComing  = 24
-	comingPerEngine = 2
+	initialStoreConcurrency   = 24
+	storeConcurrencyPerEngine = 2
 )
 
 // SetTable takes the engines' limits from a table.
@@ -158,7 +159,7 @@
 	}
 }
 
-// SetEngine takes what is known of a backend server; others than engines are left out.
+// SetEngine takes the announcement of a backend server and ignores those that are no engines.
 func (p *Placer) SetEngine(a *wire.Announcement) {
 	if a.GetGone() {
 		delete(p.engines, a.GetId())
@@ -169,55 +170,55 @@
 	}
 	e := p.engines[a.GetId()]
 	if e == nil {
-		e = newEngine(p.memory(a.GetId()))
+		e = newEngine(p.cache(a.GetId()))
 		p.engines[a.GetId()] = e
 	}
 	e.info = a
 }
 
-// SetLimit takes the request limit of an engine.
+// SetLimit sets the request limit of an engine.
 func (p *Placer) SetLimit(id string, limit throttler.Limit) {
 	if e := p.engines[id]; e != nil {
 		e.limit = limit
 	}
 }
 
-// SetVersion takes the version that an adapter must have.
+// SetVersion sets the version that an adapter must have.
 func (p *Placer) SetVersion(v *wire.AdapterVersion) {
 	adapter := v.GetModel() + "/" + v.GetAdapter()
 	p.versions[adapter] = max(p.versions[adapter], v.GetVersion())
 }
 
-// Usage is what all gateways have at one engine.
+// Usage is the load of all gateways at one engine.
 type Usage struct {
 	Requests float64
 	// Adapters are those that the requests use.
 	Adapters map[string]bool
 }
 
-// SetUsage takes what all gateways have at each engine.
-func (p *Placer) SetUsage(uses map[string]*Usage) {
+// SetUsage sets the load of all gateways at each engine.
+func (p *Placer) SetUsage(usages map[string]*Usage) {
 	for id, e := range p.engines {
-		e.use = Usage{}
-		if use := uses[id]; use != nil {
-			e.use = *use
+		e.usage = Usage{}
+		if usage := usages[id]; usage != nil {
+			e.usage = *usage
 		}
 	}
 }
 
-// RequestLoad notes that requests wait, until then, for an adapter that they can't use anywhere.
-// A zero until stands for the policy's time.
-func (p *Placer) RequestLoad(now time.Time, adapter string, avoid []string, until time.Time) {
-	if until.IsZero() {
-		until = now.Add(p.policy.PendingLoadTimeout)
+// RequestLoad records that requests wait, until the deadline, for an adapter that they can't
+// use anywhere. A zero deadline stands for the policy's PendingLoadTimeout.
+func (p *Placer) RequestLoad(now time.Time, adapter string, avoid []string, deadline time.Time) {
+	if deadline.IsZero() {
+		deadline = now.Add(p.policy.PendingLoadTimeout)
 	}
-	w := p.wants[adapter]
+	w := p.pendingLoads[adapter]
 	if w == nil {
-		p.wants[adapter] = &want{avoid: avoid, since: now, until: until, requests: 1}
+		p.pendingLoads[adapter] = &pendingLoad{avoid: avoid, since: now, deadline: deadline, requests: 1}
 		return
 	}
-	if w.until.Before(until) {
-		w.until = until
+	if w.deadline.Before(deadline) {
+		w.deadline = deadline
 	}
 	w.requests++
 	for _, id := range avoid {
@@ -227,93 +228,93 @@
 	}
 }
 
-// Plan decides anew where what is wanted goes, and returns the orders to give now. Each
-// engine has at most one under way that changes something, and one question. Its time
-// grows with the engines and what is wanted; Next is enough after the end of one order.
+// Plan assigns pending loads and returns the orders to give now. Each engine has at most one
+// order in flight that changes something, and one Confirm. The time of a plan grows with the
+// engines and the pending loads; after the end of one order, NextOrders is enough.
 func (p *Placer) Plan(now time.Time) []Order {
-	p.forget(now)
-	if !p.learnt {
-		p.maxComing = max(firstMaxComing, float64(comingPerEngine*len(p.engines)))
+	p.expire(now)
+	if !p.measured {
+		p.storeConcurrency = max(initialStoreConcurrency, float64(storeConcurrencyPerEngine*len(p.engines)))
 	}
-	p.coldKnown = false
-	p.buildIndex()
-	p.findRooms(now)
-	p.assignWants(now)
+	p.coldLoadCountValid = false
+	p.buildLocations()
+	p.computeSlotCosts(now)
+	p.assignPendingLoads(now)
 	p.assignVersions()
-	p.assignCopies(now)
+	p.assignReplicas(now)
 	var orders []Order
 	for _, id := range slices.Sorted(maps.Keys(p.engines)) {
-		orders = append(orders, p.next(now, id)...)
+		orders = append(orders, p.nextOrders(now, id)...)
 	}
 	return orders
 }
 
 // NextOrders returns the orders to give to one engine now.
 func (p *Placer) NextOrders(now time.Time, id string) []Order {
-	p.coldKnown = false
-	return p.next(now, id)
+	p.coldLoadCountValid = false
+	return p.nextOrders(now, id)
 }
 
-func (p *Placer) next(now time.Time, id string) []Order {
+func (p *Placer) nextOrders(now time.Time, id string) []Order {
 	e := p.engines[id]
-	if e == nil || now.Before(e.waitUntil) {
+	if e == nil || now.Before(e.backoffUntil) {
 		return nil
 	}
 	var orders []Order
-	if o, ok := p.question(now, e); ok && !e.asking && e.reported {
-		o.addressTo(e)
-		e.asking, e.askedAt = true, now
-		if held := e.places[o.Adapter]; now.Sub(held.at) > lateSight {
-			held.repeated = true
+	if o, ok := p.nextConfirm(now, e); ok && !e.confirmInFlight && e.reported {
+		o.address(e)
+		e.confirmInFlight, e.confirmSentAt = true, now
+		if slot := e.slots[o.Adapter]; now.Sub(slot.nextCheck) > maxObservationDelay {
+			slot.timingInvalid = true
 		}
 		orders = append(orders, o)
 	}
-	if e.busy {
+	if e.orderInFlight {
 		return orders
 	}
 	if o, ok := p.nextOrder(now, e); ok {
-		if !o.repeated {
-			o.addressTo(e)
+		if !o.retried {
+			o.address(e)
 		}
-		e.busy = true
+		e.orderInFlight = true
 		orders = append(orders, o)
 	}
 	return orders
 }
 
-// addressTo makes an order one to an engine, after all that this has accepted so far.
-func (o *Order) addressTo(e *engine) {
+// address addresses an order to an engine, after all that this has accepted so far.
+func (o *Order) address(e *engine) {
 	o.Backend, o.Address, o.Name, o.BornMs = e.info.GetId(), e.info.GetAddress(), e.info.GetName(), e.info.GetBornMs()
-	o.After = e.accepted
+	o.After = e.acceptedOrders
 }
 
-// buildIndex notes at which engines each adapter is or soon will be.
-func (p *Placer) buildIndex() {
-	p.index = make(map[string][]string, len(p.index))
-	p.dropping = map[string][]string{}
+// buildLocations records at which engines each adapter is or soon will be.
+func (p *Placer) buildLocations() {
+	p.locations = make(map[string][]string, len(p.locations))
+	p.unloadingAt = map[string][]string{}
 	for id, e := range p.engines {
-		if !e.serves() {
+		if !e.servesRequests() {
 			continue
 		}
-		for adapter, held := range e.places {
-			if held.state == dropping {
-				p.dropping[adapter] = append(p.dropping[adapter], id)
+		for adapter, slot := range e.slots {
+			if slot.state == unloading {
+				p.unloadingAt[adapter] = append(p.unloadingAt[adapter], id)
 				continue
 			}
-			p.index[adapter] = append(p.index[adapter], id)
+			p.locations[adapter] = append(p.locations[adapter], id)
 		}
 		for _, q := range e.queue {
-			if e.places[q.adapter] == nil {
-				p.index[q.adapter] = append(p.index[q.adapter], id)
+			if e.slots[q.adapter] == nil {
+				p.locations[q.adapter] = append(p.locations[q.adapter], id)
 			}
 		}
 	}
 }
 
-func (p *Placer) forget(now time.Time) {
-	for adapter, w := range p.wants {
-		if now.After(w.until) {
-			p.drop(adapter)
+func (p *Placer) expire(now time.Time) {
+	for adapter, w := range p.pendingLoads {
+		if now.After(w.deadline) {
+			p.decline(adapter)
 		}
 	}
 	p.PruneDemand(now)
@@ -321,14 +322,14 @@
 
 const (
 	ln2 = 0.6931
-	// assumedRate is the requests a second that are assumed for adapters which an engine
-	// held before their leader began: a few times that of one that was asked for once.
+	// assumedRate is the requests per second assumed for adapters that an engine held before
+	// the leader's term: a few times that of one that was requested once.
 	assumedRate = 0.5
-	// negligibleRate is the requests a second below which demand is forgotten.
+	// negligibleRate is the requests per second below which demand is dropped.
 	negligibleRate = 0.001
 )
 
-func halving(halves float64) float64 { return math.Exp2(-max(0, halves)) }
+func decayFactor(halves float64) float64 { return math.Exp2(-max(0, halves)) }
 
 func compareText(a, b string) int { return strings.Compare(a, b) }
 
--- a/pkg/placer/placer_test.go
+++ b/pkg/placer/placer_test.go
@@ -12,25 +12,25 @@
 	"bronzelead.example/pkg/wire"
 )
 
-func begin() time.Time { return time.Unix(1000, 0) }
+func startTime() time.Time { return time.Unix(1000, 0) }
 
 func name(i int) string { return fmt.Sprintf("m/a%d", i) }
 
-func TestWantedAdaptersAreLoadedSoon(t *testing.T) {
+func TestRequestedAdaptersAreLoadedQuickly(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c, 3, 8)
-	w.pass(100 * time.Millisecond)
+	w := newSimulation(c, 3, 8)
+	w.advance(100 * time.Millisecond)
 	w.p.RequestLoad(w.now, name(1), nil, time.Time{})
-	w.pass(coldLoad + 60*time.Millisecond)
-	c.Assert(w.usable(name(1)), qt.Equals, 1)
+	w.advance(coldLoad + 60*time.Millisecond)
+	c.Assert(w.readyCount(name(1)), qt.Equals, 1)
 }
 
-// Rare adapters at once, more than there are places: all are loaded in the end, none
-// beyond the places, and each again quickly where it was before.
-func TestRareAdaptersAtOnce(t *testing.T) {
+// More rare adapters are requested at once than there are slots: all are loaded in the end,
+// none beyond the slots (the fake engine checks).
+func TestRareAdaptersAreAllLoaded(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c, 3, 8)
-	w.pass(100 * time.Millisecond)
+	w := newSimulation(c, 3, 8)
+	w.advance(100 * time.Millisecond)
 	seen := map[string]bool{}
 	for round := range 60 {
 		for i := range 60 {
@@ -39,9 +39,9 @@
 				w.p.RequestLoad(w.now, name(i), nil, time.Time{})
 			}
 		}
-		w.pass(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 		for i := range 60 {
-			seen[name(i)] = seen[name(i)] || w.usable(name(i)) > 0
+			seen[name(i)] = seen[name(i)] || w.readyCount(name(i)) > 0
 		}
 		if len(seen) == 60 && round > 0 && !slices.Contains([]bool{seen[name(0)]}, false) && allTrue(seen) {
 			break
@@ -59,80 +59,79 @@
 	return true
 }
 
-// A hot adapter gets copies in proportion to its requests, a rare one does not.
-func TestHotAdaptersGetCopies(t *testing.T) {
+// A hot adapter gets replicas in proportion to its requests, a rare one does not.
+func TestHotAdaptersGetReplicas(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c, 6, 8)
-	w.pass(100 * time.Millisecond)
+	w := newSimulation(c, 6, 8)
+	w.advance(100 * time.Millisecond)
 	w.p.RequestLoad(w.now, name(1), nil, time.Time{})
 	w.p.RequestLoad(w.now, name(2), nil, time.Time{})
 	for range 50 {
 		w.p.RecordRequests(w.now, name(1), 6)
-		w.pass(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 	}
-	c.Check(w.usable(name(1)) >= 3, qt.IsTrue, qt.Commentf("%d copies", w.usable(name(1))))
-	c.Check(w.usable(name(2)) <= 1, qt.IsTrue)
+	c.Check(w.readyCount(name(1)) >= 3, qt.IsTrue, qt.Commentf("%d replicas", w.readyCount(name(1))))
+	c.Check(w.readyCount(name(2)) <= 1, qt.IsTrue)
 }
 
-// An adapter that requests use is not unloaded, whatever waits for its place.
-func TestUsedAdaptersStay(t *testing.T) {
+// An adapter that requests use is not unloaded, whatever waits for its slot.
+func TestAdaptersInUseAreNotUnloaded(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c, 1, 4)
-	w.pass(100 * time.Millisecond)
+	w := newSimulation(c, 1, 4)
+	w.advance(100 * time.Millisecond)
 	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
-	w.pass(400 * time.Millisecond)
-	c.Assert(w.usable(name(0)), qt.Equals, 1)
-	w.fakes["e0"].running[name(0)] = true
+	w.advance(400 * time.Millisecond)
+	c.Assert(w.readyCount(name(0)), qt.Equals, 1)
+	w.engines["e0"].running[name(0)] = true
 	w.p.SetUsage(map[string]*Usage{"e0": {Requests: 1, Adapters: map[string]bool{name(0): true}}})
 	for i := 1; i < 30; i++ {
 		w.p.RequestLoad(w.now, name(i), nil, time.Time{})
-		w.pass(200 * time.Millisecond)
-		c.Assert(w.usable(name(0)), qt.Equals, 1)
+		w.advance(200 * time.Millisecond)
+		c.Assert(w.readyCount(name(0)), qt.Equals, 1)
 	}
 }
 
-// Orders get no answer, and some are carried out seconds later, after newer ones: no
-// engine ever gets more adapters than it has places (the fake checks), and the adapters
-// that are wanted still come.
+// Orders get no answer, and some are carried out seconds later, after newer ones: no engine
+// ever gets more adapters than it has slots (the fake engine checks), and requested adapters
+// still get ready.
 func TestOrdersWithoutAnswers(t *testing.T) {
 	for _, share := range []float64{0.1, 0.35} {
 		t.Run(fmt.Sprint(share), func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(c, 3, 6)
-			w.unanswered, w.late = share, 0.5
-			came := 0
+			w := newSimulation(c, 3, 6)
+			w.lostShare, w.delayedShare = share, 0.5
+			ready := 0
 			for i := range 120 {
 				w.p.RecordRequests(w.now, name(i%40), 1)
 				w.p.RequestLoad(w.now, name(i%40), nil, time.Time{})
-				w.pass(150 * time.Millisecond)
-				if w.usable(name(i%40)) > 0 {
-					came++
+				w.advance(150 * time.Millisecond)
+				if w.readyCount(name(i%40)) > 0 {
+					ready++
 				}
-				if i >= 3 && w.usable(name((i-3)%40)) > 0 {
-					came++
+				if i >= 3 && w.readyCount(name((i-3)%40)) > 0 {
+					ready++
 				}
 			}
-			c.Check(came > 60, qt.IsTrue, qt.Commentf("%d", came))
+			c.Check(ready > 60, qt.IsTrue, qt.Commentf("%d", ready))
 		})
 	}
 }
 
-// A new version takes the place of the old one at each engine that holds the adapter.
+// A new version replaces the old one at each engine that holds the adapter.
 func TestNewVersions(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c, 2, 4)
-	w.pass(100 * time.Millisecond)
+	w := newSimulation(c, 2, 4)
+	w.advance(100 * time.Millisecond)
 	w.p.RequestLoad(w.now, name(1), nil, time.Time{})
-	w.pass(400 * time.Millisecond)
-	c.Assert(w.usable(name(1)), qt.Equals, 1)
+	w.advance(400 * time.Millisecond)
+	c.Assert(w.readyCount(name(1)), qt.Equals, 1)
 	w.p.SetVersion(&wire.AdapterVersion{Model: "m", Adapter: "a1", Version: 5})
-	w.pass(20 * time.Millisecond)
-	c.Check(w.usable(name(1)), qt.Equals, 0)
+	w.advance(20 * time.Millisecond)
+	c.Check(w.readyCount(name(1)), qt.Equals, 0)
 }
 
-// An engine that restarts empty gets its base model first, no faster than the store
-// allows.
-func TestRestartedEnginesGetTheirModel(t *testing.T) {
+// A restarted, empty engine loads its base model first, no faster than the store allows.
+func TestRestartedEnginesLoadTheirModel(t *testing.T) {
 	c := qt.New(t)
 	p := New(DefaultPolicy())
 	p.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{
@@ -142,15 +141,15 @@
 		p.SetEngine(&wire.Announcement{Id: fmt.Sprint(i), Service: "s", Address: fmt.Sprint(i), Slots: 16})
 	}
 	loads := []time.Duration{}
-	for now := begin(); now.Before(begin().Add(3 * time.Second)); now = now.Add(10 * time.Millisecond) {
+	for now := startTime(); now.Before(startTime().Add(3 * time.Second)); now = now.Add(10 * time.Millisecond) {
 		p.RequestLoad(now, "m/a1", nil, time.Time{})
 		for _, o := range p.Plan(now) {
 			switch o.Kind {
 			case Report:
 				p.RecordOutcome(now, o, Completed, &EngineState{})
 			case LoadModel:
-				if !slices.Contains(loads, now.Sub(begin())) && p.engines[o.Backend].modelAt.IsZero() {
-					loads = append(loads, now.Sub(begin()))
+				if !slices.Contains(loads, now.Sub(startTime())) && p.engines[o.Backend].nextModelCheck.IsZero() {
+					loads = append(loads, now.Sub(startTime()))
 				}
 				p.RecordOutcome(now, o, Accepted, nil)
 			default:
@@ -164,34 +163,34 @@
 	}
 }
 
-// A leader that has just begun does not give up what it finds for the first rare adapter
-// that is asked for, while there are others to give up.
-func TestNewLeadersKeepWhatTheyFind(t *testing.T) {
+// A new leader does not evict what it finds loaded for the first rare adapters that are
+// requested, while there are others to evict.
+func TestNewLeaderKeepsLoadedAdapters(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c, 1, 6)
+	w := newSimulation(c, 1, 6)
 	for i := range 5 {
-		w.fakes["e0"].held[name(i)] = 0
+		w.engines["e0"].held[name(i)] = 0
 	}
-	w.pass(100 * time.Millisecond)
+	w.advance(100 * time.Millisecond)
 	for i := range 4 {
 		w.p.RecordRequests(w.now, name(100+i), 1)
 		w.p.RequestLoad(w.now, name(100+i), nil, time.Time{})
-		w.pass(900 * time.Millisecond)
+		w.advance(900 * time.Millisecond)
 	}
 	kept := 0
 	for i := range 5 {
-		kept += w.usable(name(i))
+		kept += w.readyCount(name(i))
 	}
-	c.Check(kept >= 4, qt.IsTrue, qt.Commentf("%d of 5 kept", kept))
+	c.Check(kept >= 4, qt.IsTrue, qt.Commentf("%d of 5 still loaded", kept))
 }
 
-// A third of all answers of engines are lost, so that the end of many loads is seen late.
-// The weight store carries as much as before, and that is what is to be learnt.
-func TestLostAnswersDoNotLookLikeASlowStore(t *testing.T) {
+// A third of all answers of engines are lost, so that the end of many loads is observed late.
+// The weight store carries as much as before, and the estimate must show that.
+func TestLostAnswersDoNotLowerStoreConcurrency(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c, 30, 8)
-	w.pass(100 * time.Millisecond)
-	w.unanswered, w.timeout = 0.35, 60*time.Millisecond
+	w := newSimulation(c, 30, 8)
+	w.advance(100 * time.Millisecond)
+	w.lostShare, w.timeout = 0.35, 60*time.Millisecond
 	next := 0
 	for range 40 {
 		for range 30 {
@@ -199,95 +198,95 @@
 			w.p.RequestLoad(w.now, name(next), nil, time.Time{})
 			next++
 		}
-		w.pass(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 	}
-	c.Check(w.p.Summary().MaxComing >= 75, qt.IsTrue, qt.Commentf("%d at once", w.p.Summary().MaxComing))
+	c.Check(w.p.Summary().MaxComing >= 75, qt.IsTrue, qt.Commentf("%d concurrent loads", w.p.Summary().MaxComing))
 }
 
-// Demand moves to an adapter that nobody asked for before: a hundred requests a second.
-// Its copies come about as fast as loads allow, not as fast as popularity is forgotten.
-func TestRisingAdaptersGetCopiesAtOnce(t *testing.T) {
+// Demand shifts to an adapter without earlier requests, at a hundred a second. Its replicas are
+// added about as fast as loads allow, not as fast as popularity decays.
+func TestRisingAdaptersGetReplicasQuickly(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c, 12, 8)
-	w.pass(200 * time.Millisecond)
+	w := newSimulation(c, 12, 8)
+	w.advance(200 * time.Millisecond)
 	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
 	for range 10 {
 		w.p.RecordRequests(w.now, name(0), 10)
-		w.pass(100 * time.Millisecond)
+		w.advance(100 * time.Millisecond)
 	}
-	c.Check(w.usable(name(0)) >= 5, qt.IsTrue, qt.Commentf("%d copies", w.usable(name(0))))
+	c.Check(w.readyCount(name(0)) >= 5, qt.IsTrue, qt.Commentf("%d replicas", w.readyCount(name(0))))
 }
 
-// A handful of requests that happen to come together make no copies.
-func TestChanceMakesNoCopies(t *testing.T) {
+// A few requests that cluster by chance add no replicas.
+func TestShortBurstsGetNoReplicas(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c, 12, 8)
-	w.pass(200 * time.Millisecond)
+	w := newSimulation(c, 12, 8)
+	w.advance(200 * time.Millisecond)
 	w.p.RequestLoad(w.now, name(0), nil, time.Time{})
 	for range 10 {
 		w.p.RecordRequests(w.now, name(0), 4)
-		w.pass(time.Second)
+		w.advance(time.Second)
 	}
-	c.Check(w.usable(name(0)), qt.Equals, 1)
+	c.Check(w.readyCount(name(0)), qt.Equals, 1)
 }
 
 // An engine that limits its request rate takes adapters as far as the limit allows; the others
 // take the rest.
-func TestALimitedEngineTakesWhatItsLimitAllows(t *testing.T) {
+func TestPlacementRespectsRequestRateLimits(t *testing.T) {
 	for title, test := range map[string]struct {
 		limit throttler.Limit
 		held  bool
 	}{
-		"no limit":        {throttler.Limit{}, true},
-		"a limit of much": {throttler.LimitOf(100), true},
-		"a limit of few":  {throttler.LimitOf(0.01), false},
-		"a limit of zero": {throttler.LimitOf(0), false},
+		"no limit":     {throttler.Limit{}, true},
+		"a high limit": {throttler.LimitOf(100), true},
+		"a low limit":  {throttler.LimitOf(0.01), false},
+		"a limit of 0": {throttler.LimitOf(0), false},
 	} {
 		t.Run(title, func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(c, 2, 8)
-			w.pass(100 * time.Millisecond)
+			w := newSimulation(c, 2, 8)
+			w.advance(100 * time.Millisecond)
 			w.p.SetLimit("e1", test.limit)
 			for i := range 6 {
 				w.p.RecordRequests(w.now, name(i), 1)
 				w.p.RequestLoad(w.now, name(i), nil, time.Time{})
 			}
-			w.pass(time.Second)
-			c.Check(len(w.fakes["e1"].held) > 0, qt.Equals, test.held)
+			w.advance(time.Second)
+			c.Check(len(w.engines["e1"].held) > 0, qt.Equals, test.held)
 			for i := range 6 {
-				c.Check(w.usable(name(i)), qt.Equals, 1)
+				c.Check(w.readyCount(name(i)), qt.Equals, 1)
 			}
 		})
 	}
 }
 
 // An order of an earlier leader may be carried out between an order without an answer and its
-// repetition. The engine holds something else then than the new leader believes, and must not be
-// given more than it has places for.
+// retry. The engine then holds something else than the new leader assumes, and must not be
+// given more than it has slots for.
 func TestLateOrdersOfAnEarlierLeaderDoNotOverfillAnEngine(t *testing.T) {
 	c := qt.New(t)
-	w := newWorld(c, 1, 6)
+	w := newSimulation(c, 1, 6)
 	for i := range 5 {
-		w.fakes["e0"].held[name(i)] = 0
+		w.engines["e0"].held[name(i)] = 0
 	}
 	w.timeout = 60 * time.Millisecond
-	w.pass(100 * time.Millisecond)
-	w.unanswered, w.late = 1, 1
+	w.advance(100 * time.Millisecond)
+	w.lostShare, w.delayedShare = 1, 1
 	w.p.RecordRequests(w.now, name(100), 1)
 	w.p.RequestLoad(w.now, name(100), nil, time.Time{})
 	for w.orders[Load] == 0 {
-		w.pass(10 * time.Millisecond)
+		w.advance(10 * time.Millisecond)
 	}
-	w.unanswered, w.pending = 0, nil
-	earlier, _ := w.fakes["e0"].carryOut(w.now, Order{Kind: Load, Backend: "e0", Adapter: name(200)})
+	w.lostShare, w.delayed = 0, nil
+	earlier, _ := w.engines["e0"].execute(w.now, Order{Kind: Load, Backend: "e0", Adapter: name(200)})
 	c.Assert(earlier, qt.Equals, Accepted)
-	came := false
+	loaded := false
 	for range 8 {
-		// Gateways ask again while requests wait.
+		// Gateways request it again while requests wait.
 		w.p.RecordRequests(w.now, name(100), 1)
 		w.p.RequestLoad(w.now, name(100), nil, time.Time{})
-		w.pass(400 * time.Millisecond)
-		came = came || w.usable(name(100)) > 0
+		w.advance(400 * time.Millisecond)
+		loaded = loaded || w.readyCount(name(100)) > 0
 	}
-	c.Check(came, qt.IsTrue, qt.Commentf("it is loaded in the end"))
+	c.Check(loaded, qt.IsTrue, qt.Commentf("the adapter is never loaded"))
 }
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -9,53 +9,53 @@
 
 // Policy holds the placer's limits.
 type Policy struct {
-	// ReservedSlots is the number of places that are kept free at each engine, so that a load
+	// ReservedSlots is the number of slots that are kept free at each engine, so that a load
 	// does not have to wait for an unload.
 	ReservedSlots int
-	// MaxLoadsPerEngine bounds the adapters on their way to one engine.
+	// MaxLoadsPerEngine bounds the loads in flight at one engine.
 	MaxLoadsPerEngine int
 	// ColdLoad and WarmLoad are the expected times of loads from the weight store and
 	// from the engine's own memory.
 	ColdLoad time.Duration
 	WarmLoad time.Duration
-	// ConfirmInterval is the time between two questions whether a load has ended.
+	// ConfirmInterval is the time between two checks whether a load has ended.
 	ConfirmInterval time.Duration
-	// UnloadNotice is the time between telling the gateways that an adapter goes and its
-	// unload, so that no request is under way to it.
+	// UnloadNotice is the time between notifying the gateways of an unload and ordering it, so
+	// that no request is on its way to the adapter.
 	UnloadNotice time.Duration
 	// RetryBackoff is the wait before the next order to an engine that has not answered.
 	RetryBackoff retrier.Backoff
-	// ResyncDelay is how long an engine is left alone after an answer which shows that its
-	// state is not as believed; its reports lag behind.
+	// ResyncDelay is how long an engine gets no orders after an answer which shows that its
+	// state is not as assumed; its reports lag behind.
 	ResyncDelay time.Duration
-	// DemandHalfLife is the time in which popularity is forgotten by half.
+	// DemandHalfLife is the half-life of an adapter's popularity.
 	DemandHalfLife time.Duration
-	// BurstHalfLife is the same for the rate by which copies are added: a few times the
-	// span in which all gateways report, and longer than chance keeps requests together.
+	// BurstHalfLife is the same for the rate by which replicas are added: a few times the span
+	// in which all gateways report, and longer than requests cluster by chance.
 	BurstHalfLife time.Duration
 	// RunTime is the expected time of a request at an engine.
 	RunTime time.Duration
 	// FillPerReplica is the part of an engine's slots that one adapter's requests may take
-	// before it gets another copy, and RatePerCopy the requests a second: an engine with
-	// many slots is slowed down by reading prompts long before its slots are taken.
+	// before it gets another replica, and RatePerReplica the requests per second: an engine
+	// with many slots is slowed down by reading prompts long before its slots are taken.
 	FillPerReplica float64
 	RatePerReplica float64
-	// PendingLoadTimeout is how long a wish is kept that can't be fulfilled.
+	// PendingLoadTimeout is how long a load without a deadline stays pending.
 	PendingLoadTimeout time.Duration
-	// MinIdle is how long nobody must have asked for an adapter before it is unloaded, and
-	// IdleUnderPressure the same while others wait for its place.
+	// MinIdle is how long an adapter must have had no requests before it is unloaded, and
+	// MinIdleUnderPressure the same while others wait for its slot.
 	MinIdle              time.Duration
 	MinIdleUnderPressure time.Duration
 	// LoadTimeout is the time after which a load that has not ended is taken for lost.
 	LoadTimeout time.Duration
-	// UnloadCheckInterval is the time between two questions whether an unload has ended that
-	// waits for runs.
+	// UnloadCheckInterval is the time between two checks whether an unload has ended that waits
+	// for running requests.
 	UnloadCheckInterval time.Duration
-	// Off are the mechanisms that an experiment does without.
+	// Off are the mechanisms that an experiment disables.
 	Off ablator.Off
 }
 
-// DefaultPolicy returns the limits that were measured; docs/MEASURED.md has the runs.
+// DefaultPolicy returns the default limits; docs/MEASURED.md has the runs.
 func DefaultPolicy() Policy {
 	return Policy{
 		ReservedSlots: 1, MaxLoadsPerEngine: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
--- a/pkg/placer/rooms.go
+++ b/pkg/placer/rooms.go
@@ -5,46 +5,46 @@
 	"time"
 )
 
-// findRooms notes for each engine what it costs to place another adapter there: nothing in
-// a free place, else about the probability that the adapter which goes is asked for again
-// within a second. Rare adapters then take the places of rare ones, wherever these are, and
-// not of those that happen to be at the engine that is least busy.
-func (p *Placer) findRooms(now time.Time) {
+// computeSlotCosts computes for each engine the cost of placing another adapter there: nothing
+// in a free slot, else about the probability that the evicted adapter is requested again within
+// a second. Rare adapters then replace rare ones, wherever these are, and not those that happen
+// to be at the least busy engine.
+func (p *Placer) computeSlotCosts(now time.Time) {
 	for _, e := range p.engines {
-		e.rooms = e.rooms[:0]
-		if !e.takesOrders() {
+		e.slotCosts = e.slotCosts[:0]
+		if !e.acceptsAdapters() {
 			continue
 		}
-		for range p.slots(e) - len(e.places) {
-			e.rooms = append(e.rooms, 0)
+		for range p.slotCount(e) - len(e.slots) {
+			e.slotCosts = append(e.slotCosts, 0)
 		}
-		for adapter, held := range e.places {
-			switch held.state {
-			case leaving, dropping:
-				e.rooms = append(e.rooms, 0)
+		for adapter, slot := range e.slots {
+			switch slot.state {
+			case draining, unloading:
+				e.slotCosts = append(e.slotCosts, 0)
 			case ready:
-				if !e.use.Adapters[adapter] {
-					e.rooms = append(e.rooms, min(1, p.rate(now, adapter)))
+				if !e.usage.Adapters[adapter] {
+					e.slotCosts = append(e.slotCosts, min(1, p.ratePerReplica(now, adapter)))
 				}
 			case loading:
 			}
 		}
-		slices.Sort(e.rooms)
+		slices.Sort(e.slotCosts)
 	}
 }
 
-// room returns the cost of the place that the next adapter would take which is queued.
-func (e *engine) room() float64 {
-	if n := len(e.queue); n < len(e.rooms) {
-		return e.rooms[n]
+// nextSlotCost returns the cost of the slot that the next queued adapter would take.
+func (e *engine) nextSlotCost() float64 {
+	if n := len(e.queue); n < len(e.slotCosts) {
+		return e.slotCosts[n]
 	}
 	return 1
 }
 
-// rate returns the requests a second for an adapter at each of the engines that hold it.
-func (p *Placer) rate(now time.Time, adapter string) float64 {
+// ratePerReplica returns the requests per second for an adapter at each engine that holds it.
+func (p *Placer) ratePerReplica(now time.Time, adapter string) float64 {
 	rate := p.Rate(now, adapter)
-	if n, _ := p.copies(adapter); n > 1 {
+	if n, _ := p.replicas(adapter); n > 1 {
 		rate /= float64(n)
 	}
 	return rate
