--- a/pkg/windowcounter/windowcounter.go
+++ b/pkg/windowcounter/windowcounter.go
@@ -1,53 +1,53 @@
-// Package windower counts what came within the time that ends now. It is pure. The lender
-// and the throttler count by it.
+// Package windowcounter sums amounts over a sliding window that ends now. It has no side
+// effects. The quotaallocator and the throttler use it.
 package windowcounter
 
 import "time"
 
 const (
-	// slotsPerWindow is the number of parts in which a window is counted. What came in a part
-	// counts until all of the part is older than the window, so that the sum is never too low.
+	// slotsPerWindow is the number of slots in a window. A slot counts until all of it is older
+	// than the window, so that the sum is never too low.
 	slotsPerWindow = 64
-	// partsPerWindow is the number of parts in which a window is passed on.
+	// partsPerWindow is the number of parts in which a window is sent to another instance.
 	partsPerWindow = 8
 )
 
-// Window is a sum over the time that ends now. Set the length before use.
+// Window is a sum over a sliding window. Set the length before use.
 type Window struct {
 	Length time.Duration
 
 	slots [slotsPerWindow + 1]float64
 	total float64
-	// last is the number of the slot that was added to last, counted from the Unix epoch.
-	last int64
+	// lastSlot is the number of the latest slot, counted from the Unix epoch.
+	lastSlot int64
 }
 
-// Add adds an amount that comes now.
+// Add adds an amount at the current time.
 func (w *Window) Add(now time.Time, amount float64) {
-	w.pass(now)
-	w.slots[w.last%int64(len(w.slots))] += amount
+	w.advance(now)
+	w.slots[w.lastSlot%int64(len(w.slots))] += amount
 	w.total += amount
 }
 
-// addBefore adds an amount that came a time before now.
+// addBefore adds an amount of a given age.
 func (w *Window) addBefore(now time.Time, age time.Duration, amount float64) {
-	w.pass(now)
+	w.advance(now)
 	slots := int64(age) / max(1, int64(w.Length)/slotsPerWindow)
 	if slots > slotsPerWindow {
 		return
 	}
-	w.slots[(w.last-slots)%int64(len(w.slots))] += amount
+	w.slots[(w.lastSlot-slots)%int64(len(w.slots))] += amount
 	w.total += amount
 }
 
-// Parts returns the window in equal parts, the latest first; nil if it is empty.
+// Parts returns the sums of equal parts of the window, the latest first; nil if it is empty.
 func (w *Window) Parts(now time.Time) []uint64 {
 	if w.Sum(now) <= 0 {
 		return nil
 	}
 	list := make([]uint64, partsPerWindow)
 	for i := range slotsPerWindow {
-		slot := w.slots[(w.last-int64(i))%int64(len(w.slots))]
+		slot := w.slots[(w.lastSlot-int64(i))%int64(len(w.slots))]
 		list[i*partsPerWindow/slotsPerWindow] += uint64(max(0, slot))
 	}
 	return list
@@ -60,22 +60,22 @@
 	}
 }
 
-// Sum returns the sum of what came within the window.
+// Sum returns the sum over the window.
 func (w *Window) Sum(now time.Time) float64 {
-	w.pass(now)
+	w.advance(now)
 	return w.total
 }
 
-// pass drops what is older than the window.
-func (w *Window) pass(now time.Time) {
+// advance drops slots that are older than the window.
+func (w *Window) advance(now time.Time) {
 	at := now.UnixNano() / max(1, int64(w.Length)/slotsPerWindow)
-	if at-w.last >= int64(len(w.slots)) {
-		w.slots, w.total, w.last = [slotsPerWindow + 1]float64{}, 0, at
+	if at-w.lastSlot >= int64(len(w.slots)) {
+		w.slots, w.total, w.lastSlot = [slotsPerWindow + 1]float64{}, 0, at
 		return
 	}
-	for w.last < at {
-		w.last++
-		slot := &w.slots[w.last%int64(len(w.slots))]
+	for w.lastSlot < at {
+		w.lastSlot++
+		slot := &w.slots[w.lastSlot%int64(len(w.slots))]
 		w.total -= *slot
 		*slot = 0
 	}
--- a/pkg/windowcounter/windowcounter_test.go
+++ b/pkg/windowcounter/windowcounter_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestAWindowCountsWhatCameWithinItsLength(t *testing.T) {
+func TestWindowCountsAmountsWithinLength(t *testing.T) {
 	start := time.Unix(100, 0)
 	for name, test := range map[string]struct {
 		after time.Duration
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestPartsTellAnotherWindowTheSame(t *testing.T) {
+func TestAddPartsReproducesWindow(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(100, 0)
 	w, other := Window{Length: 4 * time.Second}, Window{Length: 4 * time.Second}
