--- a/pkg/limiter/limiter.go
+++ b/pkg/limiter/limiter.go
@@ -1,10 +1,10 @@
-// Package limiter divides each customer's limit of requests at once among the
-// sessions of the gateways.
+// Package limiter divides each customer's limit of concurrent requests among the gateways'
+// sessions.
 //
-// A share is an allotment under a session. The sum of a customer's shares never
-// grows past its limit: a share is given elsewhere only after its session has
-// handed it back, or after Forget, which the caller calls once nothing of the
-// session can run any more. The package is pure and not safe for concurrent use.
+// A share is an allotment to a session. The sum of a customer's shares never grows past its
+// limit: a share is granted to another session only after its session has returned it, or after
+// Forget, which the caller calls once nothing of the session can run any more. The package has
+// no side effects and is not safe for concurrent use.
 package limiter
 
 import (
@@ -14,22 +14,22 @@
 // SessionID names a gateway's session.
 type SessionID uint64
 
-// Demand is what a session says of one customer.
+// Demand is what a session reports about one customer.
 type Demand struct {
 	Customer string
-	// Held is the share that the session still uses, after any handing back.
+	// Held is the share that the session still uses, after returning any part of it.
 	Held uint32
-	// Wanted is the number of requests that run or wait.
+	// Wanted is the number of requests that are running or waiting.
 	Wanted uint32
 }
 
 // Limiter holds the shares of all customers. The zero value is ready to use.
 type Limiter struct {
 	customers map[string]*customer
-	// sessions are the customers of which each session has a share.
+	// sessions holds the customers of which each session has a share.
 	sessions map[SessionID]map[string]bool
-	// frozen holds sessions whose shares are not yet known.
-	frozen map[SessionID]bool
+	// unreported holds sessions whose shares are not yet known.
+	unreported map[SessionID]bool
 }
 
 type customer struct {
@@ -37,39 +37,39 @@
 	shares map[SessionID]*share
 	// granted and wanted are sums over all shares.
 	granted, wanted uint32
-	// hungry is the number of shares that want more than they have.
-	hungry int
-	// starving are the hungry ones that have nothing.
-	starving map[*share]bool
+	// unsatisfied is the number of shares that want more than they have.
+	unsatisfied int
+	// starved holds the unsatisfied shares that have nothing.
+	starved map[*share]bool
 }
 
 type share struct {
 	granted uint32
 	wanted  uint32
-	// starving is since when the session has wanted more than it has.
-	starving time.Time
+	// starvedSince is the time since which the session has wanted a share without having any.
+	starvedSince time.Time
 }
 
-// SetLimit sets a customer's limit. Shares above it are recalled by later reports.
+// SetLimit sets a customer's limit. Later reports recall shares above it.
 func (l *Limiter) SetLimit(name string, limit uint32) {
 	l.customer(name).limit = limit
 }
 
-// ExpectReport notes a session that may hold shares which aren't known. Until it has
-// reported or is forgotten no share of any customer grows.
+// ExpectReport registers a session that may hold unknown shares. Until it has reported or is
+// forgotten, no share of any customer grows.
 func (l *Limiter) ExpectReport(id SessionID) {
-	if l.frozen == nil {
-		l.frozen = map[SessionID]bool{}
+	if l.unreported == nil {
+		l.unreported = map[SessionID]bool{}
 	}
-	l.frozen[id] = true
+	l.unreported[id] = true
 }
 
-// MarkReported notes that all of a session's shares are known.
-func (l *Limiter) MarkReported(id SessionID) { delete(l.frozen, id) }
+// MarkReported records that all of a session's shares are known.
+func (l *Limiter) MarkReported(id SessionID) { delete(l.unreported, id) }
 
-// Forget drops all that a session had.
+// Forget drops all shares of a session.
 func (l *Limiter) Forget(id SessionID) {
-	delete(l.frozen, id)
+	delete(l.unreported, id)
 	for name := range l.sessions[id] {
 		l.drop(id, name)
 	}
@@ -87,7 +87,7 @@
 	}
 }
 
-// Reset takes a session's full list of demands for all that it holds.
+// Reset replaces a session's shares by those in its full list of demands.
 func (l *Limiter) Reset(id SessionID, demands []Demand) {
 	named := map[string]bool{}
 	for _, d := range demands {
@@ -103,8 +103,8 @@
 	l.MarkReported(id)
 }
 
-// Report takes a session's demand and returns its share from now on. A share
-// below what the session holds asks it to hand back what it does not use.
+// Report takes a session's demand and returns its new share. If that is less than the session
+// holds, the session has to return what it does not use.
 func (l *Limiter) Report(now time.Time, id SessionID, d Demand) uint32 {
 	c := l.customer(d.Customer)
 	s := l.share(id, d.Customer)
@@ -114,15 +114,15 @@
 		return 0
 	}
 	target := c.target(s)
-	if len(l.frozen) == 0 && target > s.granted {
-		c.set(s, s.granted+min(target-s.granted, c.free(s)), s.wanted)
+	if len(l.unreported) == 0 && target > s.granted {
+		c.set(s, s.granted+min(target-s.granted, c.available(s)), s.wanted)
 	}
-	s.noteStarving(now)
+	s.updateStarved(now)
 	return min(target, s.granted)
 }
 
-// Reductions returns the customers of which a session has to hand back a part,
-// with the share that it may keep. It does so only while others want more.
+// Reductions returns the customers of which a session has to return a part, with the share that
+// it may keep. It does so only while the limit is contended.
 func (l *Limiter) Reductions(id SessionID) []Demand {
 	var reductions []Demand
 	for name := range l.sessions[id] {
@@ -138,11 +138,11 @@
 	return reductions
 }
 
-// contended reports whether a session wants more than it has, or more was given
-// than the limit now allows.
-func (c *customer) contended() bool { return c.hungry > 0 || c.granted > c.limit }
+// contended reports whether a session wants more than it has, or more is granted than the limit
+// now allows.
+func (c *customer) contended() bool { return c.unsatisfied > 0 || c.granted > c.limit }
 
-// TotalGranted returns all shares of a customer together.
+// TotalGranted returns the sum of a customer's shares.
 func (l *Limiter) TotalGranted(name string) uint32 { return l.customer(name).granted }
 
 func (l *Limiter) customer(name string) *customer {
@@ -151,7 +151,7 @@
 	}
 	c := l.customers[name]
 	if c == nil {
-		c = &customer{shares: map[SessionID]*share{}, starving: map[*share]bool{}}
+		c = &customer{shares: map[SessionID]*share{}, starved: map[*share]bool{}}
 		l.customers[name] = c
 	}
 	return c
@@ -175,30 +175,30 @@
 	return s
 }
 
-// set changes a share and all that is counted from the shares.
+// set changes a share and the sums and counts over the shares.
 func (c *customer) set(s *share, granted, wanted uint32) {
 	if s.wanted > s.granted {
-		c.hungry--
+		c.unsatisfied--
 	}
 	c.granted += granted - s.granted
 	c.wanted += wanted - s.wanted
 	s.granted, s.wanted = granted, wanted
 	if wanted > granted {
-		c.hungry++
+		c.unsatisfied++
 	}
 	if wanted > granted && granted == 0 {
-		c.starving[s] = true
+		c.starved[s] = true
 		return
 	}
-	delete(c.starving, s)
+	delete(c.starved, s)
 }
 
-// free returns what can be given to s: the rest of the limit, less one for each
-// session that has starved for longer.
-func (c *customer) free(s *share) uint32 {
+// available returns what can be granted to s: the rest of the limit, less one for each session
+// that has starved for longer.
+func (c *customer) available(s *share) uint32 {
 	used := c.granted
-	for other := range c.starving {
-		older := !other.starving.IsZero() && (s.starving.IsZero() || other.starving.Before(s.starving))
+	for other := range c.starved {
+		older := !other.starvedSince.IsZero() && (s.starvedSince.IsZero() || other.starvedSince.Before(s.starvedSince))
 		if other != s && older {
 			used++
 		}
@@ -209,28 +209,28 @@
 	return c.limit - used
 }
 
-// target returns what a session should have: all that it wants while the limit
-// suffices for all, else an equal part, so that a busy gateway can't keep a
-// customer's callers at the other gateways out.
+// target returns what a session should have: all that it wants while the limit suffices for
+// all, else an equal share, so that a busy gateway can't starve a customer's callers at the
+// other gateways.
 func (c *customer) target(s *share) uint32 {
-	equal := c.limit / uint32(len(c.shares))
+	equalShare := c.limit / uint32(len(c.shares))
 	switch {
 	case c.wanted <= c.limit:
-		return min(c.limit, max(s.wanted, equal))
-	case equal > 0:
-		return min(s.wanted, equal)
-	case len(c.starving) > 0 && s.granted > 0:
-		// Fewer units than sessions: they go round.
+		return min(c.limit, max(s.wanted, equalShare))
+	case equalShare > 0:
+		return min(s.wanted, equalShare)
+	case len(c.starved) > 0 && s.granted > 0:
+		// There are fewer units than sessions: they take turns.
 		return 0
 	}
 	return min(s.wanted, 1)
 }
 
-func (s *share) noteStarving(now time.Time) {
+func (s *share) updateStarved(now time.Time) {
 	switch {
 	case s.wanted <= s.granted || s.granted > 0:
-		s.starving = time.Time{}
-	case s.starving.IsZero():
-		s.starving = now
+		s.starvedSince = time.Time{}
+	case s.starvedSince.IsZero():
+		s.starvedSince = now
 	}
 }
--- a/pkg/limiter/limiter_test.go
+++ b/pkg/limiter/limiter_test.go
@@ -12,14 +12,13 @@
 
 const name = "volantes"
 
-// gateway is a session as a gateway keeps it: it uses no more than its share.
+// gateway models a gateway's session, which uses no more than its share.
 type gateway struct {
 	id      limiter.SessionID
 	share   uint32
 	running uint32
 	waiting uint32
-	// lost is a share in an answer that did not arrive.
-	alive bool
+	alive   bool
 }
 
 func (g *gateway) report(l *limiter.Limiter, now time.Time, arrives bool) {
@@ -29,18 +28,18 @@
 		g.share = share
 		return
 	}
-	// The next report is a full one, of what the gateway knows.
+	// After a lost answer the next report is a full one, of what the gateway knows.
 	l.Reset(g.id, []limiter.Demand{{Customer: name, Held: held}})
 }
 
-func (g *gateway) work() {
+func (g *gateway) startRequests() {
 	for g.waiting > 0 && g.running < g.share {
 		g.waiting--
 		g.running++
 	}
 }
 
-func TestSumNeverAboveLimit(t *testing.T) {
+func TestGrantedSharesNeverExceedLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		l := &limiter.Limiter{}
 		limit := rapid.Uint32Range(1, 12).Draw(rt, "limit")
@@ -61,25 +60,25 @@
 			case 2:
 				g.report(l, now, rapid.Bool().Draw(rt, "arrives"))
 			case 3:
-				// The session ends; nothing of it runs any more when it is forgotten.
+				// The session ends, and is forgotten once nothing of it runs any more.
 				l.Forget(g.id)
 				*g = gateway{id: g.id + 10, alive: true}
 			default:
 				g.report(l, now, true)
 			}
-			g.work()
+			g.startRequests()
 			var running uint32
 			for _, other := range gateways {
 				running += other.running
 			}
 			if running > limit || l.TotalGranted(name) > limit {
-				rt.Fatalf("%d run and %d are given of %d", running, l.TotalGranted(name), limit)
+				rt.Fatalf("%d are running and %d granted of %d", running, l.TotalGranted(name), limit)
 			}
 		}
 	})
 }
 
-func TestNobodyStarves(t *testing.T) {
+func TestNoGatewayStarves(t *testing.T) {
 	cases := map[string]struct {
 		limit    uint32
 		gateways int
@@ -100,7 +99,7 @@
 	}
 }
 
-// busyGateways lets all gateways want more than there is, and counts what each runs.
+// busyGateways lets every gateway want more than the limit, and counts what each runs.
 func busyGateways(limit uint32, n int) []int {
 	l := &limiter.Limiter{}
 	l.SetLimit(name, limit)
@@ -119,13 +118,13 @@
 				g.share = d.Held
 			}
 			g.report(l, now, true)
-			g.work()
+			g.startRequests()
 		}
 	}
 	return served
 }
 
-func TestShareGrowsOnlyByTheLeader(t *testing.T) {
+func TestReportCannotRaiseShare(t *testing.T) {
 	c := qt.New(t)
 	l := &limiter.Limiter{}
 	l.SetLimit(name, 10)
@@ -133,13 +132,13 @@
 	l.Report(now, 1, limiter.Demand{Customer: name, Wanted: 10})
 	l.Report(now, 2, limiter.Demand{Customer: name, Wanted: 10})
 	l.Report(now, 1, limiter.Demand{Customer: name, Held: 3, Wanted: 3})
-	// A report that says more than was given, as one from before would, adds nothing.
+	// A report of more than was granted, such as a delayed one, adds nothing.
 	l.Report(now, 1, limiter.Demand{Customer: name, Held: 10, Wanted: 10})
 	l.Report(now, 2, limiter.Demand{Customer: name, Held: 10, Wanted: 10})
-	c.Assert(l.TotalGranted(name) <= 10, qt.IsTrue, qt.Commentf("%d were given", l.TotalGranted(name)))
+	c.Assert(l.TotalGranted(name) <= 10, qt.IsTrue, qt.Commentf("%d were granted", l.TotalGranted(name)))
 }
 
-func TestNewLeaderGivesNothingBeforeAllReported(t *testing.T) {
+func TestNewLeaderGrantsNothingBeforeAllReported(t *testing.T) {
 	c := qt.New(t)
 	l := &limiter.Limiter{}
 	l.SetLimit(name, 10)
@@ -148,7 +147,7 @@
 	now := time.Unix(0, 0)
 	l.Reset(1, []limiter.Demand{{Customer: name, Held: 4}})
 	c.Assert(l.Report(now, 1, limiter.Demand{Customer: name, Held: 4, Wanted: 9}), qt.Equals, uint32(4))
-	// The second may hold anything up to the limit until it has reported.
+	// The second session may hold anything up to the limit until it has reported.
 	l.Reset(2, []limiter.Demand{{Customer: name, Held: 5}})
 	c.Assert(l.Report(now, 1, limiter.Demand{Customer: name, Held: 4, Wanted: 9}), qt.Equals, uint32(5))
 }
