--- a/pkg/quotaallocator/account.go
+++ b/pkg/quotaallocator/account.go
@@ -9,213 +9,213 @@
 )
 
 const (
-	// aloneAfter is the time without the leader's word after which the allowance is spent:
-	// longer than a call takes.
-	aloneAfter = 400 * time.Millisecond
-	// wishFor is the time for which a gateway would like to have credit: a few calls.
-	wishFor = 600 * time.Millisecond
-	// rateOver is the time over which the rate of what is asked for is taken.
-	rateOver = 4 * time.Second
-	// trustFor is how long the leader's word that there is no room is believed.
-	trustFor = 100 * time.Millisecond
+	// offlineAfter is the time without an answer of the leader after which the allowance is
+	// spent: longer than a call takes.
+	offlineAfter = 400 * time.Millisecond
+	// prefetchPeriod is the time for which a gateway prefetches quota: a few calls.
+	prefetchPeriod = 600 * time.Millisecond
+	// rateTimeConstant is the time over which the rate of the demand is averaged.
+	rateTimeConstant = 4 * time.Second
+	// refusalTTL is how long a "no room" answer of the leader is valid.
+	refusalTTL = 100 * time.Millisecond
 )
 
-// Account is a gateway's side of one customer's limit. The zero value has nothing.
+// Account is a gateway's side of one customer's limit. The zero value has no quota.
 type Account struct {
-	account     uint64
-	lent, spent uint64
-	// held is for requests that were let in and are not sent yet.
+	leaseID        uint64
+	granted, spent uint64
+	// held is reserved for requests that were admitted and are not sent yet.
 	held uint64
-	// heard is when the call was made that the leader answered last.
-	heard     time.Time
-	allowance float64
-	kept      float64
-	overdraft uint64
-	// recent is what was sent on in the window of the limit's rule.
+	// lastContactAt is the start of the latest call that the leader answered.
+	lastContactAt time.Time
+	allowance     float64
+	reserve       float64
+	overdraft     uint64
+	// recent is what was sent in the window of the limit's rule.
 	recent windowcounter.Window
-	// alone is when the allowance was drawn last; zero while the leader is heard.
-	alone time.Time
-	// expired is set once what was lent and not spent has expired.
+	// allowanceDrawnAt is when the allowance was drawn last; zero while the leader answers.
+	allowanceDrawnAt time.Time
+	// expired is set once the granted and unspent quota has expired.
 	expired bool
-	// drawn is the part of the allowance that is drawn and smaller than one unit.
-	drawn float64
-	// rate is what is asked for in a second, as of rated, and size that of a request.
-	rate  float64
-	rated time.Time
-	size  float64
-	// refused counts the requests that were refused since the call that was answered last.
+	// allowanceRemainder is the drawn part of the allowance that is smaller than one unit.
+	allowanceRemainder float64
+	// rate is the demand per second as of rateAt, and size the average size of a request.
+	rate   float64
+	rateAt time.Time
+	size   float64
+	// refused counts the requests that were refused since the latest answered call.
 	refused uint64
-	// retryAt is when the leader expects room, by its word of refusedAt.
+	// retryAt is when the leader expects room, by its answer at refusedAt.
 	refusedAt time.Time
 	retryAt   time.Time
 }
 
-// credit returns what may be spent now.
-func (p *Account) credit(now time.Time) uint64 {
-	p.draw(now)
-	if p.lent <= p.spent+p.held {
+// unspent returns what may be spent now.
+func (a *Account) unspent(now time.Time) uint64 {
+	a.drawAllowance(now)
+	if a.granted <= a.spent+a.held {
 		return 0
 	}
-	return p.lent - p.spent - p.held
+	return a.granted - a.spent - a.held
 }
 
-// draw adds the allowance of the time without the leader's word.
-func (p *Account) draw(now time.Time) {
-	if p.heard.IsZero() || now.Sub(p.heard) < aloneAfter {
+// drawAllowance adds the allowance for the time without the leader.
+func (a *Account) drawAllowance(now time.Time) {
+	if a.lastContactAt.IsZero() || now.Sub(a.lastContactAt) < offlineAfter {
 		return
 	}
-	if !p.expired && now.Sub(p.heard) > LeaseTTL {
-		p.expired = true
-		p.lent = min(p.lent, p.spent+p.held)
+	if !a.expired && now.Sub(a.lastContactAt) > LeaseTTL {
+		a.expired = true
+		a.granted = min(a.granted, a.spent+a.held)
 	}
-	until := p.heard.Add(MaxOffline)
+	until := a.lastContactAt.Add(MaxOffline)
 	if now.Before(until) {
 		until = now
 	}
-	if p.alone.IsZero() {
-		p.alone = p.heard.Add(aloneAfter)
+	if a.allowanceDrawnAt.IsZero() {
+		a.allowanceDrawnAt = a.lastContactAt.Add(offlineAfter)
 	}
-	if passed := until.Sub(p.alone).Seconds(); passed > 0 {
-		p.drawn += passed * p.allowance
-		p.alone = until
+	if passed := until.Sub(a.allowanceDrawnAt).Seconds(); passed > 0 {
+		a.allowanceRemainder += passed * a.allowance
+		a.allowanceDrawnAt = until
 	}
-	whole := math.Floor(p.drawn)
-	p.drawn -= whole
-	p.lent += uint64(whole)
+	whole := math.Floor(a.allowanceRemainder)
+	a.allowanceRemainder -= whole
+	a.granted += uint64(whole)
 }
 
-// RecordDemand notes that a request of a size is asked for.
-func (p *Account) RecordDemand(now time.Time, size uint64) {
-	p.decay(now)
-	p.rate += float64(size) / rateOver.Seconds()
-	if p.size == 0 {
-		p.size = float64(size)
+// RecordDemand records the size of a new request.
+func (a *Account) RecordDemand(now time.Time, size uint64) {
+	a.decayRate(now)
+	a.rate += float64(size) / rateTimeConstant.Seconds()
+	if a.size == 0 {
+		a.size = float64(size)
 	}
-	p.size += (float64(size) - p.size) / sizeOver
+	a.size += (float64(size) - a.size) / sizeSmoothing
 }
 
-// sizeOver is the number of requests over which their size is taken.
-const sizeOver = 8
+// sizeSmoothing is the number of requests over which their size is averaged.
+const sizeSmoothing = 8
 
-func (p *Account) decay(now time.Time) {
-	if passed := now.Sub(p.rated).Seconds(); passed > 0 {
-		p.rate *= math.Exp(-passed / rateOver.Seconds())
-		p.rated = now
+func (a *Account) decayRate(now time.Time) {
+	if passed := now.Sub(a.rateAt).Seconds(); passed > 0 {
+		a.rate *= math.Exp(-passed / rateTimeConstant.Seconds())
+		a.rateAt = now
 	}
 }
 
-// Hold takes credit for a request, and reports whether there was enough.
-func (p *Account) Hold(now time.Time, size uint64) bool {
-	credit := p.credit(now)
-	if credit < size && (p.alone.IsZero() || now.Sub(p.heard) > MaxOffline || p.lent+p.overdraft < p.spent+p.held+size) {
+// Hold reserves quota for a request, and reports whether there was enough.
+func (a *Account) Hold(now time.Time, size uint64) bool {
+	unspent := a.unspent(now)
+	if unspent < size && (a.allowanceDrawnAt.IsZero() || now.Sub(a.lastContactAt) > MaxOffline || a.granted+a.overdraft < a.spent+a.held+size) {
 		return false
 	}
-	p.held += size
+	a.held += size
 	return true
 }
 
-// Release gives back what was held for a request that has certainly not run.
-func (p *Account) Release(size uint64) { p.held -= min(size, p.held) }
+// Release returns what was held for a request that has certainly not run.
+func (a *Account) Release(size uint64) { a.held -= min(size, a.held) }
 
-// Spend turns what was held for a request into what was sent on.
-func (p *Account) Spend(now time.Time, size uint64) {
-	p.Release(size)
-	p.spent += size
-	p.recent.Add(now, float64(size))
+// Spend turns what was held for a request into spent quota.
+func (a *Account) Spend(now time.Time, size uint64) {
+	a.Release(size)
+	a.spent += size
+	a.recent.Add(now, float64(size))
 }
 
-// Refund takes back that a request was sent on, which has certainly not run, and holds its
-// credit for another try.
-func (p *Account) Refund(now time.Time, size uint64) {
-	p.spent -= min(size, p.spent)
-	p.held += size
-	p.recent.Add(now, -float64(size))
+// Refund reverses Spend for a request that has certainly not run, and holds its quota for
+// another attempt.
+func (a *Account) Refund(now time.Time, size uint64) {
+	a.spent -= min(size, a.spent)
+	a.held += size
+	a.recent.Add(now, -float64(size))
 }
 
-// RetryIn returns after which time there will be room, if the leader has just said that
-// there is none, or 0.
-func (p *Account) RetryIn(now time.Time) time.Duration {
-	if now.Sub(p.refusedAt) >= trustFor {
+// RetryIn returns the time until there will be room if the leader has just answered that there
+// is none, else 0.
+func (a *Account) RetryIn(now time.Time) time.Duration {
+	if now.Sub(a.refusedAt) >= refusalTTL {
 		return 0
 	}
-	return max(p.retryAt.Sub(now), shortestWait)
+	return max(a.retryAt.Sub(now), minRetry)
 }
 
-// Idle reports whether the leader need not be told anything.
-func (p *Account) Idle(now time.Time) bool {
-	p.decay(now)
-	return !p.wanted() && p.held == 0 && p.lent <= p.spent && p.allowance == 0 && p.recent.Sum(now) <= 0
+// Idle reports whether there is nothing to report to the leader.
+func (a *Account) Idle(now time.Time) bool {
+	a.decayRate(now)
+	return !a.inDemand() && a.held == 0 && a.granted <= a.spent && a.allowance == 0 && a.recent.Sum(now) <= 0
 }
 
-// leastRate is the rate below which a customer counts as one that nobody asks for here, in
-// requests a second.
-const leastRate = 0.02
+// minRate is the demand, in requests per second, below which a customer counts as unused at
+// this gateway.
+const minRate = 0.02
 
-// wanted reports whether the customer is asked for here. The rate must be as of now.
-func (p *Account) wanted() bool { return p.rate > leastRate*p.size }
+// inDemand reports whether requests of the customer come here. The rate must be as of now.
+func (a *Account) inDemand() bool { return a.rate > minRate*a.size }
 
-// RecordRefusal notes that a request was refused.
-func (p *Account) RecordRefusal() { p.refused++ }
+// RecordRefusal counts a refused request.
+func (a *Account) RecordRefusal() { a.refused++ }
 
-// Report returns what the leader is told; needed is what waiting requests need. Where
-// nothing is asked for any more the credit is given up.
-func (p *Account) Report(now time.Time, customer string, needed uint64) *wire.CreditAccount {
-	p.decay(now)
-	credit := p.credit(now)
-	said := &wire.CreditAccount{
-		Customer: customer, Account: p.account, Spent: p.spent, Kept: p.kept,
-		Refused: p.refused, Recent: p.recent.Parts(now),
+// Report returns the report to the leader; needed is what waiting requests need. Without demand
+// the unspent quota is returned.
+func (a *Account) Report(now time.Time, customer string, needed uint64) *wire.CreditAccount {
+	a.decayRate(now)
+	unspent := a.unspent(now)
+	report := &wire.CreditAccount{
+		Customer: customer, Account: a.leaseID, Spent: a.spent, Kept: a.reserve,
+		Refused: a.refused, Recent: a.recent.Parts(now),
 	}
-	if !p.wanted() && needed == 0 && p.held == 0 {
-		p.lent = p.spent
-		return said
+	if !a.inDemand() && needed == 0 && a.held == 0 {
+		a.granted = a.spent
+		return report
 	}
-	said.Rate = max(p.rate, leastRate)
-	if needed > credit {
-		said.Needed = needed - credit
+	report.Rate = max(a.rate, minRate)
+	if needed > unspent {
+		report.Needed = needed - unspent
 	}
-	wished := uint64(p.rate*wishFor.Seconds()+p.size) + needed
-	said.Wished = wished - min(wished, credit+said.GetNeeded())
-	return said
+	prefetch := uint64(a.rate*prefetchPeriod.Seconds()+a.size) + needed
+	report.Wished = prefetch - min(prefetch, unspent+report.GetNeeded())
+	return report
 }
 
-// Receive takes the leader's word on a report that was made at a time.
-func (p *Account) Receive(now, asked time.Time, c *wire.Credit) {
-	if c.GetAccount() != p.account {
-		// Another leader, or this one has forgotten the account. What was spent beyond the
-		// credit counts for the new one, as what is held does.
-		p.account = c.GetAccount()
-		p.spent -= min(p.spent, p.lent)
-	}
-	p.lent = c.GetLent()
-	p.refused = 0
-	p.heard, p.alone, p.drawn, p.expired = asked, time.Time{}, 0, false
-	if length := time.Duration(c.GetWindowMs()) * time.Millisecond; length != p.recent.Length {
-		p.recent = windowcounter.Window{Length: length}
-	}
-	p.allowance, p.overdraft, p.kept = c.GetAllowance(), c.GetOverdraft(), c.GetKept()
+// Receive takes the leader's answer to a report that was made at calledAt.
+func (a *Account) Receive(now, calledAt time.Time, c *wire.Credit) {
+	if c.GetAccount() != a.leaseID {
+		// Another leader, or this one has dropped the lease. What was spent beyond the granted
+		// quota counts for the new lease, and so does what is held.
+		a.leaseID = c.GetAccount()
+		a.spent -= min(a.spent, a.granted)
+	}
+	a.granted = c.GetLent()
+	a.refused = 0
+	a.lastContactAt, a.allowanceDrawnAt, a.allowanceRemainder, a.expired = calledAt, time.Time{}, 0, false
+	if length := time.Duration(c.GetWindowMs()) * time.Millisecond; length != a.recent.Length {
+		a.recent = windowcounter.Window{Length: length}
+	}
+	a.allowance, a.overdraft, a.reserve = c.GetAllowance(), c.GetOverdraft(), c.GetKept()
 	if c.GetRoomInMs() > 0 {
-		p.refusedAt = now
-		p.retryAt = now.Add(time.Duration(c.GetRoomInMs()) * time.Millisecond)
+		a.refusedAt = now
+		a.retryAt = now.Add(time.Duration(c.GetRoomInMs()) * time.Millisecond)
 	}
 }
 
-// Reset forgets the account, as when the limit has changed: credit by another limit may be
-// more than the new one allows.
-func (p *Account) Reset() {
-	*p = Account{held: p.held, rate: p.rate, rated: p.rated, size: p.size, recent: p.recent}
+// Reset drops the lease, as after a change of the limit: quota granted under another limit may
+// be more than the new one allows.
+func (a *Account) Reset() {
+	*a = Account{held: a.held, rate: a.rate, rateAt: a.rateAt, size: a.size, recent: a.recent}
 }
 
-// Status is what decided on a request, for logs.
+// Status is the state behind a decision, for logs.
 type Status struct {
-	// Unspent is what could be spent, Held what is held for requests that were let in, and
-	// Allowance what may be spent in a second without the leader.
+	// Unspent is what could be spent, Held what is held for admitted requests, and Allowance
+	// what may be spent per second without the leader.
 	Unspent, Held, Allowance uint64
-	// Age is how old the leader's word is.
+	// Age is the time since the latest answered call to the leader.
 	Age time.Duration
 }
 
-// Status returns what decides now.
-func (p *Account) Status(now time.Time) Status {
-	return Status{Unspent: p.credit(now), Held: p.held, Allowance: uint64(p.allowance), Age: now.Sub(p.heard)}
+// Status returns the current state.
+func (a *Account) Status(now time.Time) Status {
+	return Status{Unspent: a.unspent(now), Held: a.held, Allowance: uint64(a.allowance), Age: now.Sub(a.lastContactAt)}
 }
