--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -7,21 +7,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Requests that wait are granted by priority, then by age, and those are refused at once whose
-// turn would come too late.
-func TestGrantsGoByPriority(t *testing.T) {
+// Waiting requests are granted by priority, then by age. A request that would be granted past
+// its deadline is refused immediately.
+func TestGrantsFollowPriority(t *testing.T) {
 	c := qt.New(t)
 	var a Allocator
 	a.SetRate(at(0), 10)
-	ask := func(key string, urgency uint32, received, giveUp int) GrantRequest {
+	request := func(key string, urgency uint32, received, giveUp int) GrantRequest {
 		return GrantRequest{Key: key, Urgency: urgency, ReceivedAt: at(received), Deadline: at(giveUp), CanWait: true}
 	}
-	c.Check(a.Submit(at(0), ask("late", 1, 5, 2000)).Waiting, qt.IsTrue)
-	c.Check(a.Submit(at(0), ask("early", 1, 0, 2000)).Waiting, qt.IsTrue)
-	c.Check(a.Submit(at(0), ask("urgent", 0, 9, 2000)).Waiting, qt.IsTrue)
-	c.Check(a.Submit(at(0), ask("gone", 0, 9, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), request("late", 1, 5, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), request("early", 1, 0, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), request("urgent", 0, 9, 2000)).Waiting, qt.IsTrue)
+	c.Check(a.Submit(at(0), request("gone", 0, 9, 2000)).Waiting, qt.IsTrue)
 	c.Check(a.Withdraw("gone"), qt.IsTrue)
-	c.Check(a.Submit(at(0), ask("hopeless", 2, 0, 250)), qt.Equals, Decision{RetryIn: 400 * time.Millisecond})
+	c.Check(a.Submit(at(0), request("hopeless", 2, 0, 250)), qt.Equals, Decision{RetryIn: 400 * time.Millisecond})
 	c.Check(a.Submit(at(0), GrantRequest{Key: "at once", ReceivedAt: at(9)}).RetryIn > 0, qt.IsTrue)
 	wait, ok := a.NextGrantIn(at(0))
 	c.Check(ok, qt.IsTrue)
@@ -36,8 +36,8 @@
 	c.Check(ok, qt.IsFalse)
 }
 
-// What gateways sent before they knew of the limit fills the window, once for each gateway.
-func TestEarlierSendsFillTheWindow(t *testing.T) {
+// What gateways sent before they knew of the limit fills the window, once per gateway.
+func TestEarlierSendsFillWindow(t *testing.T) {
 	c := qt.New(t)
 	var a Allocator
 	a.SetRate(at(0), 10)
@@ -55,8 +55,8 @@
 	c.Check(a.Idle(at(9000)), qt.IsTrue)
 }
 
-// A gateway tells a granter what others have granted, and only that.
-func TestSendsAreToldWithoutOwnGrants(t *testing.T) {
+// A gateway reports to a granter only what it sent without a grant of that granter.
+func TestSendsExcludeOwnGrants(t *testing.T) {
 	c := qt.New(t)
 	var s Sends
 	sum := func(granter string) (n uint64) {
@@ -76,11 +76,11 @@
 }
 
 func BenchmarkRateWithoutLimits(b *testing.B) {
-	var book Registry
+	var registry Registry
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
-		book.Rate(now, "b")
+		registry.Rate(now, "b")
 	}
 }
 
--- a/pkg/throttler/book_test.go
+++ b/pkg/throttler/book_test.go
@@ -15,46 +15,46 @@
 	return start.Add(time.Duration(milliseconds) * time.Millisecond)
 }
 
-// What a backend server said last counts, whatever arrives last.
-func TestTheLatestWordOfABackendServerCounts(t *testing.T) {
-	type said struct {
+// The backend server's latest announcement wins, in whatever order observations arrive.
+func TestLatestObservationWins(t *testing.T) {
+	type observed struct {
 		limit  Limit
 		at     int
 		source Source
 	}
 	for name, test := range map[string]struct {
-		said    []said
-		want    Limit
-		changes uint64
+		observed []observed
+		want     Limit
+		changes  uint64
 	}{
-		"nothing":                    {nil, Limit{}, 0},
-		"no limit":                   {[]said{{Limit{}, 0, Answer}}, Limit{}, 0},
-		"a limit":                    {[]said{{LimitOf(5), 0, Answer}}, LimitOf(5), 1},
-		"said again":                 {[]said{{LimitOf(5), 0, Answer}, {LimitOf(5), 10, Answer}}, LimitOf(5), 1},
-		"another value":              {[]said{{LimitOf(5), 0, Answer}, {LimitOf(4), 10, News}}, LimitOf(4), 2},
-		"a little different":         {[]said{{LimitOf(5), 0, Answer}, {LimitOf(5.1), 10, Answer}}, LimitOf(5.1), 1},
-		"an older value later":       {[]said{{LimitOf(5), 10, Answer}, {LimitOf(4), 0, News}}, LimitOf(5), 1},
-		"ended":                      {[]said{{LimitOf(5), 0, Answer}, {Limit{}, 10, Follower}}, Limit{}, 2},
-		"ended, then older news":     {[]said{{LimitOf(5), 0, Answer}, {Limit{}, 10, Answer}, {LimitOf(5), 5, News}}, Limit{}, 2},
-		"news do not make it newer":  {[]said{{LimitOf(5), 0, Answer}, {LimitOf(5), 20, News}, {Limit{}, 10, Answer}}, Limit{}, 2},
-		"from zero to little":        {[]said{{LimitOf(0), 0, Answer}, {LimitOf(1), 10, Answer}}, LimitOf(1), 2},
-		"zero is a limit, not ended": {[]said{{LimitOf(5), 0, Answer}, {LimitOf(0), 10, Answer}}, LimitOf(0), 2},
+		"nothing":                      {nil, Limit{}, 0},
+		"no limit":                     {[]observed{{Limit{}, 0, Answer}}, Limit{}, 0},
+		"a limit":                      {[]observed{{LimitOf(5), 0, Answer}}, LimitOf(5), 1},
+		"announced again":              {[]observed{{LimitOf(5), 0, Answer}, {LimitOf(5), 10, Answer}}, LimitOf(5), 1},
+		"another value":                {[]observed{{LimitOf(5), 0, Answer}, {LimitOf(4), 10, News}}, LimitOf(4), 2},
+		"a little different":           {[]observed{{LimitOf(5), 0, Answer}, {LimitOf(5.1), 10, Answer}}, LimitOf(5.1), 1},
+		"an older value later":         {[]observed{{LimitOf(5), 10, Answer}, {LimitOf(4), 0, News}}, LimitOf(5), 1},
+		"ended":                        {[]observed{{LimitOf(5), 0, Answer}, {Limit{}, 10, Follower}}, Limit{}, 2},
+		"ended, then an older update":  {[]observed{{LimitOf(5), 0, Answer}, {Limit{}, 10, Answer}, {LimitOf(5), 5, News}}, Limit{}, 2},
+		"updates do not make it newer": {[]observed{{LimitOf(5), 0, Answer}, {LimitOf(5), 20, News}, {Limit{}, 10, Answer}}, Limit{}, 2},
+		"from zero to little":          {[]observed{{LimitOf(0), 0, Answer}, {LimitOf(1), 10, Answer}}, LimitOf(1), 2},
+		"zero is a limit, not ended":   {[]observed{{LimitOf(5), 0, Answer}, {LimitOf(0), 10, Answer}}, LimitOf(0), 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			var b Registry
-			for _, s := range test.said {
+			for _, s := range test.observed {
 				b.Observe(Observation{Backend: "b", Limit: s.limit, At: at(s.at), Source: s.source})
 			}
-			standing, _ := b.Status("b")
-			c.Check(standing.Limit, qt.Equals, test.want)
+			status, _ := b.Status("b")
+			c.Check(status.Limit, qt.Equals, test.want)
 			c.Check(b.Revision(), qt.Equals, test.changes)
 		})
 	}
 }
 
-// After a limit the rate rises by degrees, and then nothing is limited.
-func TestTheRateRisesAfterALimit(t *testing.T) {
+// After a limit ends, the rate ramps up until nothing is limited.
+func TestRateRampsUpAfterLimit(t *testing.T) {
 	c := qt.New(t)
 	var b Registry
 	b.Observe(Observation{Backend: "b", Limit: LimitOf(5), At: at(0), Source: Answer})
@@ -72,7 +72,7 @@
 	c.Check(b.Empty(), qt.IsTrue)
 }
 
-// Limits pass between instances with their ages; what came as news is not passed back.
+// Limits pass between instances with their ages; those from updates are not sent back.
 func TestLimitsPassBetweenInstances(t *testing.T) {
 	c := qt.New(t)
 	var gateway, controller Registry
@@ -89,7 +89,7 @@
 	controller.Prune(at(400), func(id string) bool { return id != "own" })
 	c.Check(controller.Empty(), qt.IsTrue)
 	for name, l := range map[string]*wire.RequestLimit{
-		"no backend server": {RequestsPerSecond: 1}, "less than nothing": {Backend: "b", RequestsPerSecond: -1},
+		"no backend server": {RequestsPerSecond: 1}, "negative rate": {Backend: "b", RequestsPerSecond: -1},
 	} {
 		_, ok := Decode(at(0), l, News)
 		c.Check(ok, qt.IsFalse, qt.Commentf(name))
--- a/pkg/throttler/sends.go
+++ b/pkg/throttler/sends.go
@@ -6,15 +6,15 @@
 	"bronzelead.example/pkg/windowcounter"
 )
 
-// maxGranters bounds the gateways whose grants are counted apart: owner and deputy, and those
-// of a moment ago.
+// maxGranters bounds the gateways whose grants are counted separately: owner and deputy, and
+// the previous ones.
 const maxGranters = 4
 
-// Sends counts what one gateway has sent to a backend server in the window. The zero value
-// is ready for use.
+// Sends counts what one gateway has sent to a backend server in the window. The zero value is
+// ready for use.
 type Sends struct {
-	// granted is what was sent with grants, by who granted it, the latest last. The first entry
-	// is what was sent without a grant, or with one of long ago.
+	// granted counts sends by the gateway that granted them, the most recently used last. The
+	// first entry counts sends without a grant, and those of evicted granters.
 	granted []granterSends
 }
 
@@ -23,18 +23,18 @@
 	window  windowcounter.Window
 }
 
-// Add notes that a request is sent, with a grant of a gateway; "" is without one.
-func (s *Sends) Add(now time.Time, granter string) { s.of(now, granter).Add(now, 1) }
+// Add records a send with a grant of a gateway; "" is without one.
+func (s *Sends) Add(now time.Time, granter string) { s.windowOf(now, granter).Add(now, 1) }
 
-// of returns the count for a granter.
-func (s *Sends) of(now time.Time, granter string) *windowcounter.Window {
+// windowOf returns the window of a granter.
+func (s *Sends) windowOf(now time.Time, granter string) *windowcounter.Window {
 	for i := range s.granted {
 		if s.granted[i].granter == granter {
-			return s.latest(i)
+			return s.moveToLast(i)
 		}
 	}
 	if granter != "" {
-		s.of(now, "")
+		s.windowOf(now, "")
 	}
 	if len(s.granted) > maxGranters {
 		s.granted[0].window.AddParts(now, s.granted[1].window.Parts(now))
@@ -44,12 +44,12 @@
 	return &s.granted[len(s.granted)-1].window
 }
 
-// latest makes an entry the latest, but for the first, and returns its window.
-func (s *Sends) latest(i int) *windowcounter.Window {
+// moveToLast makes an entry other than the first the last, and returns its window.
+func (s *Sends) moveToLast(i int) *windowcounter.Window {
 	if last := len(s.granted) - 1; i > 0 && i < last {
-		used := s.granted[i]
+		entry := s.granted[i]
 		copy(s.granted[i:], s.granted[i+1:])
-		s.granted[last] = used
+		s.granted[last] = entry
 		i = last
 	}
 	return &s.granted[i].window
--- a/pkg/throttler/world_test.go
+++ b/pkg/throttler/world_test.go
@@ -9,32 +9,33 @@
 	"bronzelead.example/pkg/ranker"
 )
 
-// world is gateways that send to one backend server with a limit, in virtual time. It sees
-// all sends.
-type world struct {
+// simulation is a backend server with a limit and the gateways that send to it, in virtual
+// time. It records all sends.
+type simulation struct {
 	random   *rand.Rand
 	now      time.Time
 	began    time.Time
 	gateways []*gatewayModel
 	// weights are the sums of the gateways' weights.
 	weights []float64
-	// news is the latest change that any gateway has seen, and looked when it spread last.
-	news   Observation
-	looked time.Time
-	// limit is what the backend server names.
+	// update is the latest change that any gateway has observed, and lastTickAt the latest
+	// tick.
+	update     Observation
+	lastTickAt time.Time
+	// limit is what the backend server announces.
 	limit Limit
-	// sends are the requests that it got, in their order.
+	// sends are the requests that it received, in order.
 	sends []sendEvent
-	// asked counts the requests that came to gateways.
-	asked int
-	// delay is the time of a call, and lost the part of calls that are lost.
+	// requested counts the requests that came to gateways.
+	requested int
+	// delay is the duration of a call, and lost the share of calls that are lost.
 	delay time.Duration
 	lost  float64
-	// roster is the list of gateways by the leader; each gateway knows it later.
-	rosterChangedAt time.Time
-	roster          []string
-	before          []string
-	way             way
+	// gatewayList is the leader's list of gateways; each gateway receives it after its lag.
+	listChangedAt time.Time
+	gatewayList   []string
+	previousList  []string
+	strategy      strategy
 }
 
 type sendEvent struct {
@@ -42,11 +43,11 @@
 	gateway int
 }
 
-// way is how a gateway gets leave to send.
-type way interface {
-	mayBeSent(w *world, g *gatewayModel) (granted bool, by string, retryIn time.Duration)
-	// tick lets time pass.
-	tick(w *world)
+// strategy decides whether a gateway may send.
+type strategy interface {
+	requestGrant(w *simulation, g *gatewayModel) (granted bool, by string, retryIn time.Duration)
+	// tick runs periodic work.
+	tick(w *simulation)
 }
 
 type gatewayModel struct {
@@ -54,24 +55,24 @@
 	address string
 	weight  float64
 	up      bool
-	// lag is how long it takes to hear of news.
-	lag  time.Duration
-	book Registry
-	// heard is which news it has heard.
-	heard       time.Time
-	sent        Sends
-	pausedUntil time.Time
-	// toldAt is when it has passed on an answer with a limit first.
-	toldAt time.Time
-	owned  map[Role]*Allocator
+	// lag is the time until it receives an update.
+	lag      time.Duration
+	registry Registry
+	// receivedUpdateAt identifies the latest update received.
+	receivedUpdateAt time.Time
+	sent             Sends
+	pausedUntil      time.Time
+	// announcedAt is when it first received an answer with a limit.
+	announcedAt time.Time
+	owned       map[Role]*Allocator
 }
 
 const backendID = "b"
 
-func newWorld(seed uint64, gateways int, w way) *world {
+func newSimulation(seed uint64, gateways int, w strategy) *simulation {
 	random := rand.New(rand.NewPCG(seed, 7))
 	start := time.Unix(1e9, 0)
-	y := &world{random: random, now: start, began: start, way: w, delay: time.Duration(1+random.IntN(8)) * time.Millisecond}
+	y := &simulation{random: random, now: start, began: start, strategy: w, delay: time.Duration(1+random.IntN(8)) * time.Millisecond}
 	total := 0.0
 	for n := range gateways {
 		g := &gatewayModel{
@@ -79,27 +80,27 @@
 			lag: time.Duration(50+random.IntN(350)) * time.Millisecond, owned: map[Role]*Allocator{},
 		}
 		y.gateways = append(y.gateways, g)
-		y.roster = append(y.roster, g.address)
+		y.gatewayList = append(y.gatewayList, g.address)
 		total += g.weight
 		y.weights = append(y.weights, total)
 	}
-	y.before = y.roster
+	y.previousList = y.gatewayList
 	return y
 }
 
-// step is the time between two looks at the world.
+// step is the resolution of the virtual time.
 const step = 5 * time.Millisecond
 
-// lookEvery is the time between two looks at what happens without requests.
-const lookEvery = 25 * time.Millisecond
+// tickInterval is the time between two ticks.
+const tickInterval = 25 * time.Millisecond
 
-// run lets requests come for a time.
-func (w *world) run(d time.Duration, perSecond float64) {
+// run generates requests for a time.
+func (w *simulation) run(d time.Duration, perSecond float64) {
 	for until := w.now.Add(d); w.now.Before(until); w.now = w.now.Add(step) {
-		if w.now.Sub(w.looked) >= lookEvery {
-			w.looked = w.now
-			w.spread()
-			w.way.tick(w)
+		if w.now.Sub(w.lastTickAt) >= tickInterval {
+			w.lastTickAt = w.now
+			w.spreadUpdate()
+			w.strategy.tick(w)
 		}
 		for expected := perSecond * step.Seconds(); expected > 0; expected-- {
 			if w.random.Float64() < expected {
@@ -109,25 +110,25 @@
 	}
 }
 
-// pick returns the gateway that a request comes to.
-func (w *world) pick() *gatewayModel {
+// pick returns the gateway that receives the next request.
+func (w *simulation) pick() *gatewayModel {
 	total := w.weights[len(w.weights)-1]
 	n, _ := slices.BinarySearch(w.weights, w.random.Float64()*total)
 	return w.gateways[min(n, len(w.gateways)-1)]
 }
 
-// request lets a request come to a gateway, which sends it here or elsewhere.
-func (w *world) request(g *gatewayModel) {
-	w.asked++
+// request adds a request at a gateway, which sends it if it is granted.
+func (w *simulation) request(g *gatewayModel) {
+	w.requested++
 	if !g.up {
 		return
 	}
 	by := ""
-	if _, limited := g.book.Rate(w.now, backendID); limited {
+	if _, limited := g.registry.Rate(w.now, backendID); limited {
 		if w.now.Before(g.pausedUntil) {
 			return
 		}
-		granted, granter, retryIn := w.way.mayBeSent(w, g)
+		granted, granter, retryIn := w.strategy.requestGrant(w, g)
 		if !granted {
 			g.pausedUntil = w.now.Add(retryIn)
 			return
@@ -136,58 +137,58 @@
 	}
 	g.sent.Add(w.now, by)
 	w.sends = append(w.sends, sendEvent{w.now, g.n})
-	said := Observation{Backend: backendID, Limit: w.limit, At: w.now, Source: Answer}
-	if _, changed := g.book.Observe(said); changed && said.Limit != w.news.Limit {
-		said.Source = News
-		w.news = said
+	observation := Observation{Backend: backendID, Limit: w.limit, At: w.now, Source: Answer}
+	if _, changed := g.registry.Observe(observation); changed && observation.Limit != w.update.Limit {
+		observation.Source = News
+		w.update = observation
 	}
-	if w.limit.Named && g.toldAt.IsZero() {
-		g.toldAt = w.now
+	if w.limit.Named && g.announcedAt.IsZero() {
+		g.announcedAt = w.now
 	}
 }
 
-// spread brings each gateway the news of a change, after its lag.
-func (w *world) spread() {
+// spreadUpdate delivers the latest update to each gateway after its lag.
+func (w *simulation) spreadUpdate() {
 	for _, g := range w.gateways {
-		if w.news.Backend != "" && g.heard != w.news.At && w.now.Sub(w.news.At) >= g.lag {
-			g.heard = w.news.At
-			g.book.Observe(w.news)
+		if w.update.Backend != "" && g.receivedUpdateAt != w.update.At && w.now.Sub(w.update.At) >= g.lag {
+			g.receivedUpdateAt = w.update.At
+			g.registry.Observe(w.update)
 		}
 	}
 }
 
-// kill ends a gateway; the leader takes it off the roster after a while.
-func (w *world) kill(n int) {
+// kill stops a gateway; the leader removes it from the list after a delay.
+func (w *simulation) kill(n int) {
 	w.gateways[n].up = false
-	w.before, w.rosterChangedAt = w.roster, w.now.Add(1500*time.Millisecond)
-	w.roster = nil
+	w.previousList, w.listChangedAt = w.gatewayList, w.now.Add(1500*time.Millisecond)
+	w.gatewayList = nil
 	for _, g := range w.gateways {
 		if g.up {
-			w.roster = append(w.roster, g.address)
+			w.gatewayList = append(w.gatewayList, g.address)
 		}
 	}
 }
 
-// restart starts a gateway again, which knows nothing.
-func (w *world) restart(n int) {
+// restart starts a gateway again, without state.
+func (w *simulation) restart(n int) {
 	old := w.gateways[n]
 	w.gateways[n] = &gatewayModel{n: n, address: old.address, weight: old.weight, up: true, lag: old.lag, owned: map[Role]*Allocator{}}
-	w.before, w.rosterChangedAt = w.roster, w.now.Add(200*time.Millisecond)
-	w.roster = append([]string{old.address}, w.roster...)
+	w.previousList, w.listChangedAt = w.gatewayList, w.now.Add(200*time.Millisecond)
+	w.gatewayList = append([]string{old.address}, w.gatewayList...)
 }
 
-// ranked returns the owner and the deputy by the roster that a gateway knows.
-func (w *world) ranked(g *gatewayModel) []string {
-	roster := w.roster
-	if w.now.Sub(w.rosterChangedAt) < g.lag {
-		roster = w.before
+// ranked returns the owner and the deputy by the list that a gateway knows.
+func (w *simulation) ranked(g *gatewayModel) []string {
+	known := w.gatewayList
+	if w.now.Sub(w.listChangedAt) < g.lag {
+		known = w.previousList
 	}
-	list := append([]string{}, roster...)
+	list := append([]string{}, known...)
 	ranker.Sort(list, backendID)
 	return list[:min(2, len(list))]
 }
 
-func (w *world) at(address string) *gatewayModel {
+func (w *simulation) at(address string) *gatewayModel {
 	for _, g := range w.gateways {
 		if g.address == address {
 			return g
@@ -196,18 +197,18 @@
 	return nil
 }
 
-// byOwner asks the owner of the limit, and its deputy.
-type byOwner struct{}
+// ownerGrants requests a grant of the limit's owner, or of its deputy.
+type ownerGrants struct{}
 
-func (byOwner) mayBeSent(w *world, g *gatewayModel) (granted bool, by string, retryIn time.Duration) {
+func (ownerGrants) requestGrant(w *simulation, g *gatewayModel) (granted bool, by string, retryIn time.Duration) {
 	for role, address := range w.ranked(g) {
 		owner := w.at(address)
 		if !owner.up || owner != g && w.random.Float64() < w.lost {
 			continue
 		}
-		rate, limited := owner.book.Rate(w.now, backendID)
+		rate, limited := owner.registry.Rate(w.now, backendID)
 		if !limited {
-			rate, _ = g.book.Rate(w.now, backendID)
+			rate, _ = g.registry.Rate(w.now, backendID)
 		}
 		a := owner.owned[Role(role)]
 		if a == nil {
@@ -222,30 +223,30 @@
 	return false, "", 250 * time.Millisecond
 }
 
-func (byOwner) tick(*world) {}
+func (ownerGrants) tick(*simulation) {}
 
-// worst returns the most requests in a window that ends between two times, of gateways that
-// had been told half a second before.
-func (w *world) worst(from, until time.Time) int {
-	most := 0
+// worst returns the maximum number of requests in a window that ends between two times, of
+// gateways that had received the limit at least half a second before.
+func (w *simulation) worst(from, until time.Time) int {
+	worst := 0
 	for i, end := range w.sends {
 		if end.at.Before(from) || end.at.After(until) {
 			continue
 		}
 		n := 0
 		for j := i; j >= 0 && end.at.Sub(w.sends[j].at) <= Window; j-- {
-			told := w.gateways[w.sends[j].gateway].toldAt
-			if !told.IsZero() && end.at.Sub(told) >= 500*time.Millisecond {
+			announcedAt := w.gateways[w.sends[j].gateway].announcedAt
+			if !announcedAt.IsZero() && end.at.Sub(announcedAt) >= 500*time.Millisecond {
 				n++
 			}
 		}
-		most = max(most, n)
+		worst = max(worst, n)
 	}
-	return most
+	return worst
 }
 
-// sentBetween returns how many requests the backend server got in a time.
-func (w *world) sentBetween(from, until time.Time) int {
+// sentBetween returns how many requests the backend server received in a period.
+func (w *simulation) sentBetween(from, until time.Time) int {
 	n := 0
 	for _, s := range w.sends {
 		if s.at.After(from) && !s.at.After(until) {
