--- a/gateway/quotaenforcer/quotaenforcer.go
+++ b/gateway/quotaenforcer/quotaenforcer.go
@@ -1,6 +1,6 @@
-// Package borrower keeps customers to their limits at one gateway: it borrows credit of the
-// leader before it is needed, asks at once for what requests wait for, and passes the calls
-// of gateways on that follow this one.
+// Package quotaenforcer enforces customers' limits at one gateway: it prefetches quota from the
+// leader, requests quota immediately for waiting requests, and forwards the calls of gateways
+// that follow this one.
 package quotaenforcer
 
 import (
@@ -21,27 +21,27 @@
 )
 
 const (
-	// callTimeout bounds a call to the leader, and leaves a relay's own call time to fail.
+	// callTimeout bounds a call to the leader, and leaves time for a relay's own call to fail.
 	callTimeout = 250 * time.Millisecond
-	// pauseAfterFailure is the time between two calls while the leader does not answer.
-	pauseAfterFailure = 50 * time.Millisecond
-	// lookEvery is the time between two looks at requests that wait, if no other one comes.
-	lookEvery = 20 * time.Millisecond
-	// longestWait is how long a request waits for credit: until a gateway that does not reach
-	// the leader spends its allowance.
-	longestWait = 500 * time.Millisecond
-	// termEvery is the time between two looks at whether there is a new leader.
-	termEvery = 250 * time.Millisecond
-	// firstCall is the time between two calls before the leader has said it.
-	firstCall = 250 * time.Millisecond
+	// failureBackoff is the time between two calls while the leader does not answer.
+	failureBackoff = 50 * time.Millisecond
+	// checkInterval is the time between two checks of waiting requests without a new one.
+	checkInterval = 20 * time.Millisecond
+	// maxWait is how long a request waits for quota: until a gateway that can't reach the
+	// leader spends its allowance.
+	maxWait = 500 * time.Millisecond
+	// termCheckInterval is the time between two checks for a new leader.
+	termCheckInterval = 250 * time.Millisecond
+	// defaultCallInterval is the time between two calls if the leader sets none.
+	defaultCallInterval = 250 * time.Millisecond
 )
 
-// Decision is what becomes of a request.
+// Decision is the result of an admission check.
 type Decision struct {
-	// Admitted is set if its credit is held: Release or Spend ends that.
+	// Admitted is set if quota is held for the request, until Release or Spend.
 	Admitted bool
-	// OverLimit is set if its customer is beyond its limit; there will be room after RetryIn.
-	// If neither is set, nobody could tell.
+	// OverLimit is set if the customer exceeds its limit; there will be room after RetryIn. If
+	// neither is set, it is unknown whether there is room.
 	OverLimit bool
 	RetryIn   time.Duration
 }
@@ -51,76 +51,77 @@
 	Clock clockwork.Clock
 	Log   *slog.Logger
 	Meter *meter.Meter
-	// Gateway names this gateway, and Address is where other processes reach it.
+	// Gateway is the name of this gateway, and Address is where other processes reach it.
 	Gateway string
 	Address string
-	// Term returns that of the leader that is heard, by which this gateway knows that a new one
-	// has to hear what it has spent; nil tells nobody unasked.
+	// Term returns the term of the current leader. A new leader receives a report of the usage;
+	// with nil, idle gateways send no such report.
 	Term func() uint64
-	// Upstream returns the address of the leader, or of a gateway on the way to it; "" if none
+	// Upstream returns the address of the leader, or of a gateway on the path to it; "" if none
 	// is known.
 	Upstream func() string
 	// Client returns a client of the limits at an address; nil makes one over HTTP.
 	Client func(address string) wire.Limits
 
-	kick      chan struct{}
+	wakeup    chan struct{}
 	transport *http.Transport
 	startedAt time.Time
 
 	mu       sync.Mutex
 	accounts map[string]*account
-	// callAt is when the leader is to be called at the latest; failing is set while calls fail.
-	callAt  time.Time
-	failing bool
-	// limited is set while any customer has a limit, and told is the term of the leader that
-	// was told last what was spent.
-	limited bool
-	told    uint64
-	// telling is the term of the leader that the call under way tells, or 0.
-	telling uint64
+	// nextCallAt is when the leader is to be called at the latest; failing is set while calls
+	// fail.
+	nextCallAt time.Time
+	failing    bool
+	// limited is set while any customer has a limit, and reportedTerm is the term of the leader
+	// that received the latest usage report.
+	limited      bool
+	reportedTerm uint64
+	// reportingTerm is the term of the new leader that the current call reports to, or 0.
+	reportingTerm uint64
 }
 
-// account is what is kept of one customer.
+// account is the state of one customer.
 type account struct {
 	quotaallocator.Account
 	limit   *wire.CustomerLimit
 	waiters []*waiter
 }
 
-// waiter is a request that waits for credit.
+// waiter is a request that waits for quota.
 type waiter struct {
-	size  uint64
-	until time.Time
-	// verdict takes the verdict, once. It has room for it.
-	verdict chan Decision
+	size     uint64
+	deadline time.Time
+	// decision receives the decision once. It is buffered.
+	decision chan Decision
 }
 
-// Init prepares the borrower for use.
-func (b *Enforcer) Init() {
-	b.kick = make(chan struct{}, 1)
-	b.startedAt = b.Clock.Now()
-	b.accounts = map[string]*account{}
-	b.transport = connector.NewTransport(nil)
-	if b.Client == nil {
-		client := &connector.Client{Timeout: callTimeout, Transport: b.transport}
-		b.Client = func(address string) wire.Limits { return wire.NewLimitsProtobufClient("http://"+address, client) }
+// Init prepares the enforcer for use.
+func (e *Enforcer) Init() {
+	e.wakeup = make(chan struct{}, 1)
+	e.startedAt = e.Clock.Now()
+	e.accounts = map[string]*account{}
+	e.transport = connector.NewTransport(nil)
+	if e.Client == nil {
+		client := &connector.Client{Timeout: callTimeout, Transport: e.transport}
+		e.Client = func(address string) wire.Limits { return wire.NewLimitsProtobufClient("http://"+address, client) }
 	}
 }
 
 // SetCustomers takes the limits in force.
-func (b *Enforcer) SetCustomers(customers []*wire.RoutedCustomer) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (e *Enforcer) SetCustomers(customers []*wire.RoutedCustomer) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	limits := map[string]*wire.CustomerLimit{}
-	b.limited = false
+	e.limited = false
 	for _, c := range customers {
 		limits[c.GetName()] = c.GetLimit()
-		b.limited = b.limited || c.GetLimit() != nil
+		e.limited = e.limited || c.GetLimit() != nil
 	}
-	if b.limited {
-		b.wake()
+	if e.limited {
+		e.wake()
 	}
-	for name, p := range b.accounts {
+	for name, p := range e.accounts {
 		lower := isLower(limits[name], p.limit)
 		p.limit = limits[name]
 		if lower {
@@ -129,69 +130,68 @@
 	}
 }
 
-// isLower reports whether credit by an earlier limit may be more than the limit allows.
+// isLower reports whether quota granted under an earlier limit may exceed the new limit.
 func isLower(limit, earlier *wire.CustomerLimit) bool {
 	return limit.GetUnit() != earlier.GetUnit() || limit.GetRatePerSecond() < earlier.GetRatePerSecond() ||
 		limit.GetBurst() < earlier.GetBurst()
 }
 
-// Admit holds credit for a request of a customer that has a limit, and waits for it if
-// needed.
-func (b *Enforcer) Admit(ctx context.Context, customer string, limit *wire.CustomerLimit, size uint64) Decision {
-	now := b.Clock.Now()
-	b.mu.Lock()
-	p := b.accounts[customer]
+// Admit holds quota for a request of a customer that has a limit, and waits for it if needed.
+func (e *Enforcer) Admit(ctx context.Context, customer string, limit *wire.CustomerLimit, size uint64) Decision {
+	now := e.Clock.Now()
+	e.mu.Lock()
+	p := e.accounts[customer]
 	if p == nil {
 		p = &account{limit: limit}
-		b.accounts[customer] = p
+		e.accounts[customer] = p
 	}
 	p.RecordDemand(now, size)
-	w := &waiter{size: size, until: now.Add(longestWait), verdict: make(chan Decision, 1)}
+	w := &waiter{size: size, deadline: now.Add(maxWait), decision: make(chan Decision, 1)}
 	if len(p.waiters) == 0 {
-		if v, decided := p.judge(now, w); decided {
-			b.mu.Unlock()
+		if v, decided := p.decide(now, w); decided {
+			e.mu.Unlock()
 			return v
 		}
 	}
 	p.waiters = append(p.waiters, w)
-	b.mu.Unlock()
-	b.wake()
+	e.mu.Unlock()
+	e.wake()
 	select {
-	case v := <-w.verdict:
+	case v := <-w.decision:
 		return v
 	case <-ctx.Done():
-		return b.leave(customer, w)
+		return e.abandon(customer, w)
 	}
 }
 
-// leave takes out a request whose caller has left.
-func (b *Enforcer) leave(customer string, w *waiter) Decision {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// abandon removes a request whose caller has disconnected.
+func (e *Enforcer) abandon(customer string, w *waiter) Decision {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	select {
-	case v := <-w.verdict:
+	case v := <-w.decision:
 		return v
 	default:
 	}
-	if p := b.accounts[customer]; p != nil {
-		p.drop(w)
+	if p := e.accounts[customer]; p != nil {
+		p.removeWaiter(w)
 	}
 	return Decision{}
 }
 
-func (p *account) drop(gone *waiter) {
-	kept := p.waiters[:0]
+func (p *account) removeWaiter(removed *waiter) {
+	remaining := p.waiters[:0]
 	for _, w := range p.waiters {
-		if w != gone {
-			kept = append(kept, w)
+		if w != removed {
+			remaining = append(remaining, w)
 		}
 	}
-	clear(p.waiters[len(kept):])
-	p.waiters = kept
+	clear(p.waiters[len(remaining):])
+	p.waiters = remaining
 }
 
-// judge decides on a request, if that can be done now.
-func (p *account) judge(now time.Time, w *waiter) (Decision, bool) {
+// decide decides on a request, if that is possible now.
+func (p *account) decide(now time.Time, w *waiter) (Decision, bool) {
 	if p.Hold(now, w.size) {
 		return Decision{Admitted: true}, true
 	}
@@ -199,152 +199,151 @@
 		p.RecordRefusal()
 		return Decision{OverLimit: true, RetryIn: retryIn}, true
 	}
-	if now.Before(w.until) {
+	if now.Before(w.deadline) {
 		return Decision{}, false
 	}
 	p.RecordRefusal()
 	return Decision{}, true
 }
 
-// settle decides on the requests that wait, as far as that can be done now.
+// settle decides on the waiting requests, as far as that is possible now.
 func (p *account) settle(now time.Time) {
-	kept := p.waiters[:0]
+	remaining := p.waiters[:0]
 	for _, w := range p.waiters {
-		v, decided := p.judge(now, w)
+		v, decided := p.decide(now, w)
 		if !decided {
-			kept = append(kept, w)
+			remaining = append(remaining, w)
 			continue
 		}
-		w.verdict <- v
+		w.decision <- v
 	}
-	clear(p.waiters[len(kept):])
-	p.waiters = kept
+	clear(p.waiters[len(remaining):])
+	p.waiters = remaining
 }
 
-// Release gives back the credit of a request that was not sent on.
-func (b *Enforcer) Release(customer string, size uint64) {
-	b.with(customer, func(p *account) { p.Release(size) })
+// Release returns the quota of a request that was not sent.
+func (e *Enforcer) Release(customer string, size uint64) {
+	e.withAccount(customer, func(p *account) { p.Release(size) })
 }
 
-// Spend notes that a request is sent on whose credit is held.
-func (b *Enforcer) Spend(customer string, size uint64) {
-	b.with(customer, func(p *account) { p.Spend(b.Clock.Now(), size) })
+// Spend records that a request whose quota is held is sent.
+func (e *Enforcer) Spend(customer string, size uint64) {
+	e.withAccount(customer, func(p *account) { p.Spend(e.Clock.Now(), size) })
 }
 
-// Refund notes that a request which was sent on has certainly not run. Its credit is held
-// again.
-func (b *Enforcer) Refund(customer string, size uint64) {
-	b.with(customer, func(p *account) { p.Refund(b.Clock.Now(), size) })
+// Refund records that a request which was sent has certainly not run. Its quota is held again.
+func (e *Enforcer) Refund(customer string, size uint64) {
+	e.withAccount(customer, func(p *account) { p.Refund(e.Clock.Now(), size) })
 }
 
-// Status returns what decides on the requests of a customer now.
-func (b *Enforcer) Status(customer string) quotaallocator.Status {
-	standing := quotaallocator.Status{}
-	b.with(customer, func(p *account) { standing = p.Status(b.Clock.Now()) })
-	return standing
+// Status returns the state behind the decisions on a customer's requests.
+func (e *Enforcer) Status(customer string) quotaallocator.Status {
+	status := quotaallocator.Status{}
+	e.withAccount(customer, func(p *account) { status = p.Status(e.Clock.Now()) })
+	return status
 }
 
-func (b *Enforcer) with(customer string, f func(p *account)) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if p := b.accounts[customer]; p != nil {
+func (e *Enforcer) withAccount(customer string, f func(p *account)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if p := e.accounts[customer]; p != nil {
 		f(p)
 	}
 }
 
-func (b *Enforcer) wake() {
+func (e *Enforcer) wake() {
 	select {
-	case b.kick <- struct{}{}:
+	case e.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// Run borrows until ctx ends.
-func (b *Enforcer) Run(ctx context.Context) {
-	defer b.transport.CloseIdleConnections()
-	for b.await(ctx) {
-		b.round(ctx)
+// Run requests quota until ctx ends.
+func (e *Enforcer) Run(ctx context.Context) {
+	defer e.transport.CloseIdleConnections()
+	for e.waitForWork(ctx) {
+		e.runOnce(ctx)
 	}
 }
 
-// await waits until there may be something to do, and reports false once ctx has ended.
-func (b *Enforcer) await(ctx context.Context) bool {
+// waitForWork waits until there may be something to do, and reports false once ctx has ended.
+func (e *Enforcer) waitForWork(ctx context.Context) bool {
 	var due <-chan time.Time
-	if wait, ok := b.nextLook(); ok {
-		timer := b.Clock.NewTimer(wait)
+	if wait, ok := e.nextCheckIn(); ok {
+		timer := e.Clock.NewTimer(wait)
 		defer timer.Stop()
 		due = timer.Chan()
 	}
 	select {
 	case <-ctx.Done():
 		return false
-	case <-b.kick:
+	case <-e.wakeup:
 	case <-due:
 	}
 	return true
 }
 
-// nextLook returns when to look again, and false if nothing is asked for.
-func (b *Enforcer) nextLook() (time.Duration, bool) {
-	now := b.Clock.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// nextCheckIn returns the time until the next check, and false if there is no demand.
+func (e *Enforcer) nextCheckIn() (time.Duration, bool) {
+	now := e.Clock.Now()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	busy := false
-	for _, p := range b.accounts {
+	for _, p := range e.accounts {
 		if len(p.waiters) > 0 {
-			return lookEvery, true
+			return checkInterval, true
 		}
 		busy = busy || !p.Idle(now)
 	}
-	if b.limited && !busy {
-		return termEvery, true
+	if e.limited && !busy {
+		return termCheckInterval, true
 	}
-	return max(lookEvery, b.callAt.Sub(now)), busy
+	return max(checkInterval, e.nextCallAt.Sub(now)), busy
 }
 
-// newLeader returns the term of a leader that has not been told what was spent, or 0.
-func (b *Enforcer) newLeader() uint64 {
-	if b.Term == nil || !b.limited {
+// unreportedTerm returns the term of a leader that has no usage report yet, or 0.
+func (e *Enforcer) unreportedTerm() uint64 {
+	if e.Term == nil || !e.limited {
 		return 0
 	}
-	if term := b.Term(); term != b.told {
+	if term := e.Term(); term != e.reportedTerm {
 		return term
 	}
 	return 0
 }
 
-// round calls the leader if that is due, and decides on the requests that wait.
-func (b *Enforcer) round(ctx context.Context) {
-	now := b.Clock.Now()
-	said := b.report(now)
-	if said == nil {
-		b.settle(now)
+// runOnce calls the leader if that is due, and decides on the waiting requests.
+func (e *Enforcer) runOnce(ctx context.Context) {
+	now := e.Clock.Now()
+	report := e.report(now)
+	if report == nil {
+		e.settle(now)
 		return
 	}
-	res, err := b.call(ctx, &wire.BorrowRequest{Borrowers: []*wire.Borrower{said}})
+	res, err := e.call(ctx, &wire.BorrowRequest{Borrowers: []*wire.Borrower{report}})
 	if err == nil && len(res.GetBorrowers()) != 1 {
-		err = errors.Errorf("borrower: %d answers to one gateway", len(res.GetBorrowers()))
+		err = errors.Errorf("quotaenforcer: %d answers to one gateway", len(res.GetBorrowers()))
 	}
-	b.hear(now, res, err)
-	b.settle(b.Clock.Now())
+	e.receive(now, res, err)
+	e.settle(e.Clock.Now())
 }
 
-// report returns what the leader is to be told now, or nil.
-func (b *Enforcer) report(now time.Time) *wire.Borrower {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// report returns the report that is due to the leader, or nil.
+func (e *Enforcer) report(now time.Time) *wire.Borrower {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	urgent := false
-	for _, p := range b.accounts {
+	for _, p := range e.accounts {
 		urgent = urgent || len(p.waiters) > 0
 	}
-	fresh := b.newLeader()
-	if now.Before(b.callAt) && (!urgent && fresh == 0 || b.failing) {
+	newTerm := e.unreportedTerm()
+	if now.Before(e.nextCallAt) && (!urgent && newTerm == 0 || e.failing) {
 		return nil
 	}
-	said := &wire.Borrower{
-		Gateway: b.Gateway, Address: b.Address, RunningMs: uint32(min(now.Sub(b.startedAt), time.Hour).Milliseconds()),
+	report := &wire.Borrower{
+		Gateway: e.Gateway, Address: e.Address, RunningMs: uint32(min(now.Sub(e.startedAt), time.Hour).Milliseconds()),
 	}
-	for name, p := range b.accounts {
+	for name, p := range e.accounts {
 		if len(p.waiters) == 0 && p.Idle(now) {
 			continue
 		}
@@ -352,76 +351,76 @@
 		for _, w := range p.waiters {
 			needed += w.size
 		}
-		said.Accounts = append(said.Accounts, p.Report(now, name, needed))
+		report.Accounts = append(report.Accounts, p.Report(now, name, needed))
 	}
-	if len(said.Accounts) == 0 && fresh == 0 {
+	if len(report.Accounts) == 0 && newTerm == 0 {
 		return nil
 	}
-	b.telling = fresh
-	return said
+	e.reportingTerm = newTerm
+	return report
 }
 
-// hear takes the end of a call that was made at a time.
-func (b *Enforcer) hear(asked time.Time, res *wire.BorrowResponse, err error) {
-	now := b.Clock.Now()
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// receive takes the result of a call that was made at calledAt.
+func (e *Enforcer) receive(calledAt time.Time, res *wire.BorrowResponse, err error) {
+	now := e.Clock.Now()
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	if err != nil {
-		if !b.failing {
-			b.Log.Info("no credit can be borrowed", "Upstream", b.Upstream(), "Error", err.Error())
+		if !e.failing {
+			e.Log.Info("quota request failed", "Upstream", e.Upstream(), "Error", err.Error())
 		}
-		b.failing, b.callAt = true, now.Add(pauseAfterFailure)
+		e.failing, e.nextCallAt = true, now.Add(failureBackoff)
 		return
 	}
-	if b.failing {
-		b.Log.Info("credit can be borrowed again", "Upstream", b.Upstream())
+	if e.failing {
+		e.Log.Info("quota requests succeed again", "Upstream", e.Upstream())
 	}
-	if b.telling != 0 {
-		b.told = b.telling
+	if e.reportingTerm != 0 {
+		e.reportedTerm = e.reportingTerm
 	}
-	b.failing, b.callAt = false, now.Add(firstCall)
-	if again := time.Duration(res.GetAgainInMs()) * time.Millisecond; again > 0 {
-		b.callAt = now.Add(again)
+	e.failing, e.nextCallAt = false, now.Add(defaultCallInterval)
+	if interval := time.Duration(res.GetAgainInMs()) * time.Millisecond; interval > 0 {
+		e.nextCallAt = now.Add(interval)
 	}
 	for _, credit := range res.GetBorrowers()[0].GetCredits() {
-		if p := b.accounts[credit.GetCustomer()]; p != nil {
-			p.Receive(now, asked, credit)
+		if p := e.accounts[credit.GetCustomer()]; p != nil {
+			p.Receive(now, calledAt, credit)
 		}
 	}
-	if b.Meter != nil {
-		b.Meter.Took("borrow", now.Sub(asked))
+	if e.Meter != nil {
+		e.Meter.Took("borrow", now.Sub(calledAt))
 	}
 }
 
-func (b *Enforcer) settle(now time.Time) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, p := range b.accounts {
+func (e *Enforcer) settle(now time.Time) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, p := range e.accounts {
 		p.settle(now)
 	}
 }
 
 var errNoLeader = twirp.NewError(twirp.Unavailable, "no leader is known")
 
-func (b *Enforcer) call(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
-	address := b.Upstream()
+func (e *Enforcer) call(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
+	address := e.Upstream()
 	if address == "" {
 		return nil, errNoLeader
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	return b.Client(address).Borrow(ctx, req)
+	return e.Client(address).Borrow(ctx, req)
 }
 
-// Borrow passes the call of a gateway on that follows this one.
-func (b *Enforcer) Borrow(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
-	return b.call(ctx, req)
+// Borrow forwards the call of a gateway that follows this one.
+func (e *Enforcer) Borrow(ctx context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
+	return e.call(ctx, req)
 }
 
-// errNotHere is what a gateway says of calls that only controllers serve.
-var errNotHere = twirp.NewError(twirp.Unavailable, "this is a gateway")
+// errNotController is the answer to calls that only controllers serve.
+var errNotController = twirp.NewError(twirp.Unavailable, "this is a gateway")
 
-// ListLimits is not for gateways.
-func (b *Enforcer) ListLimits(context.Context, *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
-	return nil, errNotHere
+// ListLimits is not served by gateways.
+func (e *Enforcer) ListLimits(context.Context, *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
+	return nil, errNotController
 }
