--- a/gateway/granter/granter.go
+++ b/gateway/granter/granter.go
@@ -1,8 +1,8 @@
-// Package granter keeps this gateway to the request limits that backend servers announce: it
-// asks the owner of a limit for a grant before each request, and grants the requests of all
-// gateways to the backend servers whose limits it owns. The owner follows from the list of
-// gateways by rendezvous hashing. While the owner does not answer, the next gateway in that
-// order, the deputy, grants a small part of the limit.
+// Package granter enforces the request limits that backend servers announce: it requests a
+// grant of a limit's owner before each request, and grants the requests of all gateways to the
+// backend servers whose limits this gateway owns. The owner is chosen from the list of gateways
+// by rendezvous hashing. While the owner does not answer, the next gateway in that order, the
+// deputy, grants a small part of the limit.
 package granter
 
 import (
@@ -23,15 +23,15 @@
 )
 
 const (
-	// answerMargin is the time that a call may take beyond its wait: some round trips within
-	// a region, at an instance that is busy.
-	answerMargin = 80 * time.Millisecond
+	// responseMargin is the time that a call may take beyond its wait: some round trips within
+	// a region, at a busy instance.
+	responseMargin = 80 * time.Millisecond
 	// reportTimeout bounds a call that only reports.
 	reportTimeout = 300 * time.Millisecond
-	// unreachableRetry is when a request is tried again if neither owner nor deputy answers.
+	// unreachableRetry is the retry time of a request if neither owner nor deputy answers.
 	unreachableRetry = 250 * time.Millisecond
-	// sweepEvery is the time between two clean-ups and log lines of usage.
-	sweepEvery = time.Second
+	// sweepInterval is the time between two clean-ups and log lines of usage.
+	sweepInterval = time.Second
 )
 
 // Granter is one gateway's part. Set the exported fields, call Init, then Run.
@@ -39,39 +39,39 @@
 	Clock clockwork.Clock
 	Log   *slog.Logger
 	Meter *meter.Meter
-	// Self is where the other gateways reach this one.
+	// Self is the address at which other gateways reach this one.
 	Self string
 	// Ranked returns the addresses of the owner and of the deputy of a backend server's limit,
-	// "" if there is none; nil is a gateway that knows no other.
+	// "" if there is none; nil is for a gateway without peers.
 	Ranked func(backend string) (owner, deputy string)
 	// Client returns a client of another gateway; nil makes one over HTTP.
 	Client func(address string, timeout time.Duration) wire.Throttling
 
 	keys atomic.Uint64
 
-	mu    sync.Mutex
-	book  throttler.Registry
-	sends map[string]*sends
-	pools map[poolKey]*pool
-	peers map[string]*peer
+	mu       sync.Mutex
+	registry throttler.Registry
+	sends    map[string]*sends
+	pools    map[poolKey]*pool
+	peers    map[string]*peer
 }
 
-// Request is one that is to be sent to a backend server with a limit.
+// Request is a request to a backend server with a limit.
 type Request struct {
 	Backend string
-	// Urgency is the request's priority; 0 goes first.
+	// Urgency is the request's priority; 0 is the most urgent.
 	Urgency    uint32
 	ReceivedAt time.Time
-	// Deadline is when it is no use to send it, and Wait how long it waits for its grant at most;
-	// 0 decides at once.
+	// After Deadline a grant is of no use. Wait is how long the request waits for its grant at
+	// most; with 0 it is decided immediately.
 	Deadline time.Time
 	Wait     time.Duration
 }
 
-// Result is what became of a request.
+// Result is the result of a grant request.
 type Result struct {
 	Granted bool
-	// DecidedBy is the gateway that granted it.
+	// DecidedBy is the gateway that decided.
 	DecidedBy string
 	// RetryIn is when it would be granted, if it is not.
 	RetryIn time.Duration
@@ -97,9 +97,9 @@
 	return &connector.Client{Timeout: timeout, Transport: transport}
 }
 
-// Run cleans up until ctx ends.
+// Run removes unused state and logs usage until ctx ends.
 func (g *Granter) Run(ctx context.Context) {
-	ticker := g.Clock.NewTicker(sweepEvery)
+	ticker := g.Clock.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -116,15 +116,15 @@
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.book.Prune(now, nil)
-	g.Meter.Level("request_limits_in_force", float64(g.book.InForce()))
+	g.registry.Prune(now, nil)
+	g.Meter.Level("request_limits_in_force", float64(g.registry.InForce()))
 	for id, s := range g.sends {
 		if s.Sum(now) <= 0 {
 			delete(g.sends, id)
 		}
 	}
 	for key, p := range g.pools {
-		if _, limited := g.book.Rate(now, key.backend); !limited && p.allocator.Idle(now) {
+		if _, limited := g.registry.Rate(now, key.backend); !limited && p.allocator.Idle(now) {
 			delete(g.pools, key)
 		}
 	}
@@ -134,17 +134,17 @@
 func (g *Granter) Limited(backend string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.book.Empty() {
+	if g.registry.Empty() {
 		return false
 	}
-	_, limited := g.book.Rate(g.Clock.Now(), backend)
+	_, limited := g.registry.Rate(g.Clock.Now(), backend)
 	return limited
 }
 
-// RequestGrant asks for a request to be sent, at the owner of the limit or at its deputy.
+// RequestGrant requests a grant of the limit's owner or of its deputy.
 func (g *Granter) RequestGrant(ctx context.Context, r Request) Result {
 	owner, deputy := g.Ranked(r.Backend)
-	// Ids of requests are the callers' to choose, and would not tell two of them apart.
+	// Callers choose the ids of their requests, so these need not be unique.
 	key := g.Self + "/" + strconv.FormatUint(g.keys.Add(1), 10)
 	for i, address := range []string{owner, deputy} {
 		if address == "" || ctx.Err() != nil || g.isBackingOff(address) {
@@ -153,11 +153,11 @@
 		req := g.encode(address, key, r)
 		req.Deputy = i > 0
 		if address == g.Self {
-			return decode(g.answer(ctx, req), address)
+			return decode(g.decide(ctx, req), address)
 		}
-		res, err := g.Client(address, r.Wait+answerMargin).Grant(ctx, req)
-		if g.noteAnswer(ctx, address, err) {
-			g.hearLimit(res.GetLimit())
+		res, err := g.Client(address, r.Wait+responseMargin).Grant(ctx, req)
+		if g.recordOutcome(ctx, address, err) {
+			g.receiveLimit(res.GetLimit())
 			return decode(res, address)
 		}
 	}
@@ -169,7 +169,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	req := &wire.GrantRequest{
-		Backend: r.Backend, Key: key, Gateway: g.Self, Urgency: r.Urgency, Limit: g.book.Get(now, r.Backend),
+		Backend: r.Backend, Key: key, Gateway: g.Self, Urgency: r.Urgency, Limit: g.registry.Get(now, r.Backend),
 		AgeMs:    uint32(max(0, now.Sub(r.ReceivedAt).Milliseconds())),
 		GiveUpMs: uint32(max(0, r.Deadline.Sub(now).Milliseconds())), WaitMs: uint32(r.Wait.Milliseconds()),
 	}
--- a/gateway/granter/granter_test.go
+++ b/gateway/granter/granter_test.go
@@ -20,13 +20,12 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// fleet is gateways that reach each other; the first owns all limits, the second is their
-// deputy.
+// fleet is gateways that reach each other; the first owns all limits, the second is the deputy.
 type fleet struct {
 	c        *qt.C
 	clock    *clockwork.FakeClock
 	granters []*Granter
-	// down are addresses that do not answer, and calls counts the calls to the owner.
+	// down holds addresses that do not answer, and calls counts the calls to the owner.
 	down  map[string]bool
 	calls atomic.Int32
 }
@@ -46,123 +45,123 @@
 	return y
 }
 
-// client calls another gateway without a timeout, so that no verdict depends on time.
+// client calls another gateway without a timeout, so that no result depends on real time.
 func (y *fleet) client(address string) wire.Throttling {
 	if address == y.granters[0].Self {
 		y.calls.Add(1)
 	}
 	if y.down[address] {
-		return lost{}
+		return unreachable{}
 	}
 	return wire.NewThrottlingProtobufClient("http://"+address, &http.Client{})
 }
 
-// lost is a gateway that does not answer.
-type lost struct{}
+// unreachable is a gateway that does not answer.
+type unreachable struct{}
 
-func (lost) Grant(context.Context, *wire.GrantRequest) (*wire.GrantResponse, error) {
+func (unreachable) Grant(context.Context, *wire.GrantRequest) (*wire.GrantResponse, error) {
 	return nil, errors.New("no answer")
 }
 
-func (y *fleet) ask(gateway int) Result {
+func (y *fleet) requestGrant(gateway int) Result {
 	now := y.clock.Now()
 	return y.granters[gateway].RequestGrant(context.Background(), Request{Backend: "b", ReceivedAt: now, Deadline: now.Add(time.Second)})
 }
 
-// name lets all gateways read a limit in an answer.
-func (y *fleet) name(limit throttler.Limit) {
+// announce lets all gateways observe a limit in a response.
+func (y *fleet) announce(limit throttler.Limit) {
 	for _, g := range y.granters {
 		g.Observe("b", limit, "r", 0)
 	}
 }
 
-// granted asks at all gateways in turn, and returns how many requests were granted.
-func (y *fleet) granted(asks int) int {
+// countGranted sends requests to all gateways in turn, and returns how many were granted.
+func (y *fleet) countGranted(requests int) int {
 	n := 0
-	for i := range asks {
-		if y.ask(i % len(y.granters)).Granted {
+	for i := range requests {
+		if y.requestGrant(i % len(y.granters)).Granted {
 			n++
 		}
 	}
 	return n
 }
 
-func TestRequestsWithoutALimitNeedNoGrant(t *testing.T) {
+func TestUnlimitedRequestsNeedNoGrant(t *testing.T) {
 	c := qt.New(t)
 	y := newFleet(c, 3)
 	c.Check(y.granters[2].Limited("b"), qt.IsFalse)
-	y.name(throttler.LimitOf(2))
+	y.announce(throttler.LimitOf(2))
 	c.Check(y.granters[2].Limited("b"), qt.IsTrue)
 	c.Check(y.granters[2].Limited("other"), qt.IsFalse)
 	y.clock.Advance(time.Second)
-	y.name(throttler.Limit{})
+	y.announce(throttler.Limit{})
 	y.clock.Advance(5 * time.Second)
 	c.Check(y.granters[2].Limited("b"), qt.IsFalse)
 }
 
 // The owner grants no more to all gateways together than the limit allows.
-func TestTheOwnerGrantsForAllGateways(t *testing.T) {
+func TestOwnerGrantsForAllGateways(t *testing.T) {
 	c := qt.New(t)
 	y := newFleet(c, 3)
-	y.name(throttler.LimitOf(2))
-	denied := y.ask(2)
+	y.announce(throttler.LimitOf(2))
+	denied := y.requestGrant(2)
 	c.Check(denied.Granted, qt.IsFalse)
 	sum := 0
 	for range 40 {
 		y.clock.Advance(500 * time.Millisecond)
-		sum += y.granted(9)
+		sum += y.countGranted(9)
 	}
 	c.Check(sum, qt.Equals, 40)
 	y.clock.Advance(denied.RetryIn)
-	c.Check(y.ask(1).Granted, qt.IsTrue)
-	c.Check(y.ask(0), qt.Equals, Result{DecidedBy: y.granters[0].Self, RetryIn: 500 * time.Millisecond})
+	c.Check(y.requestGrant(1).Granted, qt.IsTrue)
+	c.Check(y.requestGrant(0), qt.Equals, Result{DecidedBy: y.granters[0].Self, RetryIn: 500 * time.Millisecond})
 }
 
-// Without an owner its deputy grants a part of the limit, and the owner is not asked at every
+// Without an owner its deputy grants a part of the limit, and the owner is not called for every
 // request.
-func TestTheDeputyGrantsWhileTheOwnerIsLost(t *testing.T) {
+func TestDeputyGrantsWhileOwnerIsUnreachable(t *testing.T) {
 	c := qt.New(t)
 	y := newFleet(c, 3)
-	y.name(throttler.LimitOf(10))
+	y.announce(throttler.LimitOf(10))
 	y.down[y.granters[0].Self] = true
-	y.ask(2)
+	y.requestGrant(2)
 	before := y.calls.Load()
-	y.ask(2)
+	y.requestGrant(2)
 	c.Check(y.calls.Load(), qt.Equals, before)
 	sum := 0
 	for range 20 {
 		y.clock.Advance(500 * time.Millisecond)
-		if answer := y.ask(2); answer.Granted {
+		if answer := y.requestGrant(2); answer.Granted {
 			c.Check(answer.DecidedBy, qt.Equals, y.granters[1].Self)
 			sum++
 		}
 	}
-	// 20% of 10 a second, for 10 s; the grant of the first moment was not there yet.
+	// 20% of 10 per second, for 10 s; a new allocator starts without accumulated grants.
 	c.Check(sum, qt.Equals, 20)
 	y.down[y.granters[1].Self] = true
 	y.clock.Advance(time.Second)
-	c.Check(y.ask(2), qt.Equals, Result{RetryIn: unreachableRetry})
+	c.Check(y.requestGrant(2), qt.Equals, Result{RetryIn: unreachableRetry})
 	clear(y.down)
-	y.clock.Advance(longestBackoff)
-	c.Check(y.ask(2).DecidedBy, qt.Equals, y.granters[0].Self)
+	y.clock.Advance(maxBackoff)
+	c.Check(y.requestGrant(2).DecidedBy, qt.Equals, y.granters[0].Self)
 }
 
-// A request without another backend server waits for its turn at the owner.
-func TestRequestsWaitForTheirGrant(t *testing.T) {
+// A request without another backend server waits for the owner's grant.
+func TestRequestsWaitForGrant(t *testing.T) {
 	const grantAfter = 500 * time.Millisecond
 	for name, test := range map[string]struct {
 		wait, pass time.Duration
 		leaves     bool
 		granted    bool
 	}{
-		"until it comes":        {time.Second, grantAfter, false, true},
-		"until they give up":    {grantAfter + time.Millisecond, 0, true, false},
-		"and not if it is late": {grantAfter / 2, 0, false, false},
+		"until it is granted":     {time.Second, grantAfter, false, true},
+		"until the caller leaves": {grantAfter + time.Millisecond, 0, true, false},
+		"not past the deadline":   {grantAfter / 2, 0, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			y := newFleet(c, 2)
-			y.name(throttler.LimitOf(2))
+			y.announce(throttler.LimitOf(2))
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			now := y.clock.Now()
@@ -188,7 +187,7 @@
 	}
 }
 
-// Whoever asks the owner learns what it knows of the limit.
+// Gateways that request a grant receive the limit that the owner knows.
 func TestGatewaysLearnLimitsFromTheOwner(t *testing.T) {
 	c := qt.New(t)
 	y := newFleet(c, 3)
@@ -198,10 +197,10 @@
 	y.granters[0].Observe("b", throttler.LimitOf(1), "r", 0)
 	y.clock.Advance(time.Second)
 	y.granters[0].Observe("b", throttler.Limit{}, "r", 0)
-	y.ask(2)
-	standing, _ := y.granters[2].Status("b")
-	c.Check(standing.Limit.Named, qt.IsFalse)
-	c.Check(standing.Source, qt.Equals, throttler.News)
+	y.requestGrant(2)
+	status, _ := y.granters[2].Status("b")
+	c.Check(status.Limit.Named, qt.IsFalse)
+	c.Check(status.Source, qt.Equals, throttler.News)
 	c.Check(y.granters[2].Report(), qt.HasLen, 0)
 	list, revision := y.granters[0].Limits()
 	c.Check(list, qt.HasLen, 1)
@@ -217,16 +216,16 @@
 	}
 	y.granters[0].Observe("b", throttler.LimitOf(4), "r", 0)
 	y.granters[2].Observe("b", throttler.LimitOf(4), "r", 0)
-	y.granters[2].report("b")
+	y.granters[2].reportSends("b")
 	y.clock.Advance(time.Second)
-	c.Check(y.granted(9), qt.Equals, 0)
+	c.Check(y.countGranted(9), qt.Equals, 0)
 	y.clock.Advance(3200 * time.Millisecond)
-	c.Check(y.granted(9), qt.Equals, 3)
+	c.Check(y.countGranted(9), qt.Equals, 3)
 	y.granters[2].Forget("b")
 	c.Check(y.granters[2].Limited("b"), qt.IsFalse)
 }
 
-func TestUsageIsCountedWhileALimitIsKnown(t *testing.T) {
+func TestUsageIsCountedWhileLimitIsKnown(t *testing.T) {
 	c := qt.New(t)
 	y := newFleet(c, 2)
 	g := y.granters[1]
--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -11,7 +11,7 @@
 // AttemptKind is why a request is sent to a backend server.
 type AttemptKind string
 
-// The kinds, as they stand in logs.
+// The kinds, as logged.
 const (
 	First   AttemptKind = "First"
 	Repeat  AttemptKind = "Repeat"
@@ -21,24 +21,24 @@
 // sends is what this gateway has sent to a backend server.
 type sends struct {
 	throttler.Sends
-	// byKind and denied count since the usage was logged last, while a limit is in force.
+	// byKind and denied count since the latest log line on usage, while a limit is in force.
 	byKind map[AttemptKind]int
 	denied int
 }
 
-// RecordSent notes that a request is sent, with a grant of a gateway; "" is without one.
+// RecordSent records a send with a grant of a gateway; "" is without one.
 func (g *Granter) RecordSent(backend string, kind AttemptKind, grantedBy string) {
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := g.sendsTo(backend)
 	s.Add(now, grantedBy)
-	if !g.book.Empty() {
+	if !g.registry.Empty() {
 		s.byKind[kind]++
 	}
 }
 
-// RecordDenied notes that a request was not sent for want of a grant.
+// RecordDenied records that a request was not sent for lack of a grant.
 func (g *Granter) RecordDenied(backend string) {
 	g.mu.Lock()
 	g.sendsTo(backend).denied++
@@ -46,7 +46,7 @@
 	g.Meter.Count("requests_denied_by_limits", "role", "Gateway")
 }
 
-// sendsTo returns the account of a backend server. The caller holds the lock.
+// sendsTo returns the counters of a backend server. The caller holds the lock.
 func (g *Granter) sendsTo(backend string) *sends {
 	s := g.sends[backend]
 	if s == nil {
@@ -56,28 +56,28 @@
 	return s
 }
 
-// Observe takes what an answer to this gateway says of a limit. SinceSent is the time since
-// the request that was answered. Its id is not logged as RequestID: the line belongs to the
-// stories of all requests to the backend server.
+// Observe records the limit that a response to this gateway announces. SinceSent is the time
+// since the answered request. Its id is not logged as RequestID: the line belongs to the traces
+// of all requests to the backend server.
 func (g *Granter) Observe(backend string, limit throttler.Limit, requestID string, sinceSent time.Duration) {
 	g.observe(throttler.Observation{Backend: backend, Limit: limit, At: g.Clock.Now(), Source: throttler.Answer},
 		"AnswerTo", requestID, "SinceSent", sinceSent.Milliseconds())
 }
 
-// ReceiveLimits takes limits that other instances know.
+// ReceiveLimits records limits that other instances know.
 func (g *Granter) ReceiveLimits(list []*wire.RequestLimit, source throttler.Source) {
 	for _, l := range list {
 		o, ok := throttler.Decode(g.Clock.Now(), l, source)
 		if !ok {
-			g.Log.Warn("a request limit is passed over", "Backend", l.GetBackend(), "Limit", l.GetRequestsPerSecond())
+			g.Log.Warn("invalid request limit ignored", "Backend", l.GetBackend(), "Limit", l.GetRequestsPerSecond())
 			continue
 		}
 		g.observe(o)
 	}
 }
 
-// hearLimit takes what another gateway knows of one limit.
-func (g *Granter) hearLimit(l *wire.RequestLimit) {
+// receiveLimit records a limit that another gateway knows.
+func (g *Granter) receiveLimit(l *wire.RequestLimit) {
 	if l != nil {
 		g.ReceiveLimits([]*wire.RequestLimit{l}, throttler.News)
 	}
@@ -85,7 +85,7 @@
 
 func (g *Granter) observe(o throttler.Observation, more ...any) {
 	g.mu.Lock()
-	change, changed := g.book.Observe(o)
+	change, changed := g.registry.Observe(o)
 	g.mu.Unlock()
 	if !changed {
 		return
@@ -99,50 +99,50 @@
 	}, more...)...)
 	g.Meter.Count("request_limit_changes", "source", string(o.Source))
 	if o.Limit.Named && !change.Before.Named {
-		go g.report(o.Backend)
+		go g.reportSends(o.Backend)
 	}
 }
 
-// Forget drops a backend server that is gone, or whose process has started again.
+// Forget drops a backend server that was removed, or whose process has restarted.
 func (g *Granter) Forget(backend string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.book.Forget(backend)
+	g.registry.Forget(backend)
 	delete(g.sends, backend)
 }
 
-// Report returns the limits that this gateway and those that report to it have read.
+// Report returns the limits that this gateway and those that report to it have observed.
 func (g *Granter) Report() []*wire.RequestLimit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.book.Empty() {
+	if g.registry.Empty() {
 		return nil
 	}
-	return g.book.Report(g.Clock.Now())
+	return g.registry.Report(g.Clock.Now())
 }
 
-// Limits returns all limits and the number of that list, for gateways that get their news here.
+// Limits returns all limits and the list's revision, for gateways that receive updates here.
 func (g *Granter) Limits() ([]*wire.RequestLimit, uint64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.Limits(g.Clock.Now()), g.book.Revision()
+	return g.registry.Limits(g.Clock.Now()), g.registry.Revision()
 }
 
-// Revision returns the number of the list of limits.
+// Revision returns the revision of the list of limits.
 func (g *Granter) Revision() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.Revision()
+	return g.registry.Revision()
 }
 
-// Status returns what is known of a backend server's limit, for logs.
+// Status returns the state of a backend server's limit, for logs.
 func (g *Granter) Status(backend string) (throttler.Status, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.book.Status(backend)
+	return g.registry.Status(backend)
 }
 
-// usage is what was sent to a backend server with a limit since it was logged last.
+// usage is what was sent to a limited backend server since the latest log line on usage.
 type usage struct {
 	backend string
 	limit   throttler.RequestRate
@@ -155,9 +155,9 @@
 	defer g.mu.Unlock()
 	var list []usage
 	for id, s := range g.sends {
-		standing, limited := g.book.Status(id)
+		status, limited := g.registry.Status(id)
 		if limited && len(s.byKind)+s.denied > 0 {
-			list = append(list, usage{id, standing.Limit.Rate, maps.Clone(s.byKind), s.denied})
+			list = append(list, usage{id, status.Limit.Rate, maps.Clone(s.byKind), s.denied})
 		}
 		clear(s.byKind)
 		s.denied = 0
@@ -165,7 +165,7 @@
 	return list
 }
 
-// logUsage logs what was sent to backend servers with limits, and what was not.
+// logUsage logs sent and denied requests to backend servers with limits.
 func (g *Granter) logUsage() {
 	for _, u := range g.takeUsage() {
 		g.Log.Info("requests to a limited backend server", "Backend", u.backend, "Limit", u.limit, "Sent", u.byKind, "Denied", u.denied)
--- a/gateway/granter/peer.go
+++ b/gateway/granter/peer.go
@@ -9,29 +9,29 @@
 )
 
 const (
-	// firstBackoff is how long a gateway is not asked that has not answered once; it doubles up
-	// to longestBackoff.
-	firstBackoff   = 100 * time.Millisecond
-	longestBackoff = 2 * time.Second
+	// firstBackoff is how long a gateway is skipped after one failed call; it doubles up to
+	// maxBackoff.
+	firstBackoff = 100 * time.Millisecond
+	maxBackoff   = 2 * time.Second
 	// maxPeers bounds the gateways whose failures are remembered.
 	maxPeers = 1024
 )
 
-// peer is another gateway that has not answered.
+// peer is another gateway to which the latest call failed.
 type peer struct {
 	failures int
-	until    time.Time
+	retryAt  time.Time
 }
 
 func (g *Granter) isBackingOff(address string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p := g.peers[address]
-	return p != nil && g.Clock.Now().Before(p.until)
+	return p != nil && g.Clock.Now().Before(p.retryAt)
 }
 
-// noteAnswer notes the end of a call to a gateway, and reports whether that has answered.
-func (g *Granter) noteAnswer(ctx context.Context, address string, err error) bool {
+// recordOutcome records the outcome of a call to a gateway, and reports whether it succeeded.
+func (g *Granter) recordOutcome(ctx context.Context, address string, err error) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if err == nil {
@@ -50,15 +50,15 @@
 		g.peers[address] = p
 	}
 	p.failures++
-	p.until = g.Clock.Now().Add(retrier.Backoff{First: firstBackoff, Most: longestBackoff}.Wait(p.failures, 0))
+	p.retryAt = g.Clock.Now().Add(retrier.Backoff{First: firstBackoff, Most: maxBackoff}.Wait(p.failures, 0))
 	if p.failures == 1 {
-		g.Log.Info("owner of a request limit does not answer", "Gateway", address, "Error", err.Error())
+		g.Log.Info("gateway did not answer a grant request", "Gateway", address, "Error", err.Error())
 	}
 	return false
 }
 
-// report tells the owner of a limit what was sent there before the limit was known.
-func (g *Granter) report(backend string) {
+// reportSends reports to the owner of a limit what was sent before the limit was known.
+func (g *Granter) reportSends(backend string) {
 	owner, _ := g.Ranked(backend)
 	if owner == "" {
 		return
@@ -69,11 +69,11 @@
 		return
 	}
 	if owner == g.Self {
-		g.answer(context.Background(), req)
+		g.decide(context.Background(), req)
 		return
 	}
 	_, err := g.Client(owner, reportTimeout).Grant(context.Background(), req)
-	g.noteAnswer(context.Background(), owner, err)
+	g.recordOutcome(context.Background(), owner, err)
 }
 
 // Server serves wire.Throttling for the other gateways.
@@ -81,8 +81,8 @@
 	Granter *Granter
 }
 
-// Grant answers as soon as the request may be sent, at the latest when its wait is over.
+// Grant answers as soon as the request may be sent, or at the latest when its wait ends.
 func (s *Server) Grant(ctx context.Context, req *wire.GrantRequest) (*wire.GrantResponse, error) {
-	s.Granter.hearLimit(req.GetLimit())
-	return s.Granter.answer(ctx, req), nil
+	s.Granter.receiveLimit(req.GetLimit())
+	return s.Granter.decide(ctx, req), nil
 }
--- a/gateway/granter/pool.go
+++ b/gateway/granter/pool.go
@@ -13,26 +13,26 @@
 	role    throttler.Role
 }
 
-// pool is a limit that this gateway shares out, as its owner or deputy.
+// pool is a limit that this gateway grants, as its owner or deputy.
 type pool struct {
 	backend   string
 	allocator throttler.Allocator
-	// waiting are asks that wait for a grant, by their keys.
+	// waiting are the requests that wait for a grant, by key.
 	waiting map[string]chan struct{}
-	// scheduled is set while a timer runs that serves those that wait.
+	// scheduled is set while a timer for the next grant runs.
 	scheduled bool
 }
 
-// answer decides on a request of any gateway.
-func (g *Granter) answer(ctx context.Context, req *wire.GrantRequest) *wire.GrantResponse {
+// decide decides on a grant request of any gateway.
+func (g *Granter) decide(ctx context.Context, req *wire.GrantRequest) *wire.GrantResponse {
 	now := g.Clock.Now()
 	role := throttler.Owner
 	if req.GetDeputy() {
 		role = throttler.Deputy
 	}
 	g.mu.Lock()
-	rate, limited := g.book.Rate(now, req.GetBackend())
-	res := &wire.GrantResponse{Granted: !limited, Limit: g.otherLimit(now, req)}
+	rate, limited := g.registry.Rate(now, req.GetBackend())
+	res := &wire.GrantResponse{Granted: !limited, Limit: g.changedLimit(now, req)}
 	if !limited {
 		g.mu.Unlock()
 		return res
@@ -44,32 +44,32 @@
 		g.mu.Unlock()
 		return res
 	}
-	ask := throttler.GrantRequest{
+	request := throttler.GrantRequest{
 		Key: req.GetKey(), Urgency: req.GetUrgency(), ReceivedAt: now.Add(-milliseconds(req.GetAgeMs())),
 		Deadline: now.Add(milliseconds(req.GetGiveUpMs())), CanWait: req.GetWaitMs() > 0,
 	}
-	verdict := p.allocator.Submit(now, ask)
+	decision := p.allocator.Submit(now, request)
 	granted := make(chan struct{})
-	if verdict.Waiting {
-		p.waiting[ask.Key] = granted
+	if decision.Waiting {
+		p.waiting[request.Key] = granted
 		g.schedule(now, p)
 	}
 	g.mu.Unlock()
-	if verdict.Waiting {
-		verdict.Granted = g.await(ctx, p, ask.Key, granted, milliseconds(req.GetWaitMs()))
-		verdict.RetryIn = max(0, verdict.RetryIn-g.Clock.Since(now))
+	if decision.Waiting {
+		decision.Granted = g.awaitGrant(ctx, p, request.Key, granted, milliseconds(req.GetWaitMs()))
+		decision.RetryIn = max(0, decision.RetryIn-g.Clock.Since(now))
 	}
-	res.Granted = verdict.Granted
+	res.Granted = decision.Granted
 	if !res.GetGranted() {
-		res.RetryInMs = uint32(max(1, verdict.RetryIn.Milliseconds()))
+		res.RetryInMs = uint32(max(1, decision.RetryIn.Milliseconds()))
 	}
 	return res
 }
 
-// otherLimit returns what is known of a limit, if the asking gateway knows something else.
-// The caller holds the lock.
-func (g *Granter) otherLimit(now time.Time, req *wire.GrantRequest) *wire.RequestLimit {
-	known := g.book.Get(now, req.GetBackend())
+// changedLimit returns the known limit, if the requesting gateway has another one. The caller
+// holds the lock.
+func (g *Granter) changedLimit(now time.Time, req *wire.GrantRequest) *wire.RequestLimit {
+	known := g.registry.Get(now, req.GetBackend())
 	if known.GetLifted() == req.GetLimit().GetLifted() && known.GetRequestsPerSecond() == req.GetLimit().GetRequestsPerSecond() {
 		return nil
 	}
@@ -87,8 +87,8 @@
 	return p
 }
 
-// await waits for a grant, and reports whether it came.
-func (g *Granter) await(ctx context.Context, p *pool, key string, granted <-chan struct{}, wait time.Duration) bool {
+// awaitGrant waits for a grant, and reports whether it came.
+func (g *Granter) awaitGrant(ctx context.Context, p *pool, key string, granted <-chan struct{}, wait time.Duration) bool {
 	timer := g.Clock.NewTimer(wait)
 	defer timer.Stop()
 	select {
@@ -103,7 +103,7 @@
 	if p.allocator.Withdraw(key) {
 		return false
 	}
-	// Without a grant, its time to give up has come.
+	// The request was granted or has reached its deadline.
 	select {
 	case <-granted:
 		return true
@@ -112,23 +112,23 @@
 	}
 }
 
-// schedule serves a pool when its next grant is due. The caller holds the lock.
+// schedule starts a timer for a pool's next grant. The caller holds the lock.
 func (g *Granter) schedule(now time.Time, p *pool) {
 	wait, ok := p.allocator.NextGrantIn(now)
 	if !ok || p.scheduled {
 		return
 	}
 	p.scheduled = true
-	g.Clock.AfterFunc(wait, func() { g.serve(p) })
+	g.Clock.AfterFunc(wait, func() { g.grantDue(p) })
 }
 
-// serve grants what is due to asks that wait.
-func (g *Granter) serve(p *pool) {
+// grantDue grants waiting requests that are due.
+func (g *Granter) grantDue(p *pool) {
 	now := g.Clock.Now()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	p.scheduled = false
-	if rate, limited := g.book.Rate(now, p.backend); limited {
+	if rate, limited := g.registry.Rate(now, p.backend); limited {
 		p.allocator.SetRate(now, rate)
 	}
 	for _, key := range p.allocator.GrantDue(now) {
