--- a/pkg/quotaallocator/quotaallocator_test.go
+++ b/pkg/quotaallocator/quotaallocator_test.go
@@ -257,7 +257,7 @@
 	}
 }
 
-// Without a leader, a customer's usual load is served from the allowances.
+// Without a leader, at least half of a customer's usual load is served.
 func TestUsualLoadContinuesWithoutLeader(t *testing.T) {
 	for name, rate := range map[string]float64{"large": 274_000, "small": 29_000} {
 		t.Run(name, func(t *testing.T) {
