--- a/pkg/replicator/append.go
+++ b/pkg/replicator/append.go
@@ -9,8 +9,8 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Step takes in a message from another member. Messages to another incarnation
-// of this instance are ignored.
+// Step processes a message from another member. Messages to another incarnation of this
+// instance are ignored.
 func (r *Replicator) Step(now time.Time, m *wire.Message) {
 	if m.GetTo() != r.ID {
 		return
@@ -36,10 +36,10 @@
 // Propose appends a command on a leader and returns its index.
 func (r *Replicator) Propose(data []byte) (uint64, error) {
 	if r.role != Leader {
-		return 0, fail("Propose", KindNotLeader, "%s is a %s", r.ID, r.role)
+		return 0, fail("Propose", KindNotLeader, "member %s is a %s", r.ID, r.role)
 	}
 	if r.transferTo != "" {
-		return 0, fail("Propose", KindBusy, "leadership is being handed over")
+		return 0, fail("Propose", KindBusy, "leadership is being transferred")
 	}
 	r.appendEntry(wire.EntryKind_ENTRY_KIND_COMMAND, data)
 	return r.lastIndex(), nil
@@ -56,33 +56,33 @@
 	e := &wire.Entry{Index: r.lastIndex() + 1, Term: r.term, Kind: kind, Data: data}
 	r.log = append(r.log, e)
 	if kind == wire.EntryKind_ENTRY_KIND_CONFIGURATION {
-		r.noteConfig(e)
+		r.addConfig(e)
 	}
 }
 
-// beat starts a new round, from which the lease is counted.
-func (r *Replicator) beat(now time.Time) {
+// sendHeartbeats starts a new round, from whose send time the lease is counted.
+func (r *Replicator) sendHeartbeats(now time.Time) {
 	r.round++
 	r.roundSentAt[r.round] = now
-	delete(r.roundSentAt, r.round-maxRememberedRounds)
-	r.nextBeat = now.Add(r.Heartbeat)
-	for _, m := range r.others() {
+	delete(r.roundSentAt, r.round-maxTrackedRounds)
+	r.nextHeartbeat = now.Add(r.Heartbeat)
+	for _, m := range r.otherMembers() {
 		r.sendAppend(now, m.GetId(), true)
 	}
 }
 
 func (r *Replicator) broadcast(now time.Time) {
-	for _, m := range r.others() {
+	for _, m := range r.otherMembers() {
 		r.sendAppend(now, m.GetId(), false)
 	}
 }
 
 // sendAppend sends the entries that the member lacks, or a snapshot where the
 // log no longer has them.
-func (r *Replicator) sendAppend(now time.Time, to string, even bool) {
+func (r *Replicator) sendAppend(now time.Time, to string, allowEmpty bool) {
 	p := r.progress[to]
 	last := r.lastIndex()
-	if p.next > last && !even {
+	if p.next > last && !allowEmpty {
 		return
 	}
 	if p.next <= r.base.GetIndex() {
@@ -91,7 +91,7 @@
 	}
 	previous := p.next - 1
 	end := min(last+1, p.next+uint64(r.MaxEntries))
-	entries := r.bounded(p.next, end)
+	entries := r.boundedSlice(p.next, end)
 	p.next += uint64(len(entries))
 	r.send(&wire.Message{
 		Kind: wire.MessageKind_MESSAGE_KIND_APPEND, To: to,
@@ -100,8 +100,8 @@
 	})
 }
 
-// bounded returns entries up to the size of one message, at least one.
-func (r *Replicator) bounded(from, to uint64) []*wire.Entry {
+// boundedSlice returns entries up to the size of one message, at least one.
+func (r *Replicator) boundedSlice(from, to uint64) []*wire.Entry {
 	if from >= to {
 		return nil
 	}
@@ -118,7 +118,7 @@
 
 func (r *Replicator) sendSnapshot(now time.Time, to string, p *progress) {
 	if now.Sub(p.snapshotAt) < snapshotRetryTimeouts*r.ElectionTimeout {
-		// One snapshot at a time, but the member must still hear that it is led.
+		// One snapshot is in flight at a time, but the member still needs heartbeats.
 		r.send(&wire.Message{
 			Kind: wire.MessageKind_MESSAGE_KIND_APPEND, To: to,
 			LogIndex: r.lastIndex(), LogTerm: r.termOf(r.lastIndex()), Round: r.round,
@@ -131,8 +131,8 @@
 	})
 }
 
-// heardLeader takes note of a leader's message. It returns false for an old term.
-func (r *Replicator) heardLeader(now time.Time, m *wire.Message) bool {
+// acceptLeader records contact with a leader. It returns false for an old term.
+func (r *Replicator) acceptLeader(now time.Time, m *wire.Message) bool {
 	if m.GetTerm() < r.term {
 		r.send(&wire.Message{
 			Kind: wire.MessageKind_MESSAGE_KIND_APPEND_ANSWER, To: m.GetFrom(),
@@ -144,13 +144,13 @@
 		r.becomeFollower(now, m.GetTerm(), m.GetFrom())
 	}
 	r.leader = m.GetFrom()
-	r.lastContact, r.leaderMet = now, true
-	r.resetElection(now)
+	r.lastContact, r.leaderSeen = now, true
+	r.resetElectionTimer(now)
 	return true
 }
 
 func (r *Replicator) stepAppend(now time.Time, m *wire.Message) {
-	if !r.heardLeader(now, m) {
+	if !r.acceptLeader(now, m) {
 		return
 	}
 	previous := m.GetLogIndex()
@@ -174,7 +174,7 @@
 	r.send(answer)
 }
 
-// merge appends entries, and cuts the log where it differs from them.
+// merge appends entries, and truncates the log where it differs from them.
 func (r *Replicator) merge(entries []*wire.Entry) {
 	for i, e := range entries {
 		if e.GetIndex() <= r.base.GetIndex() {
@@ -183,18 +183,18 @@
 		if e.GetIndex() <= r.lastIndex() && r.termOf(e.GetIndex()) == e.GetTerm() {
 			continue
 		}
-		r.cut(e.GetIndex())
+		r.truncate(e.GetIndex())
 		r.log = append(r.log, entries[i:]...)
 		for _, added := range entries[i:] {
 			if added.GetKind() == wire.EntryKind_ENTRY_KIND_CONFIGURATION {
-				r.noteConfig(added)
+				r.addConfig(added)
 			}
 		}
 		return
 	}
 }
 
-func (r *Replicator) cut(index uint64) {
+func (r *Replicator) truncate(index uint64) {
 	if index > r.lastIndex() {
 		return
 	}
@@ -205,15 +205,15 @@
 }
 
 func (r *Replicator) stepSnapshot(now time.Time, m *wire.Message) {
-	if !r.heardLeader(now, m) {
+	if !r.acceptLeader(now, m) {
 		return
 	}
 	s := m.GetSnapshot()
 	switch {
 	case s.GetIndex() <= r.commit:
 	case s.GetIndex() <= r.lastIndex() && r.termOf(s.GetIndex()) == s.GetTerm():
-		// A snapshot that comes late: what follows it in the log was acknowledged,
-		// and must stay (section 7 of the paper).
+		// A delayed snapshot: the log entries after it were acknowledged and must stay (section
+		// 7 of the paper).
 		r.commitTo(s.GetIndex())
 	default:
 		r.base = proto.CloneOf(s)
@@ -221,7 +221,7 @@
 		r.commit, r.emitted, r.synced = s.GetIndex(), s.GetIndex(), s.GetIndex()
 		r.unstable = s.GetIndex() + 1
 		r.rebuildConfigs()
-		r.install = r.base
+		r.pendingSnapshot = r.base
 	}
 	r.send(&wire.Message{
 		Kind: wire.MessageKind_MESSAGE_KIND_APPEND_ANSWER, To: m.GetFrom(), Round: m.GetRound(),
--- a/pkg/replicator/cluster_test.go
+++ b/pkg/replicator/cluster_test.go
@@ -20,22 +20,22 @@
 	timeout   = 600 * time.Millisecond
 )
 
-// cluster runs members in virtual time on a network that loses, delays, repeats and
-// reorders messages.
+// cluster runs members in virtual time on a network that loses, delays, duplicates and reorders
+// messages.
 type cluster struct {
-	random  *rand.Rand
-	now     time.Time
-	members map[string]*member
-	network []delivery
-	cut     map[[2]string]bool
-	lossy   bool
-	// startQuiet is the setting of members that start from here on.
-	startQuiet time.Duration
-	faults     []string
-	leaders    map[uint64]string
-	chosen     map[uint64]string
-	next       int
-	// waiting maps a command's id to what takes its result.
+	random      *rand.Rand
+	now         time.Time
+	members     map[string]*member
+	network     []delivery
+	partitioned map[[2]string]bool
+	lossy       bool
+	// startupVoteDelay applies to members that start from then on.
+	startupVoteDelay time.Duration
+	violations       []string
+	leaders          map[uint64]string
+	committed        map[uint64]string
+	diskLosses       int
+	// waiting maps a member's id and a command's data to the callback for the result.
 	waiting map[string]func(applier.Result)
 }
 
@@ -54,16 +54,16 @@
 }
 
 type disk struct {
-	hard     *wire.HardState
-	snapshot *wire.Snapshot
-	entries  []*wire.Entry
+	hardState *wire.HardState
+	snapshot  *wire.Snapshot
+	entries   []*wire.Entry
 }
 
 func newCluster(seed uint64, names ...string) *cluster {
 	c := &cluster{
 		random: rand.New(rand.NewPCG(seed, seed)), now: time.Unix(1_000_000, 0),
-		members: map[string]*member{}, cut: map[[2]string]bool{},
-		leaders: map[uint64]string{}, chosen: map[uint64]string{}, waiting: map[string]func(applier.Result){},
+		members: map[string]*member{}, partitioned: map[[2]string]bool{},
+		leaders: map[uint64]string{}, committed: map[uint64]string{}, waiting: map[string]func(applier.Result){},
 	}
 	config := &wire.Configuration{}
 	for _, name := range names {
@@ -75,7 +75,7 @@
 	}
 	for _, name := range names {
 		m := c.add(name, name+"/1")
-		m.disk.hard = &wire.HardState{Term: 1}
+		m.disk.hardState = &wire.HardState{Term: 1}
 		m.disk.snapshot = &wire.Snapshot{Index: 1, Term: 1, State: state, Configuration: config}
 		c.start(m)
 	}
@@ -88,16 +88,16 @@
 	return m
 }
 
-// start begins a member from its disk.
+// start starts a member from its disk.
 func (c *cluster) start(m *member) {
 	m.core = &replicator.Replicator{
-		ID: m.id, Heartbeat: heartbeat, ElectionTimeout: timeout, StartupVoteDelay: c.startQuiet, Random: c.random.Int64N, MaxEntries: 8,
+		ID: m.id, Heartbeat: heartbeat, ElectionTimeout: timeout, StartupVoteDelay: c.startupVoteDelay, Random: c.random.Int64N, MaxEntries: 8,
 	}
 	m.state = applier.New()
 	if m.disk.snapshot != nil {
 		m.state, _ = applier.Restore(m.disk.snapshot.GetState())
 	}
-	stored := replicator.PersistedState{HardState: m.disk.hard, Entries: slices.Clone(m.disk.entries)}
+	stored := replicator.PersistedState{HardState: m.disk.hardState, Entries: slices.Clone(m.disk.entries)}
 	if m.disk.snapshot != nil {
 		stored.Snapshot = proto.CloneOf(m.disk.snapshot)
 	}
@@ -105,10 +105,10 @@
 	m.up = true
 }
 
-// loseDisk brings an instance back with an empty disk and so a new incarnation.
+// loseDisk restarts an instance with an empty disk and so as a new incarnation.
 func (c *cluster) loseDisk(name string) {
-	c.next++
-	c.start(c.add(name, fmt.Sprintf("%s/lost-%d", name, c.next)))
+	c.diskLosses++
+	c.start(c.add(name, fmt.Sprintf("%s/lost-%d", name, c.diskLosses)))
 }
 
 func (c *cluster) sorted() []*member {
@@ -125,7 +125,7 @@
 	return all
 }
 
-// run lets time pass.
+// run advances the virtual time.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		c.now = c.now.Add(tick)
@@ -133,8 +133,8 @@
 		for _, m := range c.sorted() {
 			if m.up {
 				m.core.Tick(c.now)
-				c.recruit(m)
-				c.carryOut(m)
+				c.proposeMembership(m)
+				c.processReady(m)
 			}
 		}
 		c.check()
@@ -150,9 +150,9 @@
 			continue
 		}
 		for _, m := range c.members {
-			if m.id == d.message.GetTo() && m.up && !c.cut[[2]string{d.message.GetFrom(), m.id}] {
+			if m.id == d.message.GetTo() && m.up && !c.partitioned[[2]string{d.message.GetFrom(), m.id}] {
 				m.core.Step(c.now, proto.CloneOf(d.message))
-				c.carryOut(m)
+				c.processReady(m)
 			}
 		}
 	}
@@ -173,8 +173,8 @@
 	}
 }
 
-// carryOut does what a member asks for, as a controller would.
-func (c *cluster) carryOut(m *member) {
+// processReady does the work that a member returns, as a controller would.
+func (c *cluster) processReady(m *member) {
 	for {
 		rd := m.core.TakeReady()
 		if rd.Empty() {
@@ -192,7 +192,7 @@
 
 func (c *cluster) persist(m *member, rd *replicator.Ready) {
 	if rd.HardState != nil {
-		m.disk.hard = rd.HardState
+		m.disk.hardState = rd.HardState
 	}
 	if rd.Snapshot != nil {
 		m.disk.snapshot, m.disk.entries = proto.CloneOf(rd.Snapshot), nil
@@ -209,10 +209,10 @@
 
 func (c *cluster) apply(m *member, e *wire.Entry) {
 	text := fmt.Sprintf("%d/%x", e.GetTerm(), e.GetData())
-	if known, ok := c.chosen[e.GetIndex()]; ok && known != text {
-		c.faults = append(c.faults, fmt.Sprintf("two entries were committed at index %d", e.GetIndex()))
+	if known, ok := c.committed[e.GetIndex()]; ok && known != text {
+		c.violations = append(c.violations, fmt.Sprintf("two entries were committed at index %d", e.GetIndex()))
 	}
-	c.chosen[e.GetIndex()] = text
+	c.committed[e.GetIndex()] = text
 	result := m.state.Apply(e)
 	if done := c.waiting[m.id+string(e.GetData())]; done != nil {
 		delete(c.waiting, m.id+string(e.GetData()))
@@ -227,7 +227,7 @@
 	}
 }
 
-func (c *cluster) recruit(m *member) {
+func (c *cluster) proposeMembership(m *member) {
 	if m.core.Role() != replicator.Leader || m.state.Applied() < m.core.TermStart() {
 		return
 	}
@@ -246,23 +246,23 @@
 	}
 }
 
-// check looks for what must never be.
+// check records violations of the safety properties.
 func (c *cluster) check() {
-	holders := 0
+	leaseHolders := 0
 	for _, m := range c.members {
 		if !m.up || m.core.Role() != replicator.Leader {
 			continue
 		}
 		if m.core.Leads(c.now) {
-			holders++
+			leaseHolders++
 		}
 		if other, ok := c.leaders[m.core.Term()]; ok && other != m.id {
-			c.faults = append(c.faults, fmt.Sprintf("two leaders in term %d", m.core.Term()))
+			c.violations = append(c.violations, fmt.Sprintf("two leaders in term %d", m.core.Term()))
 		}
 		c.leaders[m.core.Term()] = m.id
 	}
-	if holders > 1 {
-		c.faults = append(c.faults, "two members hold the leader's lease")
+	if leaseHolders > 1 {
+		c.violations = append(c.violations, "two members hold the leader's lease")
 	}
 }
 
@@ -276,8 +276,8 @@
 	return nil
 }
 
-// inLeadersRole returns a member that is in the leader's role, with or without a lease.
-func (c *cluster) inLeadersRole() *member {
+// anyLeader returns a member in the leader's role, with or without a lease.
+func (c *cluster) anyLeader() *member {
 	for _, m := range c.sorted() {
 		if m.up && m.core.Role() == replicator.Leader {
 			return m
@@ -286,7 +286,7 @@
 	return nil
 }
 
-// propose gives a command to a member and lets done have its result, if it comes.
+// propose proposes a command at a member and calls done with the result, if there is one.
 func (c *cluster) propose(m *member, cmd *wire.Command, done func(applier.Result)) {
 	cmd.AtNs = c.now.UnixNano()
 	data, err := proto.Marshal(cmd)
@@ -298,23 +298,23 @@
 	}
 	c.waiting[m.id+string(data)] = done
 	m.core.Flush(c.now)
-	c.carryOut(m)
+	c.processReady(m)
 }
 
-// isolate cuts a member off, or lets it be reached again.
-func (c *cluster) isolate(id string, cut bool) {
+// isolate partitions a member from all others, or reconnects it.
+func (c *cluster) isolate(id string, partitioned bool) {
 	for _, other := range c.members {
-		c.cut[[2]string{id, other.id}] = cut
-		c.cut[[2]string{other.id, id}] = cut
+		c.partitioned[[2]string{id, other.id}] = partitioned
+		c.partitioned[[2]string{other.id, id}] = partitioned
 	}
 }
 
-func (c *cluster) cutBetween(a, b string) {
-	c.cut[[2]string{a, b}], c.cut[[2]string{b, a}] = true, true
+func (c *cluster) disconnect(a, b string) {
+	c.partitioned[[2]string{a, b}], c.partitioned[[2]string{b, a}] = true, true
 }
 
 func (c *cluster) heal() {
-	c.cut = map[[2]string]bool{}
+	c.partitioned = map[[2]string]bool{}
 	c.lossy = false
 	for _, m := range c.sorted() {
 		if !m.up {
--- a/pkg/replicator/election.go
+++ b/pkg/replicator/election.go
@@ -6,8 +6,8 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Tick lets time pass: elections, heartbeats, and a leader that has lost its
-// quorum steps down.
+// Tick advances time: it starts elections, sends heartbeats, and lets a leader that has lost
+// its quorum step down.
 func (r *Replicator) Tick(now time.Time) {
 	if r.role == Leader {
 		r.tickLeader(now)
@@ -16,15 +16,15 @@
 	if now.Before(r.electionAt) {
 		return
 	}
-	r.resetElection(now)
+	r.resetElectionTimer(now)
 	if r.isVoter(r.ID) {
 		r.campaign(now, PreCandidate, false)
 	}
 }
 
 func (r *Replicator) tickLeader(now time.Time) {
-	if r.transferTo != "" && now.After(r.transferEnd) {
-		// A TimeoutNow may still arrive late. Leading on with a lease would then
+	if r.transferTo != "" && now.After(r.transferDeadline) {
+		// A delayed TimeoutNow may still arrive. Continuing to lead with a lease would then
 		// allow two leaders, so this term ends here.
 		r.becomeFollower(now, r.term, "")
 		return
@@ -33,39 +33,38 @@
 		r.becomeFollower(now, r.term, "")
 		return
 	}
-	if !now.Before(r.nextBeat) {
-		r.beat(now)
+	if !now.Before(r.nextHeartbeat) {
+		r.sendHeartbeats(now)
 	}
 }
 
-// resetElection sets the time of the next attempt to lead. Until a leader has been heard
-// since the start there is probably none, and only the quiet time has to pass; the spread
-// keeps members apart that started together.
-func (r *Replicator) resetElection(now time.Time) {
-	least, spread := r.ElectionTimeout, r.ElectionTimeout
-	if !r.leaderMet {
-		least, spread = r.StartupVoteDelay, max(r.StartupVoteDelay, r.ElectionTimeout/startSpread)
+// resetElectionTimer schedules the next attempt to lead. Until a leader has been seen since the
+// start there is probably none, and only StartupVoteDelay has to pass; the random spread
+// separates members that started together.
+func (r *Replicator) resetElectionTimer(now time.Time) {
+	minWait, spread := r.ElectionTimeout, r.ElectionTimeout
+	if !r.leaderSeen {
+		minWait, spread = r.StartupVoteDelay, max(r.StartupVoteDelay, r.ElectionTimeout/startupSpreadDivisor)
 	}
-	r.electionAt = now.Add(least + time.Duration(r.Random(int64(spread))))
+	r.electionAt = now.Add(minWait + time.Duration(r.Random(int64(spread))))
 }
 
-// startSpread divides the election timeout into the spread of the first attempts after a
-// start: some ten times a round trip and a disk's sync.
-const startSpread = 2
+// startupSpreadDivisor divides the election timeout into the spread of the first attempts after
+// a start: some ten times a round trip and a disk sync.
+const startupSpreadDivisor = 2
 
 func (r *Replicator) becomeFollower(now time.Time, term uint64, leader string) {
 	if term > r.term {
 		r.term, r.vote = term, ""
-		r.hardDirty = true
+		r.hardStateDirty = true
 	}
 	r.role, r.leader = Follower, leader
 	r.progress, r.votes = nil, nil
-	r.transferTo, r.handedOver = "", false
-	r.resetElection(now)
+	r.transferTo, r.timeoutNowSent = "", false
+	r.resetElectionTimer(now)
 }
 
-// campaign asks for votes. A pre-candidate asks for the next term without
-// entering it.
+// campaign requests votes. A pre-candidate requests them for the next term without entering it.
 func (r *Replicator) campaign(now time.Time, role Role, transfer bool) {
 	r.role, r.leader = role, ""
 	r.votes = map[string]bool{r.ID: true}
@@ -73,10 +72,10 @@
 	if role == Candidate {
 		r.term++
 		r.vote = r.ID
-		r.hardDirty = true
+		r.hardStateDirty = true
 		kind = wire.MessageKind_MESSAGE_KIND_VOTE
 	}
-	r.resetElection(now)
+	r.resetElectionTimer(now)
 	last := r.lastIndex()
 	for _, m := range r.Configuration().GetVoters() {
 		if m.GetId() == r.ID {
@@ -92,36 +91,36 @@
 
 // stepVote answers a request for a vote or a pre-vote.
 func (r *Replicator) stepVote(now time.Time, m *wire.Message) {
-	pre := m.GetKind() == wire.MessageKind_MESSAGE_KIND_PRE_VOTE
+	preVote := m.GetKind() == wire.MessageKind_MESSAGE_KIND_PRE_VOTE
 	answer := wire.MessageKind_MESSAGE_KIND_VOTE_ANSWER
-	if pre {
+	if preVote {
 		answer = wire.MessageKind_MESSAGE_KIND_PRE_VOTE_ANSWER
 	}
-	if r.hearsLeader(now) && !m.GetTransfer() {
-		// A member that was cut off must not depose a leader that works, and the
-		// leader's lease rests on this refusal.
+	if r.leaderActive(now) && !m.GetTransfer() {
+		// A member that was partitioned must not depose a working leader, and the leader's
+		// lease depends on this refusal.
 		r.send(&wire.Message{Kind: answer, To: m.GetFrom(), Reject: true})
 		return
 	}
-	if !pre && m.GetTerm() > r.term {
+	if !preVote && m.GetTerm() > r.term {
 		r.becomeFollower(now, m.GetTerm(), "")
 	}
-	granted := r.isCurrent(m) && r.mayVote(m, pre)
-	if granted && !pre {
+	granted := r.isUpToDate(m) && r.canGrantVote(m, preVote)
+	if granted && !preVote {
 		r.vote = m.GetFrom()
-		r.hardDirty = true
-		r.resetElection(now)
+		r.hardStateDirty = true
+		r.resetElectionTimer(now)
 	}
 	term := r.term
-	if pre && granted {
+	if preVote && granted {
 		term = m.GetTerm()
 	}
 	r.send(&wire.Message{Kind: answer, To: m.GetFrom(), Term: term, Reject: !granted})
 }
 
-// isCurrent reports whether a candidate's log is at least as new as this one
-// (section 5.4.1 of the paper).
-func (r *Replicator) isCurrent(m *wire.Message) bool {
+// isUpToDate reports whether a candidate's log is at least as up-to-date as this one (section
+// 5.4.1 of the paper).
+func (r *Replicator) isUpToDate(m *wire.Message) bool {
 	last := r.lastIndex()
 	if m.GetLogTerm() != r.termOf(last) {
 		return m.GetLogTerm() > r.termOf(last)
@@ -129,34 +128,34 @@
 	return m.GetLogIndex() >= last
 }
 
-// mayVote reports whether this member's vote for the term is still to be had.
-func (r *Replicator) mayVote(m *wire.Message, pre bool) bool {
-	if pre {
+// canGrantVote reports whether this member can still grant its vote for the term.
+func (r *Replicator) canGrantVote(m *wire.Message, preVote bool) bool {
+	if preVote {
 		return m.GetTerm() > r.term
 	}
-	unused := r.vote == "" || r.vote == m.GetFrom()
-	return m.GetTerm() == r.term && unused && r.role == Follower
+	available := r.vote == "" || r.vote == m.GetFrom()
+	return m.GetTerm() == r.term && available && r.role == Follower
 }
 
-// hearsLeader reports whether a leader is known to have worked within the least
-// election timeout.
-func (r *Replicator) hearsLeader(now time.Time) bool {
+// leaderActive reports whether there was contact with a leader (for a leader, with a quorum)
+// within the minimum election timeout.
+func (r *Replicator) leaderActive(now time.Time) bool {
 	if r.role == Leader {
-		return !r.handedOver && now.Sub(r.quorumContact(now)) < r.ElectionTimeout
+		return !r.timeoutNowSent && now.Sub(r.quorumContact(now)) < r.ElectionTimeout
 	}
 	return now.Sub(r.lastContact) < r.ElectionTimeout
 }
 
 func (r *Replicator) stepVoteAnswer(now time.Time, m *wire.Message) {
-	pre := m.GetKind() == wire.MessageKind_MESSAGE_KIND_PRE_VOTE_ANSWER
+	preVote := m.GetKind() == wire.MessageKind_MESSAGE_KIND_PRE_VOTE_ANSWER
 	if m.GetReject() {
 		if m.GetTerm() > r.term {
 			r.becomeFollower(now, m.GetTerm(), "")
 		}
 		return
 	}
-	expected := pre && r.role == PreCandidate && m.GetTerm() == r.term+1 ||
-		!pre && r.role == Candidate && m.GetTerm() == r.term
+	expected := preVote && r.role == PreCandidate && m.GetTerm() == r.term+1 ||
+		!preVote && r.role == Candidate && m.GetTerm() == r.term
 	if !expected {
 		return
 	}
@@ -183,22 +182,22 @@
 }
 
 func (r *Replicator) becomeLeader(now time.Time) {
-	r.leaderMet = true
+	r.leaderSeen = true
 	r.role, r.leader = Leader, r.ID
 	r.leaderSince = now
 	r.roundSentAt = map[uint64]time.Time{}
 	r.progress = map[string]*progress{}
-	r.handedOver = false
+	r.timeoutNowSent = false
 	r.trackMembers()
 	r.appendEntry(wire.EntryKind_ENTRY_KIND_COMMAND, nil)
 	r.termStart = r.lastIndex()
-	r.beat(now)
+	r.sendHeartbeats(now)
 }
 
 // trackMembers keeps a progress for each other member of the configuration.
 func (r *Replicator) trackMembers() {
 	members := map[string]bool{}
-	for _, m := range r.others() {
+	for _, m := range r.otherMembers() {
 		members[m.GetId()] = true
 		if r.progress[m.GetId()] == nil {
 			r.progress[m.GetId()] = &progress{next: r.lastIndex() + 1}
--- a/pkg/replicator/fault.go
+++ b/pkg/replicator/fault.go
@@ -2,18 +2,18 @@
 
 import "github.com/pkg/errors"
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind int
 
 // The kinds of errors.
 const (
 	// KindNotLeader means that the member doesn't lead.
 	KindNotLeader Kind = iota + 1
-	// KindBusy means that a change of membership or leadership is under way.
+	// KindBusy means that a change of membership or leadership is in progress.
 	KindBusy
 	// KindIndex means that an index is out of range.
 	KindIndex
-	// KindMember means that a member is unknown or already there.
+	// KindMember means that the voters don't allow the operation.
 	KindMember
 )
 
--- a/pkg/replicator/members.go
+++ b/pkg/replicator/members.go
@@ -10,20 +10,20 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// ChangeMembers proposes a configuration. It must differ from the present one in
-// at most one voter, and only one change may be under way.
+// ChangeMembers proposes a configuration. It must differ from the present one in at most one
+// voter, and only one change may be in progress.
 func (r *Replicator) ChangeMembers(next *wire.Configuration) (uint64, error) {
 	if r.role != Leader {
-		return 0, fail("ChangeMembers", KindNotLeader, "%s is a %s", r.ID, r.role)
+		return 0, fail("ChangeMembers", KindNotLeader, "member %s is a %s", r.ID, r.role)
 	}
 	if r.transferTo != "" || r.commit < r.termStart || r.configs[len(r.configs)-1].index > r.commit {
 		return 0, fail("ChangeMembers", KindBusy, "an earlier change has not been committed")
 	}
 	if len(next.GetVoters()) == 0 {
-		return 0, fail("ChangeMembers", KindMember, "no voter would be left")
+		return 0, fail("ChangeMembers", KindMember, "the configuration has no voter")
 	}
 	if n := votersChanged(r.Configuration(), next); n > 1 {
-		return 0, fail("ChangeMembers", KindMember, "%d voters would change at once", n)
+		return 0, fail("ChangeMembers", KindMember, "%d voters would change in one step", n)
 	}
 	data, err := proto.Marshal(next)
 	if err != nil {
@@ -43,26 +43,28 @@
 func votersChanged(a, b *wire.Configuration) int {
 	n := 0
 	for _, m := range a.GetVoters() {
-		if !holds(b.GetVoters(), m.GetId()) {
+		if !containsMember(b.GetVoters(), m.GetId()) {
 			n++
 		}
 	}
 	for _, m := range b.GetVoters() {
-		if !holds(a.GetVoters(), m.GetId()) {
+		if !containsMember(a.GetVoters(), m.GetId()) {
 			n++
 		}
 	}
 	return n
 }
 
-func holds(members []*wire.Member, id string) bool {
+func containsMember(members []*wire.Member, id string) bool {
 	return slices.ContainsFunc(members, func(m *wire.Member) bool { return m.GetId() == id })
 }
 
-func (r *Replicator) isVoter(id string) bool { return holds(r.Configuration().GetVoters(), id) }
+func (r *Replicator) isVoter(id string) bool {
+	return containsMember(r.Configuration().GetVoters(), id)
+}
 
-// others returns all members of the configuration but this one.
-func (r *Replicator) others() []*wire.Member {
+// otherMembers returns all members of the configuration except this one.
+func (r *Replicator) otherMembers() []*wire.Member {
 	config := r.Configuration()
 	all := make([]*wire.Member, 0, len(config.GetVoters())+len(config.GetLearners()))
 	for _, m := range slices.Concat(config.GetVoters(), config.GetLearners()) {
@@ -73,8 +75,8 @@
 	return all
 }
 
-// noteConfig makes a configuration take effect as soon as it is in the log.
-func (r *Replicator) noteConfig(e *wire.Entry) {
+// addConfig makes a configuration take effect as soon as it is in the log.
+func (r *Replicator) addConfig(e *wire.Entry) {
 	config := &wire.Configuration{}
 	if err := proto.Unmarshal(e.GetData(), config); err != nil {
 		// The entry was marshalled by ChangeMembers and carries a checksum.
@@ -90,7 +92,7 @@
 	r.configs = []configAt{{index: r.base.GetIndex(), config: r.base.GetConfiguration()}}
 	for _, e := range r.log {
 		if e.GetKind() == wire.EntryKind_ENTRY_KIND_CONFIGURATION {
-			r.noteConfig(e)
+			r.addConfig(e)
 		}
 	}
 }
@@ -106,8 +108,8 @@
 	return config
 }
 
-// LastContact returns when the latest message was sent that a member has answered, as a
-// leader knows it; the start of the term if it has answered none.
+// LastContact returns when the leader sent the latest message that a member has answered, or
+// the start of the term if it has answered none.
 func (r *Replicator) LastContact(id string) time.Time {
 	p := r.progress[id]
 	if p == nil || p.ackedAt.Before(r.leaderSince) {
--- a/pkg/replicator/replicator.go
+++ b/pkg/replicator/replicator.go
@@ -1,11 +1,11 @@
-// Package replicator decides how a log is kept on several members: the Raft
-// algorithm as published (Ongaro and Ousterhout, "In Search of an Understandable
-// Consensus Algorithm", 2014), with pre-vote, check-quorum, leadership transfer,
-// learners and single-server membership changes from Ongaro's thesis (2014).
+// Package replicator implements one member of a replicated log: the Raft algorithm (Ongaro and
+// Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014), with pre-vote,
+// check-quorum, leadership transfer, learners and single-server membership changes from
+// Ongaro's thesis (2014).
 //
-// The package is pure: messages and the time go in, and Take hands out what has
-// to be synced, sent and applied, in this order. It starts no goroutine, takes no
-// lock and reads no clock.
+// The package is deterministic: messages and the time go in, and TakeReady returns what has to
+// be synced, sent and applied, in this order. It starts no goroutine, takes no lock and reads
+// no clock.
 package replicator
 
 import (
@@ -16,7 +16,7 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Role is what a member is in its current term.
+// Role is a member's role in its current term.
 type Role int
 
 // The roles of a member.
@@ -36,13 +36,13 @@
 	defaultMaxEntries      = 512
 	defaultMaxAppendBytes  = 1 << 20
 	snapshotRetryTimeouts  = 10
-	driftDivisor           = 10
-	maxRememberedRounds    = 256
+	clockDriftDivisor      = 10
+	maxTrackedRounds       = 256
 	defaultHeartbeat       = 100 * time.Millisecond
 	defaultElectionTimeout = 600 * time.Millisecond
 )
 
-// PersistedState is what a member's disk held when it started.
+// PersistedState is what a member reads back from its disk at its start.
 type PersistedState struct {
 	HardState *wire.HardState
 	// Snapshot may be nil.
@@ -51,16 +51,16 @@
 	Entries []*wire.Entry
 }
 
-// Ready is what the caller has to carry out, in the order of the fields.
+// Ready is the work for the caller, to be done in the order of the fields.
 type Ready struct {
 	// HardState is not nil when it has to be synced.
 	HardState *wire.HardState
 	// Snapshot is not nil when a leader's snapshot replaces the log and the state.
 	Snapshot *wire.Snapshot
-	// Entries have to be appended and synced; the first one's index may be at or
-	// below the last stored one, which cuts the stored log there.
+	// Entries have to be appended and synced; the first one's index may be at or below the last
+	// stored one, which truncates the stored log there.
 	Entries []*wire.Entry
-	// Messages may leave only after the fields above were synced.
+	// Messages may be sent only after the fields above were synced.
 	Messages []*wire.Message
 	// Committed entries are to be applied in order.
 	Committed []*wire.Entry
@@ -77,15 +77,15 @@
 type Replicator struct {
 	// ID names this member: the instance and the incarnation of its disk.
 	ID string
-	// Heartbeat is the time between two rounds of a leader's messages.
+	// Heartbeat is the interval between a leader's rounds of messages.
 	Heartbeat time.Duration
-	// ElectionTimeout is the least time without a leader before an election. A
-	// member waits between one and two of them.
+	// ElectionTimeout is the minimum time without a leader before an election. A member waits
+	// between one and two election timeouts.
 	ElectionTimeout time.Duration
-	// StartupVoteDelay is how long after its start a member gives no vote, since a leader may
-	// still hold a lease on what it said before. 0 is ElectionTimeout. Where nothing
-	// dangerous rests on a leader's lease, less of it lets a group that has restarted as a
-	// whole elect sooner.
+	// StartupVoteDelay is how long after its start a member grants no vote, since a leader may
+	// still hold a lease that the member acknowledged before. 0 means ElectionTimeout. Where no
+	// unsafe action depends on a leader's lease, a smaller value lets a group that restarted as
+	// a whole elect sooner.
 	StartupVoteDelay time.Duration
 	// Random returns a number in [0, n).
 	Random func(n int64) int64
@@ -105,26 +105,26 @@
 	synced   uint64
 	unstable uint64
 
-	// lastContact is when a leader was heard last; leaderMet is set once one was heard, or
-	// a term led, since the start.
+	// lastContact is when a leader's last message arrived; leaderSeen is set once one has
+	// arrived, or this member has led, since the start.
 	lastContact time.Time
-	leaderMet   bool
+	leaderSeen  bool
 	electionAt  time.Time
 	votes       map[string]bool
 
-	progress    map[string]*progress
-	round       uint64
-	roundSentAt map[uint64]time.Time
-	nextBeat    time.Time
-	leaderSince time.Time
-	termStart   uint64
-	transferTo  string
-	transferEnd time.Time
-	handedOver  bool
-
-	hardDirty bool
-	install   *wire.Snapshot
-	outbox    []*wire.Message
+	progress         map[string]*progress
+	round            uint64
+	roundSentAt      map[uint64]time.Time
+	nextHeartbeat    time.Time
+	leaderSince      time.Time
+	termStart        uint64
+	transferTo       string
+	transferDeadline time.Time
+	timeoutNowSent   bool
+
+	hardStateDirty  bool
+	pendingSnapshot *wire.Snapshot
+	outbox          []*wire.Message
 }
 
 // progress is what a leader knows of one other member.
@@ -132,7 +132,7 @@
 	match, next uint64
 	// ackedAt is when the last acknowledged round was sent.
 	ackedAt time.Time
-	// snapshotAt is when a snapshot was last sent and is still unanswered.
+	// snapshotAt is when a snapshot was sent that the member hasn't acknowledged yet.
 	snapshotAt time.Time
 }
 
@@ -141,8 +141,8 @@
 	config *wire.Configuration
 }
 
-// Start sets the member up from its disk. It begins as a follower that has just
-// heard from a leader, so that a restart can't shorten a leader's lease.
+// Start initializes the member from its disk. It starts as a follower and grants no vote for
+// StartupVoteDelay, so that a restart can't shorten a leader's lease.
 func (r *Replicator) Start(now time.Time, stored PersistedState) {
 	r.setDefaults()
 	r.base = stored.Snapshot
@@ -160,7 +160,7 @@
 	r.unstable = r.synced + 1
 	r.rebuildConfigs()
 	r.becomeFollower(now, r.term, "")
-	// Votes are refused as if a leader had been heard StartQuiet before their time.
+	// Votes are refused until StartupVoteDelay has passed; see leaderActive.
 	r.lastContact = now.Add(r.StartupVoteDelay - r.ElectionTimeout)
 }
 
@@ -179,14 +179,14 @@
 	}
 }
 
-// TakeReady returns what has accumulated since the last call. The caller carries it
-// out and then calls Synced.
+// TakeReady returns the work that has accumulated since the last call. The caller does it and
+// then calls Synced.
 func (r *Replicator) TakeReady() Ready {
-	rd := Ready{Messages: r.outbox, Snapshot: r.install}
-	r.outbox, r.install = nil, nil
-	if r.hardDirty {
+	rd := Ready{Messages: r.outbox, Snapshot: r.pendingSnapshot}
+	r.outbox, r.pendingSnapshot = nil, nil
+	if r.hardStateDirty {
 		rd.HardState = &wire.HardState{Term: r.term, Vote: r.vote}
-		r.hardDirty = false
+		r.hardStateDirty = false
 	}
 	if last := r.lastIndex(); r.unstable <= last {
 		rd.Entries = r.slice(r.unstable, last+1)
@@ -199,8 +199,8 @@
 	return rd
 }
 
-// Synced tells that all entries handed out by Take up to index are on disk.
-// Only then does a leader count itself for the quorum.
+// Synced records that all entries returned by TakeReady up to index are on disk. Only then does
+// a leader count itself for the quorum.
 func (r *Replicator) Synced(index uint64) {
 	r.synced = min(index, r.lastIndex())
 	if r.role == Leader {
@@ -209,7 +209,7 @@
 }
 
 // FillMetadata fills in the term and the configuration of a snapshot of applied state. It
-// reports false when the log has no place for it any more.
+// returns false unless the index is above the present snapshot and was returned as committed.
 func (r *Replicator) FillMetadata(s *wire.Snapshot) bool {
 	if s.GetIndex() <= r.base.GetIndex() || s.GetIndex() > r.emitted {
 		return false
@@ -232,10 +232,10 @@
 	return nil
 }
 
-// StoredEntries returns the entries behind the snapshot that were handed out to be synced.
+// StoredEntries returns the entries after the snapshot that TakeReady has returned for syncing.
 func (r *Replicator) StoredEntries() []*wire.Entry { return r.slice(r.base.GetIndex()+1, r.unstable) }
 
-// Role returns what the member is now.
+// Role returns the member's present role.
 func (r *Replicator) Role() Role { return r.role }
 
 // Term returns the current term.
@@ -263,7 +263,7 @@
 
 func (r *Replicator) lastIndex() uint64 { return r.base.GetIndex() + uint64(len(r.log)) }
 
-// termOf returns the term of an entry, or 0 when it isn't held.
+// termOf returns the term of an entry, or 0 when the log doesn't hold it.
 func (r *Replicator) termOf(index uint64) uint64 {
 	first := r.base.GetIndex()
 	switch {
--- a/pkg/replicator/replicator_test.go
+++ b/pkg/replicator/replicator_test.go
@@ -16,18 +16,18 @@
 
 func TestFailures(t *testing.T) {
 	cases := map[string]func(*cluster){
-		"nothing":                                               func(*cluster) {},
-		"messages are lost and late":                            func(c *cluster) { c.lossy = true },
-		"the leader is cut off":                                 cutLeader,
-		"the leader crashes":                                    crashLeader,
-		"a member loses its disk":                               loseDisk,
-		"leadership is handed over":                             transfer,
-		"a member is cut for long":                              cutFollower,
-		"the leader is heard one way":                           oneWay,
-		"one member does not hear the leader, another restarts": restartBeside,
-		"leadership is handed over, and the old leader cut off": transferAndCut,
-		"the member that shall lead is cut off":                 transferToCut,
-		"any of these, and many times":                          anything,
+		"nothing":                            func(*cluster) {},
+		"messages are lost and delayed":      func(c *cluster) { c.lossy = true },
+		"the leader is partitioned":          isolateLeader,
+		"the leader crashes":                 crashLeader,
+		"a member loses its disk":            loseDisk,
+		"leadership is transferred":          transfer,
+		"a follower is partitioned":          isolateFollower,
+		"messages to the leader are dropped": blockLeaderInbound,
+		"one follower is disconnected from the leader, the other restarts":      disconnectAndRestart,
+		"leadership is transferred, and messages to the old leader are dropped": transferAndBlockInbound,
+		"the target of a transfer may be unreachable":                           transferToUnreachable,
+		"a random fault each time":                                              randomFaults,
 	}
 	for name, fault := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -38,7 +38,7 @@
 	}
 }
 
-func cutLeader(c *cluster) {
+func isolateLeader(c *cluster) {
 	if m := c.leader(); m != nil {
 		c.isolate(m.id, true)
 	}
@@ -50,20 +50,20 @@
 	}
 }
 
-// oneWay lets the leader's messages out but no answers in.
-func oneWay(c *cluster) {
+// blockLeaderInbound delivers the leader's messages but drops those to it.
+func blockLeaderInbound(c *cluster) {
 	if m := c.leader(); m != nil {
-		oneWayOf(c, m)
+		blockInbound(c, m)
 	}
 }
 
-func oneWayOf(c *cluster, m *member) {
+func blockInbound(c *cluster, m *member) {
 	for _, other := range c.members {
-		c.cut[[2]string{other.id, m.id}] = true
+		c.partitioned[[2]string{other.id, m.id}] = true
 	}
 }
 
-func cutFollower(c *cluster) {
+func isolateFollower(c *cluster) {
 	for _, m := range c.sorted() {
 		if m != c.leader() {
 			c.isolate(m.id, true)
@@ -78,7 +78,7 @@
 	}
 }
 
-// loseDisk empties the disk of a member that does not lead, if all is well besides.
+// loseDisk empties the disk of a follower, if there is a leader with at least three voters.
 func loseDisk(c *cluster) {
 	l := c.leader()
 	if l == nil || len(l.core.Configuration().GetVoters()) < 3 {
@@ -92,7 +92,7 @@
 	}
 }
 
-// others returns the members that don't lead.
+// others returns all members but the leader.
 func (c *cluster) others(leader *member) []*member {
 	var others []*member
 	for _, m := range c.sorted() {
@@ -103,72 +103,73 @@
 	return others
 }
 
-// restartBeside cuts the cable between the leader and one member, which then asks for
-// votes, and restarts the one that both reach: it must not forget that it is led.
-func restartBeside(c *cluster) {
+// disconnectAndRestart disconnects the leader and one member, which then requests votes, and
+// restarts the member that both reach: it must not help to depose the leader.
+func disconnectAndRestart(c *cluster) {
 	l := c.leader()
 	if l == nil {
 		return
 	}
-	// All hold the same log, so that only their having heard a leader keeps them.
+	// All logs are equal then, so that only recent contact with a leader prevents the votes.
 	c.run(500 * time.Millisecond)
 	others := c.others(l)
-	c.cutBetween(l.id, others[0].id)
+	c.disconnect(l.id, others[0].id)
 	for range 12 {
 		c.run(100 * time.Millisecond)
 		c.start(others[1])
 	}
 }
 
-// transferAndCut hands leadership over, and lets the old leader hear nothing from
-// there on.
-func transferAndCut(c *cluster) {
+// transferAndBlockInbound transfers leadership and drops all messages to the old leader from
+// then on.
+func transferAndBlockInbound(c *cluster) {
 	c.run(500 * time.Millisecond)
 	if l := c.leader(); l != nil {
 		transfer(c)
-		c.carryOut(l)
-		oneWayOf(c, l)
+		c.processReady(l)
+		blockInbound(c, l)
 		c.run(time.Second)
 	}
 }
 
-// transferToCut hands leadership over to a member that can't be reached.
-func transferToCut(c *cluster) {
+// transferToUnreachable transfers leadership and disconnects the leader from one other member,
+// which may be the target, or from none.
+func transferToUnreachable(c *cluster) {
 	c.run(500 * time.Millisecond)
 	l := c.leader()
 	if l == nil {
 		return
 	}
 	transfer(c)
-	c.carryOut(l)
+	c.processReady(l)
 	for _, m := range c.others(l) {
 		if c.random.IntN(2) == 0 {
-			c.cutBetween(l.id, m.id)
+			c.disconnect(l.id, m.id)
 			return
 		}
 	}
 }
 
-func anything(c *cluster) {
+func randomFaults(c *cluster) {
 	c.lossy = c.random.IntN(2) == 0
-	faults := []func(*cluster){cutLeader, crashLeader, transfer, cutFollower, oneWay, func(*cluster) {}}
+	faults := []func(*cluster){isolateLeader, crashLeader, transfer, isolateFollower, blockLeaderInbound, func(*cluster) {}}
 	faults[c.random.IntN(len(faults))](c)
 }
 
-// change is one operator's change of the contract, as history checking sees it.
+// change is one operator's change of the contract, the input of an operation in the history.
 type change struct {
 	base uint64
 }
 
 type answer struct {
 	unknown bool
-	won     bool
+	applied bool
 	version uint64
 	at      time.Time
 }
 
-// contractModel is a register that a change sets only from the version it was made
-// from. An operation whose answer was lost may have taken effect or not.
+// contractModel is a register that a change sets only from its base version. An operation whose
+// answer was lost may have taken effect or not.
 func contractModel() porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return uint64(0) },
@@ -179,7 +180,7 @@
 				return true, version + 1
 			case out.unknown:
 				return true, version
-			case out.won:
+			case out.applied:
 				return version == in.base && out.version == in.base+1, version + 1
 			}
 			return version != in.base, version
@@ -187,8 +188,8 @@
 	}
 }
 
-// runHistory lets operators race each other while a fault comes and goes, and checks
-// the history of their answers and that the system comes back.
+// runHistory runs concurrent changes while a fault occurs and is healed, and checks the history
+// of their answers and that the cluster recovers.
 func runHistory(c *qt.C, seed uint64, fault func(*cluster)) {
 	k := newCluster(seed, "a", "b", "c")
 	var history []porcupine.Operation
@@ -206,10 +207,10 @@
 			k.run(3 * time.Second)
 		}
 	}
-	c.Assert(k.faults, qt.HasLen, 0, qt.Commentf("seed %d", seed))
-	c.Assert(porcupine.CheckOperations(contractModel(), closed(history, k.now)), qt.IsTrue, qt.Commentf("seed %d", seed))
+	c.Assert(k.violations, qt.HasLen, 0, qt.Commentf("seed %d", seed))
+	c.Assert(porcupine.CheckOperations(contractModel(), withReturnTimes(history, k.now)), qt.IsTrue, qt.Commentf("seed %d", seed))
 	c.Assert(k.leader(), qt.IsNotNil, qt.Commentf("seed %d: nobody leads after the faults are over", seed))
-	assertSame(c, k)
+	assertConverged(c, k)
 	done := false
 	k.propose(k.leader(), applyCommand("last", 0), func(applier.Result) { done = true })
 	k.run(time.Second)
@@ -229,7 +230,7 @@
 	out := history[at].Output.(*answer)
 	k.propose(m, applyCommand(fmt.Sprint(operator, "-", round), in.base), func(result applier.Result) {
 		out.unknown, out.at = false, k.now
-		out.won = !result.Apply.GetConflict()
+		out.applied = !result.Apply.GetConflict()
 		out.version = result.Apply.GetContract().GetVersion()
 		*version = max(*version, out.version)
 	})
@@ -242,9 +243,9 @@
 	}}}
 }
 
-// closed gives each operation its end. One without an answer may take effect until
-// the end of the history.
-func closed(history []porcupine.Operation, end time.Time) []porcupine.Operation {
+// withReturnTimes sets each operation's return time. One without an answer may take effect
+// until the end of the history.
+func withReturnTimes(history []porcupine.Operation, end time.Time) []porcupine.Operation {
 	for i := range history {
 		out := *history[i].Output.(*answer)
 		history[i].Output = out
@@ -256,8 +257,8 @@
 	return history
 }
 
-// assertSame lets members catch up, by a snapshot if need be, and compares them.
-func assertSame(c *qt.C, k *cluster) {
+// assertConverged lets members catch up, by a snapshot if necessary, and compares them.
+func assertConverged(c *qt.C, k *cluster) {
 	k.run(8 * time.Second)
 	first := k.sorted()[0]
 	want, err := first.state.Snapshot()
@@ -303,7 +304,7 @@
 	k := newCluster(7, "a", "b", "c")
 	k.run(3 * time.Second)
 	leader := k.leader()
-	// The leader and one member agree on an entry; the third knows nothing of it.
+	// The leader and one member commit an entry that the third lacks.
 	others := []*member{}
 	for _, m := range k.sorted() {
 		if m != leader {
@@ -315,23 +316,23 @@
 	k.propose(leader, applyCommand("kept", 0), func(applier.Result) { committed = true })
 	k.run(time.Second)
 	c.Assert(committed, qt.IsTrue)
-	// The member that has the entry loses its disk, and the leader is cut off: the
-	// member that lacks the entry must not be elected with the empty one's help.
+	// The member that has the entry loses its disk, and the leader is partitioned: the member
+	// that lacks the entry must not be elected by the vote of the empty one.
 	k.isolate(others[1].id, false)
 	k.isolate(leader.id, true)
 	k.loseDisk(others[0].name)
 	k.run(10 * time.Second)
 	c.Assert(k.leader(), qt.IsNil)
-	// When the leader is back the lost member is replaced, and the entry is there.
+	// When the leader is reachable again the lost member is replaced, and the entry is there.
 	k.heal()
 	k.run(10 * time.Second)
 	c.Assert(k.leader(), qt.IsNotNil)
 	c.Assert(k.leader().state.Contract("volantes").GetVersion(), qt.Equals, uint64(1))
 	c.Assert(k.leader().core.Configuration().GetVoters(), qt.HasLen, 3)
-	c.Assert(k.faults, qt.HasLen, 0)
+	c.Assert(k.violations, qt.HasLen, 0)
 }
 
-func TestSecondLossAfterRepair(t *testing.T) {
+func TestSecondDiskLossAfterRecovery(t *testing.T) {
 	c := qt.New(t)
 	k := newCluster(11, "a", "b", "c")
 	k.run(3 * time.Second)
@@ -349,22 +350,22 @@
 	k.loseDisk(others[0].name)
 	k.run(10 * time.Second)
 	c.Assert(leader.core.Configuration().GetVoters(), qt.HasLen, 3)
-	// Right after the repair the leader is lost with its disk.
+	// Right after the recovery the leader loses its disk.
 	k.loseDisk(leader.name)
 	k.run(15 * time.Second)
 	c.Assert(k.leader(), qt.IsNotNil)
 	c.Assert(k.leader().state.Contract("volantes").GetVersion(), qt.Equals, uint64(1))
 	c.Assert(k.leader().core.Configuration().GetVoters(), qt.HasLen, 3)
-	c.Assert(k.faults, qt.HasLen, 0)
+	c.Assert(k.violations, qt.HasLen, 0)
 }
 
-func TestHandingOverToNobodyEnds(t *testing.T) {
+func TestTransferWithLostTimeoutNowEnds(t *testing.T) {
 	c := qt.New(t)
 	k := newCluster(3, "a", "b", "c")
 	k.run(3 * time.Second)
 	transfer(k)
-	k.carryOut(k.inLeadersRole())
-	// The message that hands over is lost.
+	k.processReady(k.anyLeader())
+	// The TimeoutNow message is lost.
 	k.network = nil
 	k.run(5 * time.Second)
 	done := false
@@ -373,7 +374,7 @@
 	c.Assert(done, qt.IsTrue)
 }
 
-func TestFailoverEndsInsideSessionLease(t *testing.T) {
+func TestFailoverFinishesWithinSessionLease(t *testing.T) {
 	c := qt.New(t)
 	for seed := uint64(1); seed <= 50; seed++ {
 		k := newCluster(seed, "a", "b", "c")
--- a/pkg/replicator/restart_test.go
+++ b/pkg/replicator/restart_test.go
@@ -7,12 +7,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// All members lose their power together and come back within half a second of each other.
-// Where no lease has to be waited for, there is a leader soon after a majority is back.
-func TestRestartedGroupElectsSoon(t *testing.T) {
-	for name, test := range map[string]struct{ quiet, within time.Duration }{
-		"leases are waited for": {0, 8 * timeout},
-		"no leases":             {50 * time.Millisecond, timeout * 3 / 2},
+// All members stop together, and a majority restarts within half a second. If no lease has to
+// be waited for, it has a leader soon afterwards.
+func TestRestartedClusterElectsQuickly(t *testing.T) {
+	for name, test := range map[string]struct{ voteDelay, within time.Duration }{
+		"leases have to expire first": {0, 8 * timeout},
+		"no leases":                   {50 * time.Millisecond, timeout * 3 / 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -23,26 +23,25 @@
 					m.up = false
 				}
 				k.run(timeout)
-				k.startQuiet = test.quiet
+				k.startupVoteDelay = test.voteDelay
 				for _, m := range k.sorted()[:3] {
 					k.run(80 * time.Millisecond)
 					k.start(m)
 				}
 				k.run(test.within)
 				c.Check(k.leader(), qt.IsNotNil, qt.Commentf("seed %d", seed))
-				c.Check(k.faults, qt.HasLen, 0)
+				c.Check(k.violations, qt.HasLen, 0)
 			}
 		})
 	}
 }
 
-// A member that restarts alone does not depose the leader of the others, however soon it
-// asks for votes.
-func TestRestartedMemberDeposesNobody(t *testing.T) {
+// A single restarted member must not depose the leader, however soon it requests votes.
+func TestRestartedMemberDoesNotDeposeLeader(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
 		k := newCluster(seed, "a", "b", "c")
-		k.startQuiet = 10 * time.Millisecond
+		k.startupVoteDelay = 10 * time.Millisecond
 		k.run(4 * timeout)
 		leader := k.leader()
 		c.Assert(leader, qt.IsNotNil)
