--- a/pkg/sessiontracker/sessiontracker.go
+++ b/pkg/sessiontracker/sessiontracker.go
@@ -1,10 +1,10 @@
-// Package leaser keeps the leader's side of the gateways' sessions: which are
-// alive, which have reported to this leader, and from when on nothing that was
-// done under a session can still run.
+// Package sessiontracker tracks the gateways' sessions on the leader: which are alive, which
+// have reported to this leader, and from when on no request that ran under a session can still
+// run.
 //
-// A gateway counts its lease from when it sent a renewal, the leader from when it
-// received it, both on monotonic clocks, so the gateway's end comes first. The
-// package is pure and not safe for concurrent use.
+// A gateway counts its lease from when it sent a renewal, the leader from when it received it,
+// both on monotonic clocks, so the lease ends first at the gateway. The package has no side
+// effects and is not safe for concurrent use.
 package sessiontracker
 
 import (
@@ -15,10 +15,10 @@
 	"bronzelead.example/pkg/limiter"
 )
 
-// SessionID names a gateway's session.
+// SessionID identifies a gateway's session.
 type SessionID = limiter.SessionID
 
-// Session is the leader's knowledge of one session.
+// Session is the leader's record of one session.
 type Session struct {
 	ID       SessionID
 	Instance string
@@ -30,15 +30,15 @@
 	Sequence uint64
 	// Revision is the last change of contracts that the gateway has applied.
 	Revision uint64
-	// Reported tells whether this leader knows all that the session holds.
+	// Reported is set when this leader knows everything that the session holds.
 	Reported bool
-	// closing is when the end of the session was last proposed.
-	closing time.Time
+	// closeProposedAt is when the end of the session was last proposed.
+	closeProposedAt time.Time
 }
 
 // Tracker holds the sessions. Set the exported fields before use.
 type Tracker struct {
-	// Lease is how long a session lives after its last renewal.
+	// Lease is how long a session is valid after its last renewal.
 	Lease time.Duration
 	// MaxRequestDuration is how long a request may run after its dispatch.
 	MaxRequestDuration time.Duration
@@ -47,59 +47,59 @@
 	ended    map[SessionID]endedSession
 }
 
-// endedSession is a session that is over but under which requests may still run.
+// endedSession is a session that has ended but whose requests may still run.
 type endedSession struct {
-	until time.Time
-	// known tells whether this leader knows what the session held.
-	known bool
+	releasedAt time.Time
+	// holdingsKnown is set when this leader knows what the session held.
+	holdingsKnown bool
 }
 
-// RenewResult is what a renewal led to.
+// RenewResult is the result of a renewal.
 type RenewResult int
 
-// The verdicts on a renewal.
+// The results of a renewal.
 const (
-	// Renewed means that the session lives on.
+	// Renewed means that the session was extended.
 	Renewed RenewResult = iota
-	// Ended means that the session is over; the gateway must open a new one.
+	// Ended means that the session has ended; the gateway must open a new one.
 	Ended
-	// Stale means that a later renewal of the session was seen before.
+	// Stale means that this or a later renewal of the session was received before.
 	Stale
 	// NeedFull means that the gateway must report all that it holds.
 	NeedFull
 )
 
-// Open adds a session with its ID and origin set. With adopted set it was opened
-// under an earlier leader, and what it holds is unknown.
-func (l *Tracker) Open(now time.Time, s Session, adopted bool) {
-	l.init()
-	if l.sessions[s.ID] != nil {
+// Open adds a session with its ID and origin set. An adopted session was opened under an
+// earlier leader, and what it holds is unknown.
+func (t *Tracker) Open(now time.Time, s Session, adopted bool) {
+	t.init()
+	if t.sessions[s.ID] != nil {
 		return
 	}
 	s.RenewedAt, s.Reported = now, !adopted
-	l.sessions[s.ID] = &s
+	t.sessions[s.ID] = &s
 }
 
-// AdoptEnded notes a session that ended under an earlier leader, without handing
-// back what it held.
-func (l *Tracker) AdoptEnded(now time.Time, id SessionID) {
-	l.init()
-	l.ended[id] = endedSession{until: now.Add(l.MaxRequestDuration)}
+// AdoptEnded records a session that ended under an earlier leader without returning what it
+// held.
+func (t *Tracker) AdoptEnded(now time.Time, id SessionID) {
+	t.init()
+	t.ended[id] = endedSession{releasedAt: now.Add(t.MaxRequestDuration)}
 }
 
-func (l *Tracker) init() {
-	if l.sessions == nil {
-		l.sessions = map[SessionID]*Session{}
-		l.ended = map[SessionID]endedSession{}
+func (t *Tracker) init() {
+	if t.sessions == nil {
+		t.sessions = map[SessionID]*Session{}
+		t.ended = map[SessionID]endedSession{}
 	}
 }
 
-// Renew takes a renewal. Only a full one is accepted from a session that has not
-// reported yet.
-func (l *Tracker) Renew(now time.Time, id SessionID, sequence, revision uint64, full bool) RenewResult {
-	s := l.sessions[id]
+// Renew processes a renewal. A session that has not reported to this leader yet needs a full
+// one.
+func (t *Tracker) Renew(now time.Time, id SessionID, sequence, revision uint64, full bool) RenewResult {
+	s := t.sessions[id]
 	switch {
-	case s == nil || !s.closing.IsZero():
+	case s == nil || !s.closeProposedAt.IsZero():
 		return Ended
 	case sequence <= s.Sequence:
 		return Stale
@@ -114,14 +114,13 @@
 	return Renewed
 }
 
-// Expired returns sessions whose lease has run out and whose end the caller has to
-// put into the log. One whose end has not come there within a lease is returned
-// again: the proposal may have been lost.
-func (l *Tracker) Expired(now time.Time) []SessionID {
+// Expired returns sessions whose lease has expired and whose end the caller has to propose. One
+// that is not closed within another lease is returned again: the proposal may have been lost.
+func (t *Tracker) Expired(now time.Time) []SessionID {
 	var expired []SessionID
-	for id, s := range l.sessions {
-		if now.Sub(s.RenewedAt) > l.Lease && now.Sub(s.closing) > l.Lease {
-			s.closing = now
+	for id, s := range t.sessions {
+		if now.Sub(s.RenewedAt) > t.Lease && now.Sub(s.closeProposedAt) > t.Lease {
+			s.closeProposedAt = now
 			expired = append(expired, id)
 		}
 	}
@@ -129,44 +128,44 @@
 	return expired
 }
 
-// RecordClosed notes that a session's end is in the log. A graceful end has handed
-// everything back and frees it at once.
-func (l *Tracker) RecordClosed(now time.Time, id SessionID, graceful bool) {
-	s := l.sessions[id]
+// RecordClosed records that a session's end is committed. A graceful end has returned
+// everything and frees it at once.
+func (t *Tracker) RecordClosed(now time.Time, id SessionID, graceful bool) {
+	s := t.sessions[id]
 	if s == nil {
 		return
 	}
-	delete(l.sessions, id)
+	delete(t.sessions, id)
 	until := now
 	if !graceful {
-		until = now.Add(l.MaxRequestDuration)
+		until = now.Add(t.MaxRequestDuration)
 	}
-	l.ended[id] = endedSession{until: until, known: s.Reported || graceful}
+	t.ended[id] = endedSession{releasedAt: until, holdingsKnown: s.Reported || graceful}
 }
 
-// Freed returns ended sessions under which nothing can run any more, once each.
-func (l *Tracker) Freed(now time.Time) []SessionID {
+// Freed returns ended sessions whose requests can't run any more, once each.
+func (t *Tracker) Freed(now time.Time) []SessionID {
 	var freed []SessionID
-	for id, e := range l.ended {
-		if !now.Before(e.until) {
+	for id, e := range t.ended {
+		if !now.Before(e.releasedAt) {
 			freed = append(freed, id)
-			delete(l.ended, id)
+			delete(t.ended, id)
 		}
 	}
 	slices.Sort(freed)
 	return freed
 }
 
-// HoldingsKnown reports whether this leader knows what every session holds that may have
-// a request running. Before that nothing may be evicted.
-func (l *Tracker) HoldingsKnown() bool {
-	for _, s := range l.sessions {
+// HoldingsKnown reports whether this leader knows what every session holds that may have a
+// request running. Before that nothing may be evicted.
+func (t *Tracker) HoldingsKnown() bool {
+	for _, s := range t.sessions {
 		if !s.Reported {
 			return false
 		}
 	}
-	for _, e := range l.ended {
-		if !e.known {
+	for _, e := range t.ended {
+		if !e.holdingsKnown {
 			return false
 		}
 	}
@@ -174,9 +173,9 @@
 }
 
 // Lagging returns the live sessions that have not applied a revision.
-func (l *Tracker) Lagging(revision uint64) []*Session {
+func (t *Tracker) Lagging(revision uint64) []*Session {
 	var lagging []*Session
-	for _, s := range l.All() {
+	for _, s := range t.All() {
 		if s.Revision < revision {
 			lagging = append(lagging, s)
 		}
@@ -185,12 +184,12 @@
 }
 
 // Get returns a live session, or nil.
-func (l *Tracker) Get(id SessionID) *Session { return l.sessions[id] }
+func (t *Tracker) Get(id SessionID) *Session { return t.sessions[id] }
 
 // All returns the live sessions by id.
-func (l *Tracker) All() []*Session {
-	all := make([]*Session, 0, len(l.sessions))
-	for _, s := range l.sessions {
+func (t *Tracker) All() []*Session {
+	all := make([]*Session, 0, len(t.sessions))
+	for _, s := range t.sessions {
 		all = append(all, s)
 	}
 	slices.SortFunc(all, func(a, b *Session) int { return cmp.Compare(a.ID, b.ID) })
--- a/pkg/sessiontracker/sessiontracker_test.go
+++ b/pkg/sessiontracker/sessiontracker_test.go
@@ -13,7 +13,7 @@
 
 func start() time.Time { return time.Unix(1000, 0) }
 
-func newLeaser(adopted bool) *sessiontracker.Tracker {
+func newTracker(adopted bool) *sessiontracker.Tracker {
 	l := &sessiontracker.Tracker{Lease: lease, MaxRequestDuration: time.Minute}
 	l.Open(start(), sessiontracker.Session{ID: 1, Instance: "entry-1"}, adopted)
 	return l
@@ -27,44 +27,43 @@
 		full     bool
 		want     sessiontracker.RenewResult
 	}{
-		"a session of this leader":                {id: 1, sequence: 1, want: sessiontracker.Renewed},
-		"an unknown session":                      {id: 2, sequence: 1, want: sessiontracker.Ended},
-		"a renewal that was overtaken":            {id: 1, want: sessiontracker.Stale},
-		"an adopted session that says too little": {adopted: true, id: 1, sequence: 1, want: sessiontracker.NeedFull},
-		"an adopted session that says all":        {adopted: true, id: 1, sequence: 1, full: true, want: sessiontracker.Renewed},
+		"a session of this leader":                 {id: 1, sequence: 1, want: sessiontracker.Renewed},
+		"an unknown session":                       {id: 2, sequence: 1, want: sessiontracker.Ended},
+		"a renewal with an old sequence number":    {id: 1, want: sessiontracker.Stale},
+		"an adopted session with a partial report": {adopted: true, id: 1, sequence: 1, want: sessiontracker.NeedFull},
+		"an adopted session with a full report":    {adopted: true, id: 1, sequence: 1, full: true, want: sessiontracker.Renewed},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			l := newLeaser(tc.adopted)
+			l := newTracker(tc.adopted)
 			c.Assert(l.Renew(start(), tc.id, tc.sequence, 0, tc.full), qt.Equals, tc.want)
 			c.Assert(l.HoldingsKnown(), qt.Equals, !tc.adopted || tc.full)
 		})
 	}
 }
 
-func TestEndOfASession(t *testing.T) {
+func TestSessionExpiry(t *testing.T) {
 	c := qt.New(t)
-	l := newLeaser(false)
+	l := newTracker(false)
 	c.Assert(l.Expired(start().Add(lease)), qt.HasLen, 0)
-	late := start().Add(lease + time.Millisecond)
-	c.Assert(l.Expired(late), qt.DeepEquals, []sessiontracker.SessionID{1})
-	c.Assert(l.Expired(late), qt.HasLen, 0)
-	// From then on it can't be renewed, and if its end did not get into the log it is
-	// asked for again.
-	c.Assert(l.Renew(late, 1, 1, 0, true), qt.Equals, sessiontracker.Ended)
-	again := late.Add(lease + time.Millisecond)
-	c.Assert(l.Expired(again), qt.DeepEquals, []sessiontracker.SessionID{1})
-	l.RecordClosed(again, 1, false)
-	c.Assert(l.Expired(again.Add(time.Hour)), qt.HasLen, 0)
-	// What it held comes back only when nothing of it can run any more.
-	c.Assert(l.Freed(again.Add(time.Minute-time.Millisecond)), qt.HasLen, 0)
-	c.Assert(l.Freed(again.Add(time.Minute)), qt.DeepEquals, []sessiontracker.SessionID{1})
+	afterLease := start().Add(lease + time.Millisecond)
+	c.Assert(l.Expired(afterLease), qt.DeepEquals, []sessiontracker.SessionID{1})
+	c.Assert(l.Expired(afterLease), qt.HasLen, 0)
+	// From then on it can't be renewed, and if its end is not committed it is returned again.
+	c.Assert(l.Renew(afterLease, 1, 1, 0, true), qt.Equals, sessiontracker.Ended)
+	afterRetry := afterLease.Add(lease + time.Millisecond)
+	c.Assert(l.Expired(afterRetry), qt.DeepEquals, []sessiontracker.SessionID{1})
+	l.RecordClosed(afterRetry, 1, false)
+	c.Assert(l.Expired(afterRetry.Add(time.Hour)), qt.HasLen, 0)
+	// What it held is freed only when none of its requests can run any more.
+	c.Assert(l.Freed(afterRetry.Add(time.Minute-time.Millisecond)), qt.HasLen, 0)
+	c.Assert(l.Freed(afterRetry.Add(time.Minute)), qt.DeepEquals, []sessiontracker.SessionID{1})
 }
 
 func TestSessionsOfEarlierLeaders(t *testing.T) {
 	c := qt.New(t)
-	l := newLeaser(true)
+	l := newTracker(true)
 	l.AdoptEnded(start(), 9)
 	c.Assert(l.HoldingsKnown(), qt.IsFalse)
 	l.Renew(start(), 1, 1, 0, true)
