--- a/pkg/storer/fault.go
+++ b/pkg/storer/fault.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kind tells errors of this package apart.
+// Kind classifies the errors of this package.
 type Kind int
 
 // The kinds of errors.
@@ -15,8 +15,8 @@
 	KindDisk Kind = iota + 1
 	// KindDamaged means that data that had been synced can't be read back.
 	KindDamaged
-	// KindFull means that the disk is full. Nothing was changed, and the same may be tried
-	// again.
+	// KindFull means that the disk is full. Nothing was changed, and the operation may be
+	// repeated.
 	KindFull
 )
 
@@ -33,13 +33,13 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// IsDamaged reports whether an error tells of damaged data.
+// IsDamaged reports whether an error is of KindDamaged.
 func IsDamaged(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == KindDamaged
 }
 
-// IsFull reports whether an error tells of a full disk.
+// IsFull reports whether an error is of KindFull.
 func IsFull(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == KindFull
--- a/pkg/storer/lock.go
+++ b/pkg/storer/lock.go
@@ -5,8 +5,8 @@
 	"syscall"
 )
 
-// takeLock keeps two processes from using one folder.
-func (s *Storer) takeLock() error {
+// acquireLock prevents two processes from using one folder.
+func (s *Storer) acquireLock() error {
 	if s.lock != nil {
 		return nil
 	}
--- a/pkg/storer/record.go
+++ b/pkg/storer/record.go
@@ -28,7 +28,7 @@
 
 func castagnoli() *crc32.Table { return crc32.MakeTable(crc32.Castagnoli) }
 
-// appendRecord encodes a record behind buf.
+// appendRecord appends an encoded record to buf.
 func appendRecord(buf []byte, kind recordKind, payload []byte) []byte {
 	sum := crc32.Update(crc32.Checksum([]byte{byte(kind)}, castagnoli()), castagnoli(), payload)
 	buf = binary.LittleEndian.AppendUint32(buf, uint32(len(payload)))
@@ -37,9 +37,9 @@
 	return append(buf, payload...)
 }
 
-// nextRecord decodes the record at the start of buf. It returns its size, or
-// false when there is no whole record.
-func nextRecord(buf []byte) (record, int, bool) {
+// decodeRecord decodes the record at the start of buf. It returns its size, or false when there
+// is no complete record.
+func decodeRecord(buf []byte) (record, int, bool) {
 	if len(buf) < headerSize {
 		return record{}, 0, false
 	}
@@ -58,24 +58,23 @@
 	return record{kind: kind, payload: buf[headerSize:end]}, end, true
 }
 
-// splitRecords decodes all records of buf and returns the length of the part that
-// they take. A tail that was torn by a crash is left out; a bad record with a good
-// one behind it is damage.
-func splitRecords(buf []byte) ([]record, int, error) {
+// decodeRecords decodes all records of buf and returns their total length. A tail that was torn
+// by a crash is ignored; a bad record followed by a good one is damage.
+func decodeRecords(buf []byte) ([]record, int, error) {
 	var records []record
-	at := 0
-	for at < len(buf) {
-		rec, size, ok := nextRecord(buf[at:])
+	offset := 0
+	for offset < len(buf) {
+		rec, size, ok := decodeRecord(buf[offset:])
 		if !ok {
 			break
 		}
 		records = append(records, rec)
-		at += size
+		offset += size
 	}
-	for i := at + 1; i < len(buf); i++ {
-		if _, _, ok := nextRecord(buf[i:]); ok {
-			return nil, 0, damaged("Read", "bad record at byte %d with a good one at byte %d", at, i)
+	for i := offset + 1; i < len(buf); i++ {
+		if _, _, ok := decodeRecord(buf[i:]); ok {
+			return nil, 0, damaged("Read", "bad record at byte %d followed by a good one at byte %d", offset, i)
 		}
 	}
-	return records, at, nil
+	return records, offset, nil
 }
--- a/pkg/storer/storer.go
+++ b/pkg/storer/storer.go
@@ -1,9 +1,9 @@
-// Package storer keeps a controller's log, votes and snapshots on disk.
+// Package storer stores a controller's log, votes and snapshots on disk.
 //
-// Everything lies in one folder: Identity (the incarnation of this disk and the
-// cluster), Snapshot, and Log. What a method has written is synced when it
-// returns; a rename syncs the folder too. After an error of a write or a sync the
-// process must end, since what the disk then holds is unknown.
+// All files are in one folder: Identity (the incarnation of this disk and the cluster),
+// Snapshot, Log, and the Lock against other processes. A method returns after its writes are
+// synced; a rename syncs the folder too. After a failed write or sync other than KindFull the
+// process must exit, since the contents of the disk are then unknown.
 package storer
 
 import (
@@ -29,36 +29,37 @@
 	folderPerm   = 0o700
 )
 
-// Contents is what a folder held when it was opened.
+// Contents is what Open read from a folder.
 type Contents struct {
 	HardState *wire.HardState
 	Snapshot  *wire.Snapshot
 	Entries   []*wire.Entry
-	// TornBytes is the number of bytes of a torn tail that were dropped.
+	// TornBytes is the length of a torn tail that was dropped.
 	TornBytes int
 }
 
 // Storer writes to one data folder. Set Folder, then call Open.
 type Storer struct {
 	Folder string
-	// Write writes to the log; nil is the file's own method. Tests let it fail.
+	// Write writes to the log; nil uses the file's own method. Tests replace it to inject
+	// failures.
 	Write func(f *os.File, b []byte) (int, error)
 
-	log  *os.File
-	lock *os.File
-	buf  []byte
-	hard *wire.HardState
-	// size is the length of the log up to which it is whole.
+	log       *os.File
+	lock      *os.File
+	buf       []byte
+	hardState *wire.HardState
+	// size is the length of the log's valid part.
 	size int64
 }
 
-// Open creates the folder if need be and reads it. An error of kind damaged means
-// that this disk must not vote any more; see SetAside.
+// Open creates the folder if necessary and reads it. After an error of KindDamaged this disk
+// must not vote any more; see MoveDamagedFiles.
 func (s *Storer) Open() (*Contents, error) {
 	if err := os.MkdirAll(s.Folder, folderPerm); err != nil {
 		return nil, diskFault("Open", err)
 	}
-	if err := s.takeLock(); err != nil {
+	if err := s.acquireLock(); err != nil {
 		return nil, err
 	}
 	c := &Contents{}
@@ -68,7 +69,7 @@
 	if err := s.readLog(c); err != nil {
 		return nil, err
 	}
-	s.hard = c.HardState
+	s.hardState = c.HardState
 	return c, nil
 }
 
@@ -85,7 +86,7 @@
 	return diskFault("Close", s.lock.Close())
 }
 
-// Identity returns the identity of this disk, or "" of a new one.
+// Identity returns the identity of this disk, or "" for a new one.
 func (s *Storer) Identity() (id, cluster string, err error) {
 	buf, err := os.ReadFile(s.path(identityName))
 	if os.IsNotExist(err) {
@@ -94,7 +95,7 @@
 	if err != nil {
 		return "", "", diskFault("Identity", err)
 	}
-	rec, _, ok := nextRecord(buf)
+	rec, _, ok := decodeRecord(buf)
 	identity := &wire.Identity{}
 	if !ok || rec.kind != recordIdentity || proto.Unmarshal(rec.payload, identity) != nil {
 		return "", "", damaged("Identity", "file %s can't be read", identityName)
@@ -108,15 +109,15 @@
 	if err != nil {
 		return diskFault("SetIdentity", err)
 	}
-	return s.replace(identityName, appendRecord(nil, recordIdentity, payload))
+	return s.replaceFile(identityName, appendRecord(nil, recordIdentity, payload))
 }
 
-// Append writes and syncs a hard state, if not nil, and entries. An entry at or
-// below the last index cuts the log there.
+// Append writes and syncs a hard state, if not nil, and entries. An entry at or below the last
+// index truncates the log there.
 func (s *Storer) Append(hard *wire.HardState, entries []*wire.Entry) error {
 	s.buf = s.buf[:0]
 	if hard != nil {
-		s.hard = hard
+		s.hardState = hard
 		if err := s.encode(recordHardState, hard); err != nil {
 			return err
 		}
@@ -134,7 +135,7 @@
 		write = (*os.File).Write
 	}
 	if _, err := write(s.log, s.buf); err != nil {
-		return s.undoAppend(err)
+		return s.rollBackAppend(err)
 	}
 	if err := s.log.Sync(); err != nil {
 		return &Error{Operation: "Append", Kind: KindDisk, cause: errors.WithStack(err)}
@@ -143,36 +144,36 @@
 	return nil
 }
 
-// undoAppend takes back what a failed write may have left. If the disk was merely full,
-// the same may be appended again later.
-func (s *Storer) undoAppend(cause error) error {
+// rollBackAppend removes what a failed write may have left when the disk was full, so that the
+// same may be appended again later.
+func (s *Storer) rollBackAppend(cause error) error {
 	if !errors.Is(cause, syscall.ENOSPC) {
 		return diskFault("Append", cause)
 	}
 	if err := s.log.Truncate(s.size); err != nil {
-		// The cause is not passed on: what the disk holds is not known now.
+		// The cause, a full disk, is not returned: the contents of the log are unknown now.
 		return &Error{Operation: "Append", Kind: KindDisk, cause: errors.WithStack(err)}
 	}
 	return diskFault("Append", cause)
 }
 
-// PendingSnapshot is a snapshot that is on disk but does not count yet.
+// PendingSnapshot is a snapshot that is on disk but not in force yet.
 type PendingSnapshot struct {
 	file *renameio.PendingFile
 }
 
-// Discard forgets a snapshot that came too late.
+// Discard removes a snapshot that is superseded.
 func (p *PendingSnapshot) Discard() { _ = p.file.Cleanup() }
 
-// PrepareSnapshot writes and syncs a snapshot that CommitSnapshot puts into force. It
-// may run beside the other methods.
+// PrepareSnapshot writes and syncs a snapshot that CommitSnapshot puts into force. It may run
+// concurrently with the other methods.
 func (s *Storer) PrepareSnapshot(snapshot *wire.Snapshot) (*PendingSnapshot, error) {
 	payload, err := proto.Marshal(snapshot)
 	if err != nil {
 		return nil, diskFault("PrepareSnapshot", err)
 	}
 	if len(payload) > maxPayloadSize {
-		return nil, damaged("PrepareSnapshot", "the state takes %d bytes; %d can be read back", len(payload), maxPayloadSize)
+		return nil, damaged("PrepareSnapshot", "the snapshot takes %d bytes, more than the limit of %d", len(payload), maxPayloadSize)
 	}
 	file, err := renameio.NewPendingFile(s.path(snapshotName), renameio.WithPermissions(filePerm))
 	if err != nil {
@@ -210,8 +211,8 @@
 		return err
 	}
 	s.buf = s.buf[:0]
-	if s.hard != nil {
-		if err := s.encode(recordHardState, s.hard); err != nil {
+	if s.hardState != nil {
+		if err := s.encode(recordHardState, s.hardState); err != nil {
 			return err
 		}
 	}
@@ -220,26 +221,26 @@
 			return err
 		}
 	}
-	if err := s.replace(logName, s.buf); err != nil {
+	if err := s.replaceFile(logName, s.buf); err != nil {
 		return err
 	}
 	return s.openLog()
 }
 
-// MoveDamagedFiles moves the files of a damaged folder away, so that the instance can
-// join again with an empty one. Nothing is deleted.
+// MoveDamagedFiles moves the files of a damaged folder into a subfolder, so that the instance
+// can join again with an empty one. Nothing is deleted.
 func (s *Storer) MoveDamagedFiles(now time.Time) (string, error) {
-	aside := s.path("Damaged-" + strconv.FormatInt(now.UnixNano(), 10))
-	if err := os.MkdirAll(aside, folderPerm); err != nil {
-		return "", diskFault("SetAside", err)
+	target := s.path("Damaged-" + strconv.FormatInt(now.UnixNano(), 10))
+	if err := os.MkdirAll(target, folderPerm); err != nil {
+		return "", diskFault("MoveDamagedFiles", err)
 	}
 	for _, name := range []string{identityName, snapshotName, logName} {
-		err := os.Rename(s.path(name), filepath.Join(aside, name))
+		err := os.Rename(s.path(name), filepath.Join(target, name))
 		if err != nil && !os.IsNotExist(err) {
-			return "", diskFault("SetAside", err)
+			return "", diskFault("MoveDamagedFiles", err)
 		}
 	}
-	return aside, s.syncFolder()
+	return target, s.syncFolder()
 }
 
 func (s *Storer) encode(kind recordKind, m proto.Message) error {
@@ -259,7 +260,7 @@
 	if err != nil {
 		return diskFault("Open", err)
 	}
-	rec, size, ok := nextRecord(buf)
+	rec, size, ok := decodeRecord(buf)
 	c.Snapshot = &wire.Snapshot{}
 	if !ok || size != len(buf) || rec.kind != recordSnapshot || proto.Unmarshal(rec.payload, c.Snapshot) != nil {
 		return damaged("Open", "the snapshot can't be read")
@@ -272,28 +273,28 @@
 	if err != nil && !os.IsNotExist(err) {
 		return diskFault("Open", err)
 	}
-	records, good, err := splitRecords(buf)
+	records, validSize, err := decodeRecords(buf)
 	if err != nil {
 		return err
 	}
 	if err := c.replay(records); err != nil {
 		return err
 	}
-	c.TornBytes = len(buf) - good
+	c.TornBytes = len(buf) - validSize
 	if err := s.openLog(); err != nil {
 		return err
 	}
 	if c.TornBytes == 0 {
 		return s.syncFolder()
 	}
-	if err := s.log.Truncate(int64(good)); err != nil {
+	if err := s.log.Truncate(int64(validSize)); err != nil {
 		return diskFault("Open", err)
 	}
-	s.size = int64(good)
+	s.size = int64(validSize)
 	return diskFault("Open", s.log.Sync())
 }
 
-// replay rebuilds the entries behind the snapshot.
+// replay rebuilds the hard state and the entries after the snapshot.
 func (c *Contents) replay(records []record) error {
 	base := c.Snapshot.GetIndex()
 	for _, rec := range records {
@@ -343,9 +344,9 @@
 	return nil
 }
 
-// replace writes a file whole: a new one is synced, renamed over the old one, and
+// replaceFile replaces a file atomically: a new one is synced, renamed over the old one, and
 // the folder synced.
-func (s *Storer) replace(name string, data []byte) error {
+func (s *Storer) replaceFile(name string, data []byte) error {
 	if err := renameio.WriteFile(s.path(name), data, filePerm); err != nil {
 		return diskFault("Replace", err)
 	}
--- a/pkg/storer/storer_test.go
+++ b/pkg/storer/storer_test.go
@@ -22,8 +22,9 @@
 	return all
 }
 
-// filled makes a folder with a hard state, a snapshot of 10 and entries 11 to 20.
-func filled(c *qt.C) string {
+// populatedFolder creates a folder with a hard state, a snapshot at index 10 and entries 11 to
+// 20.
+func populatedFolder(c *qt.C) string {
 	folder := c.TempDir()
 	s := open(c, folder)
 	c.Assert(s.SetIdentity("a/1", "cluster"), qt.IsNil)
@@ -45,14 +46,14 @@
 
 func TestReadsBackWhatWasWritten(t *testing.T) {
 	c := qt.New(t)
-	folder := filled(c)
+	folder := populatedFolder(c)
 	s := &storer.Storer{Folder: folder}
 	got, err := s.Open()
 	c.Assert(err, qt.IsNil)
 	c.Assert(got.HardState.GetTerm(), qt.Equals, uint64(3))
 	c.Assert(got.Snapshot.GetIndex(), qt.Equals, uint64(10))
 	c.Assert(got.Entries, qt.HasLen, 10)
-	// A cut replaces what follows.
+	// An entry at an earlier index replaces all entries from there on.
 	c.Assert(s.Append(nil, []*wire.Entry{{Index: 15, Term: 2}}), qt.IsNil)
 	c.Assert(s.Close(), qt.IsNil)
 	got, err = (&storer.Storer{Folder: folder}).Open()
@@ -61,49 +62,49 @@
 	c.Assert(got.Entries[4].GetTerm(), qt.Equals, uint64(2))
 }
 
-func TestDamage(t *testing.T) {
+func TestDamagedFiles(t *testing.T) {
 	cases := map[string]struct {
 		file    string
-		spoil   func(data []byte) []byte
+		corrupt func(data []byte) []byte
 		damaged bool
 		entries int
 	}{
-		"a torn last record is cut": {
-			file: "Log", spoil: func(d []byte) []byte { return d[:len(d)-7] }, entries: 9,
+		"a torn last record is truncated": {
+			file: "Log", corrupt: func(d []byte) []byte { return d[:len(d)-7] }, entries: 9,
 		},
-		"garbage behind the last record is cut": {
-			file: "Log", spoil: func(d []byte) []byte { return append(d, "garbage that was never synced"...) }, entries: 10,
+		"garbage after the last record is truncated": {
+			file: "Log", corrupt: func(d []byte) []byte { return append(d, "garbage that was never synced"...) }, entries: 10,
 		},
 		"a flipped bit before the tail is damage": {
-			file: "Log", spoil: func(d []byte) []byte { d[len(d)/2] ^= 1; return d }, damaged: true,
+			file: "Log", corrupt: func(d []byte) []byte { d[len(d)/2] ^= 1; return d }, damaged: true,
 		},
 		"a hole before the tail is damage": {
-			file: "Log", spoil: func(d []byte) []byte { return append(d[:60:60], d[90:]...) }, damaged: true,
+			file: "Log", corrupt: func(d []byte) []byte { return append(d[:60:60], d[90:]...) }, damaged: true,
 		},
 		"a flipped bit in the snapshot is damage": {
-			file: "Snapshot", spoil: func(d []byte) []byte { d[len(d)-1] ^= 1; return d }, damaged: true,
+			file: "Snapshot", corrupt: func(d []byte) []byte { d[len(d)-1] ^= 1; return d }, damaged: true,
 		},
 		"a short snapshot is damage": {
-			file: "Snapshot", spoil: func(d []byte) []byte { return d[:len(d)-1] }, damaged: true,
+			file: "Snapshot", corrupt: func(d []byte) []byte { return d[:len(d)-1] }, damaged: true,
 		},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			folder := filled(c)
+			folder := populatedFolder(c)
 			file := filepath.Join(folder, tc.file)
 			data, err := os.ReadFile(file)
 			c.Assert(err, qt.IsNil)
-			c.Assert(os.WriteFile(file, tc.spoil(data), 0o600), qt.IsNil)
+			c.Assert(os.WriteFile(file, tc.corrupt(data), 0o600), qt.IsNil)
 			s := &storer.Storer{Folder: folder}
 			got, err := s.Open()
 			c.Assert(storer.IsDamaged(err), qt.Equals, tc.damaged, qt.Commentf("%v", err))
 			if tc.damaged {
-				rejoinsEmpty(c, s)
+				assertRejoinsEmpty(c, s)
 				return
 			}
 			c.Assert(got.Entries, qt.HasLen, tc.entries)
-			// What is appended after a cut is read back.
+			// Entries appended after a truncation are read back.
 			next := got.Entries[len(got.Entries)-1].GetIndex() + 1
 			c.Assert(s.Append(nil, entries(next, next)), qt.IsNil)
 			c.Assert(s.Close(), qt.IsNil)
@@ -114,11 +115,11 @@
 	}
 }
 
-// rejoinsEmpty checks that a damaged disk has no identity, and so no vote, any more.
-func rejoinsEmpty(c *qt.C, s *storer.Storer) {
-	aside, err := s.MoveDamagedFiles(time.Unix(1, 0))
+// assertRejoinsEmpty checks that a damaged disk has no identity, and so no vote, any more.
+func assertRejoinsEmpty(c *qt.C, s *storer.Storer) {
+	target, err := s.MoveDamagedFiles(time.Unix(1, 0))
 	c.Assert(err, qt.IsNil)
-	_, err = os.Stat(filepath.Join(aside, "Identity"))
+	_, err = os.Stat(filepath.Join(target, "Identity"))
 	c.Assert(err, qt.IsNil)
 	got, err := s.Open()
 	c.Assert(err, qt.IsNil)
@@ -130,13 +131,13 @@
 
 func TestCrashBetweenSnapshotAndLog(t *testing.T) {
 	c := qt.New(t)
-	folder := filled(c)
+	folder := populatedFolder(c)
 	old, err := os.ReadFile(filepath.Join(folder, "Log"))
 	c.Assert(err, qt.IsNil)
 	s := open(c, folder)
 	c.Assert(s.SaveSnapshot(&wire.Snapshot{Index: 18, Term: 1}, entries(19, 20)), qt.IsNil)
 	c.Assert(s.Close(), qt.IsNil)
-	// The snapshot was renamed, the log not yet.
+	// The crash came after the rename of the snapshot and before that of the log.
 	c.Assert(os.WriteFile(filepath.Join(folder, "Log"), old, 0o600), qt.IsNil)
 	got, err := (&storer.Storer{Folder: folder}).Open()
 	c.Assert(err, qt.IsNil)
@@ -145,7 +146,7 @@
 	c.Assert(got.HardState.GetTerm(), qt.Equals, uint64(3))
 }
 
-// A state of a hundred thousand claims takes more than 58 MB.
+// A state of 100,000 claims takes more than 58 MB.
 func TestLargeSnapshotIsReadBack(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
@@ -158,13 +159,13 @@
 	c.Assert(got.Snapshot.GetState(), qt.HasLen, len(state))
 }
 
-func TestLateSnapshotIsDropped(t *testing.T) {
+func TestStaleSnapshotIsDiscarded(t *testing.T) {
 	c := qt.New(t)
-	folder := filled(c)
+	folder := populatedFolder(c)
 	s := open(c, folder)
 	pending, err := s.PrepareSnapshot(&wire.Snapshot{Index: 12, Term: 1})
 	c.Assert(err, qt.IsNil)
-	// A leader's newer one comes first.
+	// A newer snapshot from a leader is saved first.
 	c.Assert(s.SaveSnapshot(&wire.Snapshot{Index: 15, Term: 1}, nil), qt.IsNil)
 	pending.Discard()
 	c.Assert(s.Close(), qt.IsNil)
@@ -173,9 +174,9 @@
 	c.Assert(got.Snapshot.GetIndex(), qt.Equals, uint64(15))
 }
 
-func TestTwoProcessesOneFolder(t *testing.T) {
+func TestFolderIsLockedForOneProcess(t *testing.T) {
 	c := qt.New(t)
-	folder := filled(c)
+	folder := populatedFolder(c)
 	first := open(c, folder)
 	_, err := (&storer.Storer{Folder: folder}).Open()
 	c.Assert(err, qt.IsNotNil)
@@ -184,7 +185,7 @@
 
 func FuzzOpen(f *testing.F) {
 	c := qt.New(f)
-	seed, err := os.ReadFile(filepath.Join(filled(c), "Log"))
+	seed, err := os.ReadFile(filepath.Join(populatedFolder(c), "Log"))
 	c.Assert(err, qt.IsNil)
 	f.Add(seed)
 	f.Add(seed[:len(seed)-3])
@@ -208,8 +209,8 @@
 	})
 }
 
-// A full disk takes a part of a write. Nothing of it may be read back, and what is
-// appended when there is room again must follow what was stored before.
+// A full disk accepts part of a write. Nothing of it may be read back, and entries appended
+// once there is space again must follow those stored before.
 func TestFullDisk(t *testing.T) {
 	c := qt.New(t)
 	folder := t.TempDir()
