--- a/pkg/applier/applier_bench_test.go
+++ b/pkg/applier/applier_bench_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// BenchmarkClaim times a claim and its outcome of 500 bytes, and reports the memory
-// that one takes while it is kept.
+// BenchmarkClaim measures a claim and its outcome of 500 bytes, and reports the memory that one
+// retains.
 func BenchmarkClaim(b *testing.B) {
 	l := newLog()
 	s := l.open()
@@ -24,7 +24,7 @@
 	runtime.KeepAlive(l)
 }
 
-// BenchmarkFreeze times what a snapshot of 100,000 claims holds up the state for.
+// BenchmarkFreeze measures how long a snapshot of 100,000 claims blocks the state machine.
 func BenchmarkFreeze(b *testing.B) {
 	l := newLog()
 	s := l.open()
@@ -38,7 +38,7 @@
 	}
 }
 
-// BenchmarkSnapshot times a snapshot of 100,000 claims with outcomes.
+// BenchmarkSnapshot measures a snapshot of 100,000 claims with outcomes.
 func BenchmarkSnapshot(b *testing.B) {
 	l := newLog()
 	s := l.open()
--- a/pkg/applier/applier_test.go
+++ b/pkg/applier/applier_test.go
@@ -60,7 +60,7 @@
 	}}})
 }
 
-// restart replaces the state by what a snapshot of it gives.
+// restart restores the state from a snapshot of itself.
 func (l *log) restart(c *qt.C) {
 	data, err := l.state.Snapshot()
 	c.Assert(err, qt.IsNil)
@@ -80,7 +80,7 @@
 			l.claim(s, "k", "r1")
 			c.Assert(l.claim(s, "k", "r1").GetGranted(), qt.IsTrue)
 		},
-		"the outcome stands, whoever comes later": func(c *qt.C, l *log) {
+		"the first outcome is final": func(c *qt.C, l *log) {
 			s := l.open()
 			l.claim(s, "k", "r1")
 			l.finish("k", "r1", "one")
@@ -99,7 +99,7 @@
 			l.release("k", "r3")
 			c.Assert(l.claim(s, "k", "r4").GetGranted(), qt.IsFalse)
 		},
-		"the end of a session orphans, and grants nothing": func(c *qt.C, l *log) {
+		"a closed session orphans its claims and is granted none": func(c *qt.C, l *log) {
 			s, other := l.open(), l.open()
 			l.claim(s, "k", "r1")
 			l.closeSession(s)
@@ -109,7 +109,7 @@
 			c.Assert(l.claim(s, "k", "r1").GetGranted(), qt.IsFalse)
 			c.Assert(l.claim(s, "k2", "r1").GetGranted(), qt.IsFalse)
 		},
-		"a key is forgotten after its time, not before": func(c *qt.C, l *log) {
+		"a claim expires after its time, not before": func(c *qt.C, l *log) {
 			s := l.open()
 			l.claim(s, "k", "r1")
 			l.now = l.now.Add(time.Hour - time.Second)
@@ -117,7 +117,7 @@
 			l.now = l.now.Add(2 * time.Second)
 			c.Assert(l.claim(s, "k", "r3").GetGranted(), qt.IsTrue)
 		},
-		"a clock that is set back forgets nothing and revives nothing": func(c *qt.C, l *log) {
+		"a clock that is set back expires nothing and restores nothing": func(c *qt.C, l *log) {
 			s := l.open()
 			l.claim(s, "k", "r1")
 			l.now = l.now.Add(-10 * time.Hour)
@@ -144,7 +144,7 @@
 			event := rapid.IntRange(0, 5).Draw(rt, "event")
 			answers := [2]string{}
 			for i, l := range []*log{plain, restarted} {
-				answers[i] = act(l, event, key, request, session)
+				answers[i] = applyEvent(l, event, key, request, session)
 			}
 			c.Assert(answers[0], qt.Equals, answers[1])
 			if rapid.IntRange(0, 4).Draw(rt, "restart") == 0 {
@@ -154,7 +154,7 @@
 	})
 }
 
-func act(l *log, event int, key, request string, session uint64) string {
+func applyEvent(l *log, event int, key, request string, session uint64) string {
 	switch event {
 	case 0:
 		return fmt.Sprint(l.open())
@@ -200,11 +200,11 @@
 	c.Assert(l.state.History("v"), qt.HasLen, 2)
 }
 
-func TestReleaseBeforeItsClaim(t *testing.T) {
+func TestReleaseCommittedBeforeClaim(t *testing.T) {
 	c := qt.New(t)
 	l := newLog()
 	s := l.open()
-	// A gateway gave up on a claim and released it; the claim comes into the log late.
+	// A gateway gave up on a claim and released it; the claim is committed afterwards.
 	l.release("k", "r1")
 	l.restart(c)
 	c.Assert(l.claim(s, "k", "r1").GetGranted(), qt.IsFalse)
--- a/pkg/applier/contracts.go
+++ b/pkg/applier/contracts.go
@@ -12,51 +12,51 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// applyContract takes a change if it was made from the contract's present
-// version. Of several changes made from equal versions exactly one wins. A change
-// id that was seen before gets its first outcome again.
-func (r *StateMachine) applyContract(cmd *wire.ApplyContract) *wire.ApplyResponse {
+// applyContract applies a change whose base version is the contract's present version, so
+// exactly one of several changes with the same base version wins. A known change id gets its
+// first outcome again.
+func (sm *StateMachine) applyContract(cmd *wire.ApplyContract) *wire.ApplyResponse {
 	customer := cmd.GetContract().GetCustomer()
 	digest := changeDigest(cmd)
-	if first := r.outcomes[cmd.GetChangeId()]; first != nil {
+	if first := sm.outcomes[cmd.GetChangeId()]; first != nil {
 		if !bytes.Equal(first.GetDigest(), digest) {
-			return &wire.ApplyResponse{Reused: true, Contract: r.Contract(customer)}
+			return &wire.ApplyResponse{Reused: true, Contract: sm.Contract(customer)}
 		}
-		return r.response(customer, first)
+		return sm.response(customer, first)
 	}
-	outcome := &wire.ChangeOutcome{ChangeId: cmd.GetChangeId(), Digest: digest, AtNs: r.now}
-	if r.Contract(customer).GetVersion() == cmd.GetBaseVersion() {
-		r.store(cmd)
-		outcome.Revision = r.revision
+	outcome := &wire.ChangeOutcome{ChangeId: cmd.GetChangeId(), Digest: digest, AtNs: sm.now}
+	if sm.Contract(customer).GetVersion() == cmd.GetBaseVersion() {
+		sm.storeContract(cmd)
+		outcome.Revision = sm.revision
 	} else {
 		outcome.Conflict = true
 	}
-	r.outcomes[cmd.GetChangeId()] = outcome
-	r.aging = append(r.aging, outcome)
-	return r.response(customer, outcome)
+	sm.outcomes[cmd.GetChangeId()] = outcome
+	sm.outcomesByAge = append(sm.outcomesByAge, outcome)
+	return sm.response(customer, outcome)
 }
 
-func (r *StateMachine) store(cmd *wire.ApplyContract) {
+func (sm *StateMachine) storeContract(cmd *wire.ApplyContract) {
 	contract := proto.CloneOf(cmd.GetContract())
 	contract.Version = cmd.GetBaseVersion() + 1
-	r.revision = r.applied
+	sm.revision = sm.applied
 	record := &wire.ChangeRecord{
-		Revision: r.revision, ChangeId: cmd.GetChangeId(), Operator: cmd.GetOperator(),
-		AtNs: r.now, Contract: contract,
+		Revision: sm.revision, ChangeId: cmd.GetChangeId(), Operator: cmd.GetOperator(),
+		AtNs: sm.now, Contract: contract,
 	}
 	customer := contract.GetCustomer()
-	r.latest[customer] = record
-	r.history[customer] = append(r.history[customer], record)
-	if past := r.history[customer]; len(past) > historyPerCustomer {
-		r.history[customer] = slices.Clone(past[len(past)-historyPerCustomer:])
+	sm.latest[customer] = record
+	sm.history[customer] = append(sm.history[customer], record)
+	if past := sm.history[customer]; len(past) > maxHistoryPerCustomer {
+		sm.history[customer] = slices.Clone(past[len(past)-maxHistoryPerCustomer:])
 	}
 }
 
-func (r *StateMachine) response(customer string, outcome *wire.ChangeOutcome) *wire.ApplyResponse {
+func (sm *StateMachine) response(customer string, outcome *wire.ChangeOutcome) *wire.ApplyResponse {
 	res := &wire.ApplyResponse{
-		Conflict: outcome.GetConflict(), Revision: outcome.GetRevision(), Contract: r.Contract(customer),
+		Conflict: outcome.GetConflict(), Revision: outcome.GetRevision(), Contract: sm.Contract(customer),
 	}
-	for _, record := range r.history[customer] {
+	for _, record := range sm.history[customer] {
 		if !outcome.GetConflict() && record.GetRevision() == outcome.GetRevision() {
 			res.Contract = record.GetContract()
 		}
@@ -64,8 +64,8 @@
 	return res
 }
 
-// changeDigest tells two uses of one change id apart. Marshalling is deterministic
-// within one build, and a digest only ever meets digests of resent changes.
+// changeDigest distinguishes two uses of one change id. Marshalling is deterministic within one
+// build, and a digest is compared only with those of resent changes.
 func changeDigest(cmd *wire.ApplyContract) []byte {
 	body := &wire.ApplyContract{BaseVersion: cmd.GetBaseVersion(), Contract: cmd.GetContract()}
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(body)
@@ -77,26 +77,26 @@
 }
 
 // Contract returns a customer's present contract, or nil.
-func (r *StateMachine) Contract(customer string) *wire.Contract {
-	return r.latest[customer].GetContract()
+func (sm *StateMachine) Contract(customer string) *wire.Contract {
+	return sm.latest[customer].GetContract()
 }
 
 // Contracts returns all present contracts by customer.
-func (r *StateMachine) Contracts() []*wire.Contract {
+func (sm *StateMachine) Contracts() []*wire.Contract {
 	var all []*wire.Contract
-	for _, customer := range slices.Sorted(maps.Keys(r.latest)) {
-		all = append(all, r.latest[customer].GetContract())
+	for _, customer := range slices.Sorted(maps.Keys(sm.latest)) {
+		all = append(all, sm.latest[customer].GetContract())
 	}
 	return all
 }
 
 // ChangedSince returns the contracts that changed after a revision.
-func (r *StateMachine) ChangedSince(revision uint64) []*wire.Contract {
-	if revision >= r.revision {
+func (sm *StateMachine) ChangedSince(revision uint64) []*wire.Contract {
+	if revision >= sm.revision {
 		return nil
 	}
 	var changed []*wire.ChangeRecord
-	for _, record := range r.latest {
+	for _, record := range sm.latest {
 		if record.GetRevision() > revision {
 			changed = append(changed, record)
 		}
@@ -111,11 +111,11 @@
 	return contracts
 }
 
-// History returns the kept changes of a customer's contract, oldest first.
-func (r *StateMachine) History(customer string) []*wire.ChangeRecord { return r.history[customer] }
+// History returns the retained changes of a customer's contract, oldest first.
+func (sm *StateMachine) History(customer string) []*wire.ChangeRecord { return sm.history[customer] }
 
 // Drained returns the names of backend servers that get no new work.
-func (r *StateMachine) Drained() []string { return slices.Sorted(maps.Keys(r.drained)) }
+func (sm *StateMachine) Drained() []string { return slices.Sorted(maps.Keys(sm.drained)) }
 
 // AdmittedMembers returns the names of instances that may become members.
-func (r *StateMachine) AdmittedMembers() []string { return slices.Sorted(maps.Keys(r.admitted)) }
+func (sm *StateMachine) AdmittedMembers() []string { return slices.Sorted(maps.Keys(sm.admitted)) }
--- a/pkg/applier/expiry.go
+++ b/pkg/applier/expiry.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// expiryQueue orders claims by the time at which they are forgotten.
+// expiryQueue orders claims by the time at which they expire.
 type expiryQueue struct {
 	items expiryHeap
 }
@@ -18,7 +18,7 @@
 
 func (q *expiryQueue) pop() { heap.Pop(&q.items) }
 
-func (q *expiryQueue) first() (ClaimKey, int64, bool) {
+func (q *expiryQueue) peek() (ClaimKey, int64, bool) {
 	if len(q.items) == 0 {
 		return ClaimKey{}, 0, false
 	}
--- a/pkg/applier/quarantine.go
+++ b/pkg/applier/quarantine.go
@@ -13,48 +13,48 @@
 )
 
 const (
-	// MaxQuarantined bounds the requests that are held back, and with them the state and what each
-	// gateway keeps. Each has cost some backend servers, so that there are few; of more the
-	// one that was held first gives way.
+	// MaxQuarantined bounds the quarantined requests, and with them the state and the memory of
+	// each gateway. Each has cost some backend servers, so there are few; beyond the bound the
+	// oldest is dropped.
 	MaxQuarantined = 1024
-	// QuarantinePeriod is how long a request is refused that ends what runs it: those who look after
-	// the models see it on the next working day.
+	// QuarantinePeriod is how long a request that crashes backend servers is refused: the
+	// operators of the models see it on the next working day.
 	QuarantinePeriod = 24 * time.Hour
-	// forgetHeldAfter is how long a request that was held may wait for its trial: callers
-	// that come back after a week are taken for new ones.
-	forgetHeldAfter = 7 * 24 * time.Hour
+	// quarantineRetention is how long after its quarantine a request may wait for its trial:
+	// callers that return after a week are treated as new.
+	quarantineRetention = 7 * 24 * time.Hour
 )
 
-// hold takes up a request that is refused from here on.
-func (r *StateMachine) hold(h *wire.HeldRequest) {
+// quarantine adds a request that is refused from now on.
+func (sm *StateMachine) quarantine(h *wire.HeldRequest) {
 	if h.GetFingerprint() == "" {
 		return
 	}
 	h = proto.CloneOf(h)
-	h.HeldAtNs, h.OnTrial = r.now, false
-	r.heldRevision++
-	r.held[h.GetFingerprint()] = h
-	for len(r.held) > MaxQuarantined {
-		delete(r.held, r.Quarantined()[0].GetFingerprint())
-		r.heldDropped++
+	h.HeldAtNs, h.OnTrial = sm.now, false
+	sm.quarantineRevision++
+	sm.quarantined[h.GetFingerprint()] = h
+	for len(sm.quarantined) > MaxQuarantined {
+		delete(sm.quarantined, sm.Quarantined()[0].GetFingerprint())
+		sm.quarantineEvictions++
 	}
 }
 
-// QuarantineEvictions returns how many requests have made room for others in this process.
-func (r *StateMachine) QuarantineEvictions() int { return r.heldDropped }
+// QuarantineEvictions returns how many requests were dropped for newer ones in this process.
+func (sm *StateMachine) QuarantineEvictions() int { return sm.quarantineEvictions }
 
-// tryHeldAgain lets requests be tried again whose adapter or model has a new version.
-func (r *StateMachine) tryHeldAgain(v *wire.AdapterVersion) {
-	for fingerprint, h := range r.held {
-		if isOf(h.GetModel(), v) && !h.GetOnTrial() {
-			r.setOnTrial(fingerprint, h)
+// startTrials puts requests on trial whose adapter or model has a new version.
+func (sm *StateMachine) startTrials(v *wire.AdapterVersion) {
+	for fingerprint, h := range sm.quarantined {
+		if affectedBy(h.GetModel(), v) && !h.GetOnTrial() {
+			sm.setOnTrial(fingerprint, h)
 		}
 	}
 }
 
-// isOf reports whether a model or adapter has changed with a version: that of the adapter
+// affectedBy reports whether a new version concerns a model or adapter: that of the adapter
 // itself, or of its base model.
-func isOf(model string, v *wire.AdapterVersion) bool {
+func affectedBy(model string, v *wire.AdapterVersion) bool {
 	base, _, _ := strings.Cut(model, "/")
 	if v.GetAdapter() == "" {
 		return base == v.GetModel()
@@ -62,64 +62,64 @@
 	return model == v.GetModel()+"/"+v.GetAdapter()
 }
 
-func (r *StateMachine) setOnTrial(fingerprint string, h *wire.HeldRequest) {
+func (sm *StateMachine) setOnTrial(fingerprint string, h *wire.HeldRequest) {
 	h = proto.CloneOf(h)
 	h.OnTrial = true
-	r.heldRevision++
-	r.held[fingerprint] = h
+	sm.quarantineRevision++
+	sm.quarantined[fingerprint] = h
 }
 
-// expireHeld lets requests be tried again that were held for long, and forgets older ones. It
-// looks at them only when the time of one has come, since it is called for each entry.
-func (r *StateMachine) expireHeld() {
-	if r.dueRevision != r.heldRevision {
-		r.heldDue, r.dueRevision = r.nextHeldDue(), r.heldRevision
+// expireQuarantine puts requests on trial after QuarantinePeriod, and removes older ones. It
+// scans them only when one is due, since it is called for each entry.
+func (sm *StateMachine) expireQuarantine() {
+	if sm.dueAtRevision != sm.quarantineRevision {
+		sm.quarantineDueAt, sm.dueAtRevision = sm.nextQuarantineDue(), sm.quarantineRevision
 	}
-	if r.heldDue == 0 || r.now < r.heldDue {
+	if sm.quarantineDueAt == 0 || sm.now < sm.quarantineDueAt {
 		return
 	}
-	for fingerprint, h := range r.held {
-		switch age := time.Duration(r.now - h.GetHeldAtNs()); {
-		case age >= forgetHeldAfter:
-			r.releaseHeld(fingerprint)
+	for fingerprint, h := range sm.quarantined {
+		switch age := time.Duration(sm.now - h.GetHeldAtNs()); {
+		case age >= quarantineRetention:
+			sm.releaseQuarantined(fingerprint)
 		case age >= QuarantinePeriod && !h.GetOnTrial():
-			r.setOnTrial(fingerprint, h)
+			sm.setOnTrial(fingerprint, h)
 		}
 	}
 }
 
-// nextHeldDue returns when the time of the next request comes, 0 if there is none.
-func (r *StateMachine) nextHeldDue() int64 {
+// nextQuarantineDue returns when the next request is due, 0 if there is none.
+func (sm *StateMachine) nextQuarantineDue() int64 {
 	next := int64(0)
-	for _, h := range r.held {
-		if due := heldDue(h); next == 0 || due < next {
+	for _, h := range sm.quarantined {
+		if due := quarantineDue(h); next == 0 || due < next {
 			next = due
 		}
 	}
 	return next
 }
 
-// heldDue returns when a request that is held is to be tried again, or one on trial forgotten.
-func heldDue(h *wire.HeldRequest) int64 {
+// quarantineDue returns when a request is to be put on trial, or one on trial removed.
+func quarantineDue(h *wire.HeldRequest) int64 {
 	if h.GetOnTrial() {
-		return h.GetHeldAtNs() + int64(forgetHeldAfter)
+		return h.GetHeldAtNs() + int64(quarantineRetention)
 	}
 	return h.GetHeldAtNs() + int64(QuarantinePeriod)
 }
 
-func (r *StateMachine) releaseHeld(fingerprint string) {
-	if r.held[fingerprint] != nil {
-		delete(r.held, fingerprint)
-		r.heldRevision++
+func (sm *StateMachine) releaseQuarantined(fingerprint string) {
+	if sm.quarantined[fingerprint] != nil {
+		delete(sm.quarantined, fingerprint)
+		sm.quarantineRevision++
 	}
 }
 
-// QuarantineRevision changes in this process with each change of the requests that are held back.
-func (r *StateMachine) QuarantineRevision() uint64 { return r.heldRevision }
+// QuarantineRevision changes in this process with each change of the quarantined requests.
+func (sm *StateMachine) QuarantineRevision() uint64 { return sm.quarantineRevision }
 
-// Quarantined returns the requests that are held back, those first that were held first.
-func (r *StateMachine) Quarantined() []*wire.HeldRequest {
-	return slices.SortedFunc(maps.Values(r.held), func(a, b *wire.HeldRequest) int {
+// Quarantined returns the quarantined requests, oldest first.
+func (sm *StateMachine) Quarantined() []*wire.HeldRequest {
+	return slices.SortedFunc(maps.Values(sm.quarantined), func(a, b *wire.HeldRequest) int {
 		return cmp.Or(cmp.Compare(a.GetHeldAtNs(), b.GetHeldAtNs()), cmp.Compare(a.GetFingerprint(), b.GetFingerprint()))
 	})
 }
--- a/pkg/applier/quarantine_test.go
+++ b/pkg/applier/quarantine_test.go
@@ -11,11 +11,11 @@
 	"bronzelead.example/pkg/wire"
 )
 
-func (l *log) hold(fingerprint string) {
+func (l *log) quarantine(fingerprint string) {
 	l.apply(&wire.Command{Body: &wire.Command_HoldRequest{HoldRequest: &wire.HeldRequest{Fingerprint: fingerprint, Model: "m/a"}}})
 }
 
-func (l *log) releaseHeld(fingerprint string) {
+func (l *log) releaseQuarantined(fingerprint string) {
 	l.apply(&wire.Command{Body: &wire.Command_ReleaseHeld{ReleaseHeld: &wire.ReleaseHeld{Fingerprint: fingerprint}}})
 }
 
@@ -25,31 +25,31 @@
 	}}})
 }
 
-// What is held stays so until it is released, grows old, or what it asks for is a new
-// version; the last two let it be tried again, and a hold after that counts anew.
-func TestHeldRequests(t *testing.T) {
+// A request stays quarantined until it is released, its period ends, or its model has a new
+// version. The latter two put it on trial, and a quarantine after that starts anew.
+func TestQuarantinedRequests(t *testing.T) {
 	for name, test := range map[string]struct {
-		happens func(l *log)
-		// held and onTrial are how many are left, and how many of them are tried again.
-		held, onTrial int
+		apply func(l *log)
+		// quarantined and onTrial count the remaining requests and those of them on trial.
+		quarantined, onTrial int
 	}{
-		"nothing more":             {func(*log) {}, 1, 0},
-		"without a name":           {func(l *log) { l.hold("") }, 1, 0},
-		"held twice":               {func(l *log) { l.hold("f") }, 1, 0},
-		"released":                 {func(l *log) { l.releaseHeld("f") }, 0, 0},
-		"another is released":      {func(l *log) { l.releaseHeld("g") }, 1, 0},
-		"a version of its adapter": {func(l *log) { l.version("m", "a", 2) }, 1, 1},
-		"a version of its model":   {func(l *log) { l.version("m", "", 2) }, 1, 1},
-		"a version of another":     {func(l *log) { l.version("m", "b", 2) }, 1, 0},
-		"held after its trial":     {func(l *log) { l.version("m", "a", 2); l.hold("f") }, 1, 0},
-		"a day later":              {func(l *log) { l.now = l.now.Add(applier.QuarantinePeriod + time.Minute); l.version("x", "y", 1) }, 1, 1},
-		"weeks later":              {func(l *log) { l.now = l.now.Add(30 * applier.QuarantinePeriod); l.version("x", "y", 1) }, 0, 0},
+		"nothing more":               {func(*log) {}, 1, 0},
+		"without a fingerprint":      {func(l *log) { l.quarantine("") }, 1, 0},
+		"quarantined twice":          {func(l *log) { l.quarantine("f") }, 1, 0},
+		"released":                   {func(l *log) { l.releaseQuarantined("f") }, 0, 0},
+		"another is released":        {func(l *log) { l.releaseQuarantined("g") }, 1, 0},
+		"a version of its adapter":   {func(l *log) { l.version("m", "a", 2) }, 1, 1},
+		"a version of its model":     {func(l *log) { l.version("m", "", 2) }, 1, 1},
+		"a version of another":       {func(l *log) { l.version("m", "b", 2) }, 1, 0},
+		"quarantined again on trial": {func(l *log) { l.version("m", "a", 2); l.quarantine("f") }, 1, 0},
+		"a day later":                {func(l *log) { l.now = l.now.Add(applier.QuarantinePeriod + time.Minute); l.version("x", "y", 1) }, 1, 1},
+		"weeks later":                {func(l *log) { l.now = l.now.Add(30 * applier.QuarantinePeriod); l.version("x", "y", 1) }, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			l := newLog()
-			l.hold("f")
-			test.happens(l)
+			l.quarantine("f")
+			test.apply(l)
 			data, err := l.state.Snapshot()
 			c.Assert(err, qt.IsNil)
 			restored, err := applier.Restore(data)
@@ -61,21 +61,21 @@
 						onTrial++
 					}
 				}
-				c.Check(state.Quarantined(), qt.HasLen, test.held)
+				c.Check(state.Quarantined(), qt.HasLen, test.quarantined)
 				c.Check(onTrial, qt.Equals, test.onTrial)
 			}
 		})
 	}
 }
 
-// Each change has a number of its own, so that whoever follows the state sees all of them.
-func TestHeldRequestsAreBounded(t *testing.T) {
+// Each change gets its own revision, so that an observer of the state sees all of them.
+func TestQuarantinedRequestsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	l := newLog()
 	for i := range applier.MaxQuarantined + 10 {
 		l.now = l.now.Add(time.Second)
 		before := l.state.QuarantineRevision()
-		l.hold(fmt.Sprint(i))
+		l.quarantine(fmt.Sprint(i))
 		c.Assert(l.state.QuarantineRevision() > before, qt.IsTrue)
 	}
 	c.Assert(l.state.Quarantined(), qt.HasLen, applier.MaxQuarantined)
--- a/pkg/applier/snapshot.go
+++ b/pkg/applier/snapshot.go
@@ -11,32 +11,32 @@
 )
 
 // Snapshot encodes the whole state.
-func (r *StateMachine) Snapshot() ([]byte, error) { return Encode(r.Freeze()) }
+func (sm *StateMachine) Snapshot() ([]byte, error) { return Encode(sm.Freeze()) }
 
 // Encode encodes a frozen state.
 func Encode(s *wire.State) ([]byte, error) {
 	data, err := proto.Marshal(s)
-	return data, errors.Wrap(err, "recorder: Encode")
+	return data, errors.Wrap(err, "applier: Encode")
 }
 
-// Freeze returns the state as it is now. What it holds is never changed, only
-// replaced, so it may be encoded by another goroutine while the state goes on.
-func (r *StateMachine) Freeze() *wire.State {
+// Freeze returns the present state. Its elements are replaced, never modified, so another
+// goroutine may encode it while more commands are applied.
+func (sm *StateMachine) Freeze() *wire.State {
 	s := &wire.State{
-		NowNs: r.now, Applied: r.applied, Revision: r.revision,
-		AdmittedMembers: r.AdmittedMembers(), DrainedBackends: r.Drained(),
-		Outcomes: slices.Clone(r.aging), EndedSessions: slices.Clone(r.ended),
-		Released: slices.Clone(r.releasedOrder),
-		Table:    r.table, AdapterVersions: r.AdapterVersions(), HeldRequests: r.Quarantined(),
+		NowNs: sm.now, Applied: sm.applied, Revision: sm.revision,
+		AdmittedMembers: sm.AdmittedMembers(), DrainedBackends: sm.Drained(),
+		Outcomes: slices.Clone(sm.outcomesByAge), EndedSessions: slices.Clone(sm.ended),
+		Released: slices.Clone(sm.releasedOrder),
+		Table:    sm.table, AdapterVersions: sm.AdapterVersions(), HeldRequests: sm.Quarantined(),
 	}
-	for _, customer := range slices.Sorted(maps.Keys(r.latest)) {
-		s.Latest = append(s.Latest, r.latest[customer])
-		s.History = append(s.History, r.history[customer]...)
+	for _, customer := range slices.Sorted(maps.Keys(sm.latest)) {
+		s.Latest = append(s.Latest, sm.latest[customer])
+		s.History = append(s.History, sm.history[customer]...)
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.sessions)) {
-		s.Sessions = append(s.Sessions, r.sessions[id])
+	for _, id := range slices.Sorted(maps.Keys(sm.sessions)) {
+		s.Sessions = append(s.Sessions, sm.sessions[id])
 	}
-	s.Claims = slices.AppendSeq(make([]*wire.Claim, 0, len(r.claims)), maps.Values(r.claims))
+	s.Claims = slices.AppendSeq(make([]*wire.Claim, 0, len(sm.claims)), maps.Values(sm.claims))
 	return s
 }
 
@@ -44,7 +44,7 @@
 func Restore(data []byte) (*StateMachine, error) {
 	s := &wire.State{}
 	if err := proto.Unmarshal(data, s); err != nil {
-		return nil, errors.Wrap(err, "recorder: Restore")
+		return nil, errors.Wrap(err, "applier: Restore")
 	}
 	r := New()
 	r.now, r.applied, r.revision = s.GetNowNs(), s.GetApplied(), s.GetRevision()
@@ -68,7 +68,7 @@
 	}
 	for _, o := range s.GetOutcomes() {
 		r.outcomes[o.GetChangeId()] = o
-		r.aging = append(r.aging, o)
+		r.outcomesByAge = append(r.outcomesByAge, o)
 	}
 	for _, name := range s.GetAdmittedMembers() {
 		r.admitted[name] = true
@@ -81,23 +81,23 @@
 		r.putAdapterVersion(v)
 	}
 	for _, held := range s.GetHeldRequests() {
-		r.held[held.GetFingerprint()] = held
-		r.heldRevision++
+		r.quarantined[held.GetFingerprint()] = held
+		r.quarantineRevision++
 	}
 	return r, nil
 }
 
-func (r *StateMachine) restoreClaim(c *wire.Claim) {
+func (sm *StateMachine) restoreClaim(c *wire.Claim) {
 	cmd := c.GetCommand()
 	key := ClaimKey{Customer: cmd.GetCustomer(), Key: cmd.GetKey()}
-	r.claims[key] = c
-	r.expiry.push(key, c.GetExpiresAtNs())
+	sm.claims[key] = c
+	sm.expiry.push(key, c.GetExpiresAtNs())
 	if c.GetState() == wire.ClaimState_CLAIM_STATE_RUNNING && !c.GetOrphaned() {
-		r.own(key, c)
+		sm.addToSession(key, c)
 	}
 }
 
-// InitialState encodes the state of a new cluster, in which only members are admitted.
+// InitialState encodes the state of a new cluster, which holds only the admitted members.
 func InitialState(members []string) ([]byte, error) {
 	r := New()
 	r.applied = 1
