--- a/controller/raftdriver/compaction.go
+++ b/controller/raftdriver/compaction.go
@@ -9,44 +9,44 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Compact replaces the log up to an index by a snapshot of the state there. The
-// snapshot is written by the caller's goroutine, since a large one would hold up
-// heartbeats; only the renaming and the new log are the keeper's.
-func (k *Driver) Compact(index uint64, state []byte) {
+// Compact replaces the log up to an index by a snapshot of the state there. The caller's
+// goroutine writes the snapshot, since a large one would delay heartbeats; only the rename and
+// the new log are left to the driver's.
+func (d *Driver) Compact(index uint64, state []byte) {
 	s := &wire.Snapshot{Index: index, State: state}
 	described := make(chan bool, 1)
-	k.request(func(time.Time) { described <- k.Replicator.FillMetadata(s) })
+	d.enqueue(func(time.Time) { described <- d.Replicator.FillMetadata(s) })
 	select {
 	case ok := <-described:
 		if !ok {
 			return
 		}
-	case <-k.ended:
+	case <-d.stopped:
 		return
 	}
-	pending, err := k.Storer.PrepareSnapshot(s)
+	pending, err := d.Storer.PrepareSnapshot(s)
 	if storer.IsFull(err) {
-		k.Log.Warn("there is no room for a snapshot; the log stays as it is", "Error", err.Error())
+		d.Log.Warn("the disk is full; no snapshot was written and the log is not compacted", "Error", err.Error())
 		return
 	}
 	if err != nil {
-		k.request(func(time.Time) { k.fatal = errors.Wrap(err, "keeper") })
+		d.enqueue(func(time.Time) { d.fatalErr = errors.Wrap(err, "raftdriver") })
 		return
 	}
-	k.request(func(time.Time) {
-		if err := k.Replicator.Compact(s); err != nil {
-			// A leader's snapshot came first.
+	d.enqueue(func(time.Time) {
+		if err := d.Replicator.Compact(s); err != nil {
+			// A leader's snapshot was installed first.
 			pending.Discard()
 			return
 		}
-		err := k.Storer.CommitSnapshot(pending, k.Replicator.StoredEntries())
+		err := d.Storer.CommitSnapshot(pending, d.Replicator.StoredEntries())
 		if storer.IsFull(err) {
-			// The old log still holds all that follows the snapshot.
-			k.Log.Warn("there is no room for a new log beside the snapshot", "Error", err.Error())
+			// The old log still holds all entries after the snapshot.
+			d.Log.Warn("the disk is full; the snapshot was stored but the log is not compacted", "Error", err.Error())
 			return
 		}
 		if err != nil {
-			k.fatal = errors.Wrap(err, "keeper")
+			d.fatalErr = errors.Wrap(err, "raftdriver")
 		}
 	})
 }
--- a/controller/raftdriver/members.go
+++ b/controller/raftdriver/members.go
@@ -10,70 +10,70 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Join notes a member that asks to take part.
-func (k *Driver) Join(m *wire.Member) {
-	k.request(func(now time.Time) {
-		k.joined[m.GetName()] = joinedMember{member: m, at: now}
+// Join records a member's request to join.
+func (d *Driver) Join(m *wire.Member) {
+	d.enqueue(func(now time.Time) {
+		d.joinRequests[m.GetName()] = joinRequest{member: m, at: now}
 	})
 }
 
-// recruit proposes the next change of members, if this instance leads.
-func (k *Driver) recruit() {
-	if k.Replicator.Role() != replicator.Leader {
+// proposeMembership proposes the next change of members, if this instance leads.
+func (d *Driver) proposeMembership() {
+	if d.Replicator.Role() != replicator.Leader {
 		return
 	}
-	admitted, ok := k.admitted()
+	admitted, ok := d.admitted()
 	if !ok {
 		return
 	}
-	now := k.Clock.Now()
-	name, _, _ := strings.Cut(k.Replicator.ID, "/")
+	now := d.Clock.Now()
+	name, _, _ := strings.Cut(d.Replicator.ID, "/")
 	if !admitted(name) {
-		// A leader can't remove itself; its successor does.
-		if err := k.Replicator.Transfer(now); err == nil {
-			k.Log.Info("this instance is no member any more, and hands leadership over")
+		// A leader can't remove itself; its successor removes it.
+		if err := d.Replicator.Transfer(now); err == nil {
+			d.Log.Info("this instance is no longer admitted; transferring leadership")
 		}
 		return
 	}
 	facts := recruiter.Facts{
-		Configuration: k.Replicator.Configuration(),
-		Joining:       k.joining(now),
+		Configuration: d.Replicator.Configuration(),
+		Joining:       d.joining(now),
 		Admitted:      admitted,
-		CaughtUp:      k.Replicator.CaughtUp,
-		Leader:        k.Replicator.ID,
-		MaxVoters:     k.MaxVoters,
+		CaughtUp:      d.Replicator.CaughtUp,
+		Leader:        d.Replicator.ID,
+		MaxVoters:     d.MaxVoters,
 	}
-	if k.SilentAfter > 0 {
-		facts.Silent = func(id string) bool { return now.Sub(k.Replicator.LastContact(id)) > k.SilentAfter }
+	if d.SilentAfter > 0 {
+		facts.Silent = func(id string) bool { return now.Sub(d.Replicator.LastContact(id)) > d.SilentAfter }
 	}
 	next := recruiter.Next(facts)
 	if next == nil {
 		return
 	}
-	if _, err := k.Replicator.ChangeMembers(next); err == nil {
-		k.Log.Info("the members change", "Voters", ids(next.GetVoters()), "Learners", ids(next.GetLearners()))
+	if _, err := d.Replicator.ChangeMembers(next); err == nil {
+		d.Log.Info("proposed a membership change", "Voters", memberIDs(next.GetVoters()), "Learners", memberIDs(next.GetLearners()))
 	}
 }
 
-// admitted returns who may be a member, or false while that is not known.
-func (k *Driver) admitted() (func(name string) bool, bool) {
-	if k.OpenMembership {
+// admitted returns which names may be members, or false while that is unknown.
+func (d *Driver) admitted() (func(name string) bool, bool) {
+	if d.OpenMembership {
 		return func(string) bool { return true }, true
 	}
-	admission := k.Admission()
-	if admission == nil || admission.Applied < k.Replicator.TermStart() {
-		// A state that lags behind could take a member for one that was removed.
+	admission := d.Admission()
+	if admission == nil || admission.Applied < d.Replicator.TermStart() {
+		// In a state that lags behind, an admitted member could look like a removed one.
 		return nil, false
 	}
 	return func(name string) bool { return slices.Contains(admission.Names, name) }, true
 }
 
-// joining returns the members that have lately asked to take part.
-func (k *Driver) joining(now time.Time) []*wire.Member {
+// joining returns the members that have recently requested to join.
+func (d *Driver) joining(now time.Time) []*wire.Member {
 	var joining []*wire.Member
-	for name, j := range k.joined {
-		if now.Sub(j.at) > joinRemember {
-			delete(k.joined, name)
+	for name, j := range d.joinRequests {
+		if now.Sub(j.at) > joinRetention {
+			delete(d.joinRequests, name)
 			continue
 		}
 		joining = append(joining, j.member)
@@ -81,7 +81,7 @@
 	return joining
 }
 
-func ids(members []*wire.Member) []string {
+func memberIDs(members []*wire.Member) []string {
 	list := make([]string, len(members))
 	for i, m := range members {
 		list[i] = m.GetId()
--- a/controller/raftdriver/proposals.go
+++ b/controller/raftdriver/proposals.go
@@ -13,33 +13,33 @@
 type proposal struct {
 	data []byte
 	term uint64
-	// done gets the result or the error, once. It must not block.
+	// done receives the result or the error, once. It must not block.
 	done func(applier.Result, error)
 }
 
-// Start proposes a command and calls done, once, with what it led to.
-func (k *Driver) Start(cmd *wire.Command, done func(applier.Result, error)) {
-	cmd.AtNs = k.Clock.Now().UnixNano()
+// Start proposes a command and calls done, once, with its result.
+func (d *Driver) Start(cmd *wire.Command, done func(applier.Result, error)) {
+	cmd.AtNs = d.Clock.Now().UnixNano()
 	data, err := proto.Marshal(cmd)
 	if err != nil {
-		done(applier.Result{}, errors.Wrap(err, "keeper"))
+		done(applier.Result{}, errors.Wrap(err, "raftdriver"))
 		return
 	}
 	select {
-	case k.proposals <- proposal{data: data, done: done}:
+	case d.proposals <- proposal{data: data, done: done}:
 	default:
 		done(applier.Result{}, ErrBusy)
 	}
 }
 
-// Propose proposes a command and waits for what it led to.
-func (k *Driver) Propose(ctx context.Context, cmd *wire.Command) (applier.Result, error) {
+// Propose proposes a command and waits for its result.
+func (d *Driver) Propose(ctx context.Context, cmd *wire.Command) (applier.Result, error) {
 	type answer struct {
 		result applier.Result
 		err    error
 	}
 	answers := make(chan answer, 1)
-	k.Start(cmd, func(result applier.Result, err error) { answers <- answer{result, err} })
+	d.Start(cmd, func(result applier.Result, err error) { answers <- answer{result, err} })
 	select {
 	case a := <-answers:
 		return a.result, a.err
@@ -48,28 +48,28 @@
 	}
 }
 
-func (k *Driver) propose(p proposal) {
-	if k.held != nil {
+func (d *Driver) propose(p proposal) {
+	if d.blockedReady != nil {
 		p.done(applier.Result{}, ErrNotLeader)
 		return
 	}
-	index, err := k.Replicator.Propose(p.data)
+	index, err := d.Replicator.Propose(p.data)
 	if err != nil {
 		p.done(applier.Result{}, ErrNotLeader)
 		return
 	}
-	p.term = k.Replicator.Term()
-	k.waiting[index] = p
+	p.term = d.Replicator.Term()
+	d.pendingProposals[index] = p
 }
 
-// replyTo finds who waits for an entry. An entry of another term in the same place
-// means that the proposal was lost.
-func (k *Driver) replyTo(e *wire.Entry) func(applier.Result) {
-	p, ok := k.waiting[e.GetIndex()]
+// replyFor returns the reply function for an entry, or nil. An entry of another term at the
+// same index means that the proposal was lost.
+func (d *Driver) replyFor(e *wire.Entry) func(applier.Result) {
+	p, ok := d.pendingProposals[e.GetIndex()]
 	if !ok {
 		return nil
 	}
-	delete(k.waiting, e.GetIndex())
+	delete(d.pendingProposals, e.GetIndex())
 	if p.term != e.GetTerm() {
 		p.done(applier.Result{}, ErrOutcomeUnknown)
 		return nil
@@ -77,9 +77,9 @@
 	return func(result applier.Result) { p.done(result, nil) }
 }
 
-func (k *Driver) failWaiting() {
-	for index, p := range k.waiting {
+func (d *Driver) failPending() {
+	for index, p := range d.pendingProposals {
 		p.done(applier.Result{}, ErrOutcomeUnknown)
-		delete(k.waiting, index)
+		delete(d.pendingProposals, index)
 	}
 }
--- a/controller/raftdriver/raftdriver.go
+++ b/controller/raftdriver/raftdriver.go
@@ -1,6 +1,6 @@
-// Package keeper runs a controller's part of the replicated log: one goroutine
-// takes messages, proposals and time, syncs what the replicator asks for, sends
-// its messages, and passes committed entries on.
+// Package raftdriver runs a controller's member of the replicated log: one goroutine processes
+// messages, proposals and time, syncs what the replicator returns, sends its messages, and
+// forwards committed entries.
 package raftdriver
 
 import (
@@ -19,20 +19,20 @@
 )
 
 const (
-	ringSize     = 4096
-	maxBatch     = 1024
-	tickEvery    = 10 * time.Millisecond
-	joinRemember = 5 * time.Second
+	queueSize     = 4096
+	maxBatch      = 1024
+	tickInterval  = 10 * time.Millisecond
+	joinRetention = 5 * time.Second
 )
 
-// ErrNotLeader is returned for what only a leader may do.
-var ErrNotLeader = errors.New("keeper: this instance does not lead")
+// ErrNotLeader is returned for operations that only a leader may do.
+var ErrNotLeader = errors.New("raftdriver: this instance does not lead")
 
 // ErrOutcomeUnknown is returned when it is not known whether a proposal will be committed.
-var ErrOutcomeUnknown = errors.New("keeper: leadership was lost before the outcome was known")
+var ErrOutcomeUnknown = errors.New("raftdriver: leadership was lost before the outcome was known")
 
-// ErrBusy is returned when a ring is full; nothing was proposed.
-var ErrBusy = errors.New("keeper: too much waits to be written")
+// ErrBusy is returned when a queue is full; nothing was proposed.
+var ErrBusy = errors.New("raftdriver: too much waits to be written")
 
 // CommittedEntry is a committed entry. Reply is not nil when a caller of this instance
 // waits for its result.
@@ -41,14 +41,14 @@
 	Reply func(applier.Result)
 }
 
-// CommittedBatch is what the keeper passes on, in order.
+// CommittedBatch is what the driver forwards, in order.
 type CommittedBatch struct {
 	// Restore replaces the state, when not nil.
 	Restore *wire.Snapshot
 	Entries []CommittedEntry
 }
 
-// Status is what the instance is at the moment.
+// Status is the instance's present role and what it knows of the cluster.
 type Status struct {
 	Role          replicator.Role
 	Term          uint64
@@ -61,193 +61,193 @@
 	Configuration *wire.Configuration
 }
 
-// Leads reports whether the instance may answer and give orders at now.
+// Leads reports whether the instance may answer reads and issue orders at now.
 func (s *Status) Leads(now time.Time) bool { return now.Before(s.LeaseUntil) }
 
-// Admission is which instances may be members, as of an applied entry.
+// Admission names the instances that may be members, as of an applied entry.
 type Admission struct {
 	Names   []string
 	Applied uint64
 }
 
-// Driver runs the replicated log. Set the exported fields, then call Run.
+// Driver runs the replicated log. Set the exported fields, call Init, then Run.
 type Driver struct {
 	Clock      clockwork.Clock
 	Log        *slog.Logger
 	Storer     *storer.Storer
 	Replicator *replicator.Replicator
-	// Send takes messages for other members; it must not block.
+	// Send sends messages to other members; it must not block.
 	Send func(config *wire.Configuration, messages []*wire.Message)
-	// Commits takes committed entries.
+	// Commits receives committed entries.
 	Commits chan<- CommittedBatch
-	// Admission returns which instances may be members, or nil.
+	// Admission returns which instances may be members, or nil while unknown.
 	Admission func() *Admission
-	// OpenMembership lets every instance that asks become a member, instead of those that
-	// are admitted.
+	// OpenMembership lets every instance that requests it become a member, instead of those
+	// that are admitted.
 	OpenMembership bool
 	// MaxVoters bounds the voters; 0 makes every member a voter.
 	MaxVoters int
-	// SilentAfter is the time without an answer after which a member may lose its vote to
-	// another that stands by; 0 means never.
+	// SilentAfter is the time without an answer after which a member may lose its vote to a
+	// standby member; 0 means never.
 	SilentAfter time.Duration
 
 	messages  chan []*wire.Message
 	proposals chan proposal
 	requests  chan func(now time.Time)
-	// ended is closed when Run has returned.
-	ended    chan struct{}
-	standing atomic.Pointer[Status]
-	waiting  map[uint64]proposal
-	backlog  []CommittedBatch
-	joined   map[string]joinedMember
-	// fatal is set when the disk failed outside of carryOut.
-	fatal error
-	// held is what could not be stored because the disk is full. Until it is, the member
-	// takes and sends nothing, so that it promises nothing that it does not keep.
-	held      *replicator.Ready
-	heldAgain time.Time
+	// stopped is closed when Run has returned.
+	stopped          chan struct{}
+	status           atomic.Pointer[Status]
+	pendingProposals map[uint64]proposal
+	backlog          []CommittedBatch
+	joinRequests     map[string]joinRequest
+	// fatalErr is set when the disk failed outside of processReady.
+	fatalErr error
+	// blockedReady could not be stored because the disk is full. Until it is stored, the member
+	// processes and sends nothing, so that it acknowledges nothing that it doesn't persist.
+	blockedReady *replicator.Ready
+	diskRetryAt  time.Time
 }
 
-type joinedMember struct {
+type joinRequest struct {
 	member *wire.Member
 	at     time.Time
 }
 
-// Init prepares the keeper for calls before Run.
-func (k *Driver) Init(stored *storer.Contents) {
-	k.messages = make(chan []*wire.Message, ringSize)
-	k.proposals = make(chan proposal, ringSize)
-	k.requests = make(chan func(time.Time), ringSize)
-	k.ended = make(chan struct{})
-	k.waiting = map[uint64]proposal{}
-	k.joined = map[string]joinedMember{}
-	k.Replicator.Start(k.Clock.Now(), replicator.PersistedState{
+// Init prepares the driver for calls before Run.
+func (d *Driver) Init(stored *storer.Contents) {
+	d.messages = make(chan []*wire.Message, queueSize)
+	d.proposals = make(chan proposal, queueSize)
+	d.requests = make(chan func(time.Time), queueSize)
+	d.stopped = make(chan struct{})
+	d.pendingProposals = map[uint64]proposal{}
+	d.joinRequests = map[string]joinRequest{}
+	d.Replicator.Start(d.Clock.Now(), replicator.PersistedState{
 		HardState: stored.HardState, Snapshot: stored.Snapshot, Entries: stored.Entries,
 	})
 	if stored.Snapshot != nil {
-		k.backlog = append(k.backlog, CommittedBatch{Restore: stored.Snapshot})
+		d.backlog = append(d.backlog, CommittedBatch{Restore: stored.Snapshot})
 	}
-	k.publish()
+	d.publish()
 }
 
-// Run works until ctx ends. An error means that the disk failed; the process must
-// end, since what it holds is unknown.
-func (k *Driver) Run(ctx context.Context) error {
-	defer close(k.ended)
-	ticker := k.Clock.NewTicker(tickEvery)
+// Run runs until ctx is done. An error means that the disk failed; the process must exit, since
+// the contents of the disk are unknown.
+func (d *Driver) Run(ctx context.Context) error {
+	defer close(d.stopped)
+	ticker := d.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		var out chan<- CommittedBatch
 		var first CommittedBatch
-		if len(k.backlog) > 0 {
-			out, first = k.Commits, k.backlog[0]
+		if len(d.backlog) > 0 {
+			out, first = d.Commits, d.backlog[0]
 		}
 		select {
 		case <-ctx.Done():
-			k.failWaiting()
+			d.failPending()
 			return nil
 		case out <- first:
-			k.backlog = k.backlog[1:]
+			d.backlog = d.backlog[1:]
 			continue
 		case <-ticker.Chan():
-			k.tick()
-		case messages := <-k.messages:
-			k.step(messages)
-		case p := <-k.proposals:
-			k.propose(p)
-		case request := <-k.requests:
-			request(k.Clock.Now())
+			d.tick()
+		case messages := <-d.messages:
+			d.step(messages)
+		case p := <-d.proposals:
+			d.propose(p)
+		case request := <-d.requests:
+			request(d.Clock.Now())
 		}
-		if k.fatal != nil {
-			return k.fatal
+		if d.fatalErr != nil {
+			return d.fatalErr
 		}
-		if k.held != nil && k.Clock.Now().Before(k.heldAgain) {
+		if d.blockedReady != nil && d.Clock.Now().Before(d.diskRetryAt) {
 			continue
 		}
-		k.drain()
-		if err := k.carryOut(); err != nil {
+		d.drainQueues()
+		if err := d.processReady(); err != nil {
 			return err
 		}
-		k.publish()
+		d.publish()
 	}
 }
 
-func (k *Driver) tick() {
-	if k.held != nil {
+func (d *Driver) tick() {
+	if d.blockedReady != nil {
 		return
 	}
-	k.Replicator.Tick(k.Clock.Now())
-	k.recruit()
+	d.Replicator.Tick(d.Clock.Now())
+	d.proposeMembership()
 }
 
-// drain takes in what else waits, so that one sync serves many.
-func (k *Driver) drain() {
+// drainQueues processes what else is queued, so that one sync serves many.
+func (d *Driver) drainQueues() {
 	for range maxBatch {
 		select {
-		case messages := <-k.messages:
-			k.step(messages)
-		case p := <-k.proposals:
-			k.propose(p)
+		case messages := <-d.messages:
+			d.step(messages)
+		case p := <-d.proposals:
+			d.propose(p)
 		default:
-			k.Replicator.Flush(k.Clock.Now())
+			d.Replicator.Flush(d.Clock.Now())
 			return
 		}
 	}
-	k.Replicator.Flush(k.Clock.Now())
+	d.Replicator.Flush(d.Clock.Now())
 }
 
-func (k *Driver) step(messages []*wire.Message) {
-	if k.held != nil {
+func (d *Driver) step(messages []*wire.Message) {
+	if d.blockedReady != nil {
 		return
 	}
 	for _, m := range messages {
-		k.Replicator.Step(k.Clock.Now(), m)
+		d.Replicator.Step(d.Clock.Now(), m)
 	}
 }
 
-func (k *Driver) publish() {
-	r := k.Replicator
-	if k.held != nil {
-		// A leader that waits must not lead by a lease that it can't renew.
-		k.standing.Store(&Status{Role: replicator.Follower, Term: r.Term(), Configuration: r.Configuration()})
+func (d *Driver) publish() {
+	r := d.Replicator
+	if d.blockedReady != nil {
+		// A leader that waits for its disk must not lead by a lease that it can't renew.
+		d.status.Store(&Status{Role: replicator.Follower, Term: r.Term(), Configuration: r.Configuration()})
 		return
 	}
-	k.standing.Store(&Status{
+	d.status.Store(&Status{
 		Role: r.Role(), Term: r.Term(), TermStart: r.TermStart(), Leader: r.LeaderID(),
-		LeaseUntil: r.LeaseUntil(k.Clock.Now()), Commit: r.Commit(), Last: r.LastIndex(),
+		LeaseUntil: r.LeaseUntil(d.Clock.Now()), Commit: r.Commit(), Last: r.LastIndex(),
 		First: r.FirstIndex(), Configuration: r.Configuration(),
 	})
 }
 
-// Standing returns what the instance is at the moment.
-func (k *Driver) Standing() *Status { return k.standing.Load() }
+// Standing returns the instance's present status.
+func (d *Driver) Standing() *Status { return d.status.Load() }
 
-// Leads reports whether this instance may answer and give orders now.
-func (k *Driver) Leads() bool { return k.Standing().Leads(k.Clock.Now()) }
+// Leads reports whether this instance may answer reads and issue orders now.
+func (d *Driver) Leads() bool { return d.Standing().Leads(d.Clock.Now()) }
 
-// Deliver takes messages from other members. They are dropped when too many wait,
-// as a network would.
-func (k *Driver) Deliver(messages []*wire.Message) {
+// Deliver queues messages from other members. They are dropped when the queue is full, as a
+// network would.
+func (d *Driver) Deliver(messages []*wire.Message) {
 	select {
-	case k.messages <- messages:
+	case d.messages <- messages:
 	default:
 	}
 }
 
-// Transfer hands leadership over, before a planned stop.
-func (k *Driver) Transfer() {
-	k.request(func(now time.Time) {
-		if err := k.Replicator.Transfer(now); err != nil {
-			k.Log.Info("leadership is not handed over", "Reason", err.Error())
+// Transfer transfers leadership, before a planned stop.
+func (d *Driver) Transfer() {
+	d.enqueue(func(now time.Time) {
+		if err := d.Replicator.Transfer(now); err != nil {
+			d.Log.Info("leadership is not transferred", "Reason", err.Error())
 		}
 	})
 }
 
-// request hands a request over. It waits while the ring is full, and gives up when
-// the keeper has ended.
-func (k *Driver) request(f func(now time.Time)) {
+// enqueue queues a function for the driver's goroutine. It blocks while the queue is full, and
+// drops the function when the driver has stopped.
+func (d *Driver) enqueue(f func(now time.Time)) {
 	select {
-	case k.requests <- f:
-	case <-k.ended:
+	case d.requests <- f:
+	case <-d.stopped:
 	}
 }
--- a/controller/raftdriver/storing.go
+++ b/controller/raftdriver/storing.go
@@ -9,79 +9,79 @@
 	"bronzelead.example/pkg/storer"
 )
 
-// carryOut does what the replicator asks for until it asks for nothing more.
-func (k *Driver) carryOut() error {
+// processReady does the work that the replicator returns until there is none left.
+func (d *Driver) processReady() error {
 	for {
-		rd := k.take()
+		rd := d.nextReady()
 		if rd.Empty() {
 			return nil
 		}
-		err := k.persist(rd)
+		err := d.persist(rd)
 		if storer.IsFull(err) {
-			k.hold(rd, err)
+			d.waitForDisk(rd, err)
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		k.Send(k.Replicator.Configuration(), rd.Messages)
-		k.passOn(rd)
+		d.Send(d.Replicator.Configuration(), rd.Messages)
+		d.forwardCommitted(rd)
 	}
 }
 
-// take returns what is to be done next: what was held first.
-func (k *Driver) take() *replicator.Ready {
-	if rd := k.held; rd != nil {
-		k.held = nil
+// nextReady returns the next work: first what could not be stored before.
+func (d *Driver) nextReady() *replicator.Ready {
+	if rd := d.blockedReady; rd != nil {
+		d.blockedReady = nil
 		return rd
 	}
-	rd := k.Replicator.TakeReady()
+	rd := d.Replicator.TakeReady()
 	return &rd
 }
 
-// heldEvery is the time between two tries to store while the disk is full.
-const heldEvery = 200 * time.Millisecond
+// diskRetryInterval is the time between two attempts to store while the disk is full.
+const diskRetryInterval = 200 * time.Millisecond
 
-func (k *Driver) hold(rd *replicator.Ready, err error) {
-	if k.heldAgain.IsZero() {
-		k.Log.Error("the disk is full; this member waits", "Error", err.Error())
+func (d *Driver) waitForDisk(rd *replicator.Ready, err error) {
+	if d.diskRetryAt.IsZero() {
+		d.Log.Error("the disk is full; this member pauses until it can write", "Error", err.Error())
 	}
-	k.held = rd
-	k.heldAgain = k.Clock.Now().Add(heldEvery)
-	k.failWaiting()
+	d.blockedReady = rd
+	d.diskRetryAt = d.Clock.Now().Add(diskRetryInterval)
+	d.failPending()
 }
 
-func (k *Driver) persist(rd *replicator.Ready) error {
+func (d *Driver) persist(rd *replicator.Ready) error {
 	if rd.Snapshot != nil {
-		if err := k.Storer.SaveSnapshot(rd.Snapshot, nil); err != nil {
-			return errors.Wrap(err, "keeper")
+		if err := d.Storer.SaveSnapshot(rd.Snapshot, nil); err != nil {
+			return errors.Wrap(err, "raftdriver")
 		}
 	}
-	if err := k.Storer.Append(rd.HardState, rd.Entries); err != nil {
-		return errors.Wrap(err, "keeper")
+	if err := d.Storer.Append(rd.HardState, rd.Entries); err != nil {
+		return errors.Wrap(err, "raftdriver")
 	}
-	if !k.heldAgain.IsZero() {
-		k.Log.Info("the disk takes data again")
-		k.heldAgain = time.Time{}
+	if !d.diskRetryAt.IsZero() {
+		d.Log.Info("the disk accepts writes again")
+		d.diskRetryAt = time.Time{}
 	}
 	if n := len(rd.Entries); n > 0 {
-		k.Replicator.Synced(rd.Entries[n-1].GetIndex())
+		d.Replicator.Synced(rd.Entries[n-1].GetIndex())
 	}
 	return nil
 }
 
-func (k *Driver) passOn(rd *replicator.Ready) {
+func (d *Driver) forwardCommitted(rd *replicator.Ready) {
 	if rd.Snapshot != nil {
-		k.backlog = append(k.backlog, CommittedBatch{Restore: rd.Snapshot})
+		d.backlog = append(d.backlog, CommittedBatch{Restore: rd.Snapshot})
 	}
 	if len(rd.Committed) > 0 {
 		item := CommittedBatch{Entries: make([]CommittedEntry, len(rd.Committed))}
 		for i, e := range rd.Committed {
-			item.Entries[i] = CommittedEntry{Entry: e, Reply: k.replyTo(e)}
+			item.Entries[i] = CommittedEntry{Entry: e, Reply: d.replyFor(e)}
 		}
-		k.backlog = append(k.backlog, item)
+		d.backlog = append(d.backlog, item)
 	}
-	if k.Replicator.Role() != replicator.Leader {
-		k.failWaiting()
+	if d.Replicator.Role() != replicator.Leader {
+		d.failPending()
 	}
 }
