--- a/controller/coordinator/backends.go
+++ b/controller/coordinator/backends.go
@@ -13,8 +13,8 @@
 
 const termShift = 32
 
-// announce takes in what backend servers told of themselves.
-func (c *Coordinator) announce(now time.Time, announced []*wire.Backend) {
+// handleAnnouncements processes announcements of backend servers.
+func (c *Coordinator) handleAnnouncements(now time.Time, announced []*wire.Backend) {
 	drained := c.state.Drained()
 	for _, b := range announced {
 		switch b.GetKind() {
@@ -24,7 +24,7 @@
 				c.ObserveBatchFill(float64(b.GetRunning()) / float64(b.GetBatch()))
 			}
 		case wire.BackendKind_BACKEND_KIND_SERVICE:
-			c.services[b.GetName()] = &service{info: b, seen: now}
+			c.services[b.GetName()] = &service{info: b, lastSeen: now}
 		default:
 			continue
 		}
@@ -32,10 +32,11 @@
 	}
 }
 
-// forgetBackends takes out those that have not announced themselves for too long.
-func (c *Coordinator) forgetBackends(now time.Time) {
+// expireBackends removes services without a recent announcement, and engines that the planner
+// dropped.
+func (c *Coordinator) expireBackends(now time.Time) {
 	for name, s := range c.services {
-		if now.Sub(s.seen) > c.Policy.BackendLease {
+		if now.Sub(s.lastSeen) > c.Policy.BackendLease {
 			delete(c.services, name)
 			c.backends.remove(name)
 		}
@@ -48,13 +49,13 @@
 	c.backends.setDrained(c.state.Drained())
 }
 
-// backendList is what gateways are told of the backend servers. Each change has a
-// version, so that only changes are sent.
+// backendList is the list of backend servers that gateways receive. Each change has a version,
+// so that only changes are sent.
 type backendList struct {
-	version uint64
-	first   uint64
-	known   map[string]*wire.Backend
-	// changes are in the order of their versions; a server's last one counts.
+	version      uint64
+	firstVersion uint64
+	known        map[string]*wire.Backend
+	// changes are sorted by version; of a server's changes the last one counts.
 	changes []backendChange
 	drained []string
 }
@@ -64,25 +65,25 @@
 	name    string
 }
 
-// A list of changes that is this many times longer than the servers is shortened.
+// A list with more changes than this per server is shortened.
 const changesPerBackend = 8
 
 func newBackendList(term uint64) *backendList {
 	first := term<<termShift + 1
-	return &backendList{version: first, first: first, known: map[string]*wire.Backend{}}
+	return &backendList{version: first, firstVersion: first, known: map[string]*wire.Backend{}}
 }
 
 func (l *backendList) put(b *wire.Backend) {
-	if old := l.known[b.GetName()]; old != nil && sameForGateways(old, b) {
+	if old := l.known[b.GetName()]; old != nil && equalForGateways(old, b) {
 		return
 	}
 	l.known[b.GetName()] = b
-	l.change(b.GetName())
+	l.recordChange(b.GetName())
 }
 
 func (l *backendList) remove(name string) {
 	delete(l.known, name)
-	l.change(name)
+	l.recordChange(name)
 }
 
 func (l *backendList) setDrained(drained []string) {
@@ -93,50 +94,50 @@
 	l.version++
 }
 
-func (l *backendList) change(name string) {
+func (l *backendList) recordChange(name string) {
 	l.version++
 	l.changes = append(l.changes, backendChange{version: l.version, name: name})
 	if len(l.changes) > changesPerBackend*(len(l.known)+1) {
-		// Whoever knows only what is older gets the whole list.
+		// A gateway with an older version gets the whole list.
 		l.changes = slices.Clone(l.changes[len(l.changes)/2:])
-		l.first = l.changes[0].version
+		l.firstVersion = l.changes[0].version
 	}
 }
 
-// sameForGateways tells whether a gateway needs to hear of a new announcement. Loads
-// are hints, and told in steps of a quarter of a batch.
-func sameForGateways(a, b *wire.Backend) bool {
+// equalForGateways reports whether gateways need no update for a new announcement. Loads are
+// hints, and sent in steps of a quarter of a batch.
+func equalForGateways(a, b *wire.Backend) bool {
 	return a.GetIncarnation() == b.GetIncarnation() &&
 		a.GetAddress() == b.GetAddress() && a.GetLeaving() == b.GetLeaving() &&
 		a.GetZone() == b.GetZone() && a.GetService() == b.GetService() &&
 		loadStep(a) == loadStep(b)
 }
 
-const stepsPerBatch = 4
+const loadStepsPerBatch = 4
 
 func loadStep(b *wire.Backend) uint32 {
-	return (b.GetRunning() + b.GetWaiting()) * stepsPerBatch / max(1, b.GetBatch())
+	return (b.GetRunning() + b.GetWaiting()) * loadStepsPerBatch / max(1, b.GetBatch())
 }
 
-// addTo adds what changed since a version. A version of an earlier leader is answered
-// with the whole list. A leader that is new has not heard of all servers: until it
-// is warm it takes nothing from what a gateway knows from its predecessor.
-func (l *backendList) addTo(res *wire.RenewResponse, since uint64, warming bool) {
+// addTo adds the changes since a version. For a version of an earlier leader it sends the whole
+// list. A new leader doesn't know all servers yet: until its warm-up is over, it removes none
+// that a gateway knows from its predecessor.
+func (l *backendList) addTo(res *wire.RenewResponse, since uint64, warmingUp bool) {
 	res.BackendsVersion = l.version
 	if since == l.version {
 		return
 	}
 	res.Drained = l.drained
-	if since >= l.first && since < l.version {
+	if since >= l.firstVersion && since < l.version {
 		l.addChanges(res, since)
 		return
 	}
-	res.BackendsWhole = !warming
-	if warming && since != 0 {
+	res.BackendsWhole = !warmingUp
+	if warmingUp && since != 0 {
 		res.BackendsVersion = since
 	}
 	for _, name := range slices.Sorted(maps.Keys(l.known)) {
-		res.Backends = append(res.Backends, forGateways(l.known[name]))
+		res.Backends = append(res.Backends, trimForGateways(l.known[name]))
 	}
 }
 
@@ -144,26 +145,26 @@
 	from, _ := slices.BinarySearchFunc(l.changes, since+1, func(c backendChange, version uint64) int {
 		return cmp.Compare(c.version, version)
 	})
-	told := map[string]bool{}
+	sent := map[string]bool{}
 	for _, change := range l.changes[from:] {
-		if told[change.name] {
+		if sent[change.name] {
 			continue
 		}
-		told[change.name] = true
+		sent[change.name] = true
 		if b := l.known[change.name]; b != nil {
-			res.Backends = append(res.Backends, forGateways(b))
+			res.Backends = append(res.Backends, trimForGateways(b))
 		} else {
 			res.Gone = append(res.Gone, change.name)
 		}
 	}
 }
 
-// forGateways leaves out what gateways don't use.
-func forGateways(b *wire.Backend) *wire.Backend {
+// trimForGateways removes what gateways don't use.
+func trimForGateways(b *wire.Backend) *wire.Backend {
 	if len(b.GetLoaded()) == 0 {
 		return b
 	}
-	short := proto.CloneOf(b)
-	short.Loaded = nil
-	return short
+	trimmed := proto.CloneOf(b)
+	trimmed.Loaded = nil
+	return trimmed
 }
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -1,7 +1,7 @@
-// Package coordinator owns a controller's state: the state machine behind the log
-// and, while the instance leads, the sessions, allotments and placements.
+// Package coordinator owns a controller's state: the state machine of the replicated log and,
+// while the instance leads, the sessions, allotments and placements.
 //
-// One goroutine does all of it; calls from others come through a bounded ring.
+// One goroutine does all of it; calls from others come through a bounded queue.
 package coordinator
 
 import (
@@ -24,12 +24,12 @@
 )
 
 const (
-	callRing             = 8192
-	tickEvery            = 20 * time.Millisecond
-	defaultSnapshotEvery = 20_000
+	callQueueSize           = 8192
+	tickInterval            = 20 * time.Millisecond
+	defaultSnapshotInterval = 20_000
 )
 
-// RaftDriver is what the coordinator uses of the replicated log.
+// RaftDriver is the part of the replicated log that the coordinator uses.
 type RaftDriver interface {
 	Standing() *raftdriver.Status
 	Start(cmd *wire.Command, done func(applier.Result, error))
@@ -37,19 +37,20 @@
 	Compact(index uint64, state []byte)
 }
 
-// Coordinator owns the state. Set the exported fields, then call Run.
+// Coordinator owns the state. Set the exported fields, call Init, then Run.
 type Coordinator struct {
 	Clock clockwork.Clock
 	Log   *slog.Logger
 	Raft  RaftDriver
-	// Commits brings committed entries.
+	// Commits delivers committed entries.
 	Commits <-chan raftdriver.CommittedBatch
-	// SendOrder takes orders to engines, and reports each one's end to Ordered. It must
-	// not block.
+	// SendOrder sends an order to an engine, and reports its outcome to done. It must not
+	// block.
 	SendOrder func(order planner.Order, done func(planner.Outcome))
 
-	// ObserveBatchFill and ObserveInForce take how full an engine's steps run, and how long a
-	// change took until each live session had applied it. Nil observes nothing.
+	// ObserveBatchFill and ObserveInForce receive an engine's running requests as a part of its
+	// batch, and how long a change took until each live session had applied it. Nil observes
+	// nothing.
 	ObserveBatchFill func(part float64)
 	ObserveInForce   func(took time.Duration)
 
@@ -58,30 +59,30 @@
 	MaxRequestDuration time.Duration
 	SnapshotInterval   uint64
 
-	// CountQuarantine counts requests that are held back, and those that no longer are; nil counts
-	// nothing.
+	// CountQuarantine counts requests that are quarantined, and those that no longer are; nil
+	// counts nothing.
 	CountQuarantine func(change string)
 
-	arbiter  arbiter.Arbiter
-	calls    *caller.Caller
-	admitted atomic.Pointer[raftdriver.Admission]
-	state    *applier.StateMachine
-	snapshot uint64
+	arbiter       arbiter.Arbiter
+	calls         *caller.Caller
+	admitted      atomic.Pointer[raftdriver.Admission]
+	state         *applier.StateMachine
+	snapshotIndex uint64
 	// compacting is set while a snapshot is being made.
 	compacting atomic.Bool
 
 	term     uint64
-	leaser   *sessiontracker.Tracker
+	sessions *sessiontracker.Tracker
 	limiter  *limiter.Limiter
 	planner  *planner.Planner
 	services map[string]*service
 	backends *backendList
 	// pending are changes that are not in force everywhere yet.
-	pending []pendingChange
-	warm    time.Time
+	pending     []pendingChange
+	warmUpUntil time.Time
 }
 
-// pendingChange is a change of a contract on its way to the gateways.
+// pendingChange is a change of a contract that gateways have yet to apply.
 type pendingChange struct {
 	revision uint64
 	at       time.Time
@@ -89,23 +90,23 @@
 
 // service is a plain service that has announced itself.
 type service struct {
-	info *wire.Backend
-	seen time.Time
+	info     *wire.Backend
+	lastSeen time.Time
 }
 
 // Init prepares the coordinator for calls before Run.
 func (c *Coordinator) Init() {
-	c.calls = caller.New(callRing)
+	c.calls = caller.New(callQueueSize)
 	c.state = applier.New()
 	c.initArbiter()
 	if c.SnapshotInterval == 0 {
-		c.SnapshotInterval = defaultSnapshotEvery
+		c.SnapshotInterval = defaultSnapshotInterval
 	}
 }
 
-// Run works until ctx ends.
+// Run runs until ctx is done.
 func (c *Coordinator) Run(ctx context.Context) {
-	ticker := c.Clock.NewTicker(tickEvery)
+	ticker := c.Clock.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -114,10 +115,10 @@
 		case item := <-c.Commits:
 			c.apply(item)
 		case call := <-c.calls.Calls():
-			c.follow()
+			c.followLeadership()
 			call(c.Clock.Now())
 		case <-ticker.Chan():
-			c.follow()
+			c.followLeadership()
 			c.tick(c.Clock.Now())
 		}
 	}
@@ -134,37 +135,37 @@
 	}
 	for _, a := range item.Entries {
 		result := c.state.Apply(a.Entry)
-		c.applied(result)
+		c.handleResult(result)
 		if a.Reply != nil {
 			a.Reply(result)
 		}
 	}
 	c.arbiter.TakeState(c.Clock.Now())
 	c.admitted.Store(&raftdriver.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
-	if c.state.Applied() >= c.snapshot+c.SnapshotInterval {
+	if c.state.Applied() >= c.snapshotIndex+c.SnapshotInterval {
 		c.compact()
 	}
 }
 
-// Admission returns which instances may be members, or nil before anything is
-// known. It may be called from any goroutine.
+// Admission returns which instances may be members, or nil before any state was applied. It may
+// be called from any goroutine.
 func (c *Coordinator) Admission() *raftdriver.Admission { return c.admitted.Load() }
 
 func (c *Coordinator) restore(s *wire.Snapshot) {
 	state, err := applier.Restore(s.GetState())
 	if err != nil {
-		// The snapshot's checksum was right, so it was written by another version.
+		// The snapshot's checksum was valid, so it was written by another version.
 		c.Log.Error("a snapshot can't be decoded", "Error", err.Error())
 		return
 	}
 	c.state = state
-	c.snapshot = s.GetIndex()
+	c.snapshotIndex = s.GetIndex()
 }
 
 func (c *Coordinator) compact() {
-	c.snapshot = c.state.Applied()
+	c.snapshotIndex = c.state.Applied()
 	if !c.compacting.CompareAndSwap(false, true) {
-		// The next chance comes after as many entries again.
+		// The next attempt follows after SnapshotInterval more entries.
 		return
 	}
 	frozen := c.state.Freeze()
@@ -179,23 +180,23 @@
 	}()
 }
 
-// follow begins a term as leader, once all that was committed before has been
+// followLeadership begins a term as leader, once all that was committed before has been
 // applied, and ends it.
-func (c *Coordinator) follow() {
-	standing := c.Raft.Standing()
-	leads := standing.Leads(c.Clock.Now())
+func (c *Coordinator) followLeadership() {
+	status := c.Raft.Standing()
+	leads := status.Leads(c.Clock.Now())
 	switch {
-	case leads && c.term != standing.Term && c.state.Applied() >= standing.TermStart:
-		c.begin(c.Clock.Now(), standing.Term)
-	case !leads && c.term != 0 && c.term != standing.Term:
+	case leads && c.term != status.Term && c.state.Applied() >= status.TermStart:
+		c.beginTerm(c.Clock.Now(), status.Term)
+	case !leads && c.term != 0 && c.term != status.Term:
 		c.term = 0
 	}
 }
 
-// begin starts a term: the sessions are known from the log, what they hold is not.
-func (c *Coordinator) begin(now time.Time, term uint64) {
+// beginTerm starts a term: the sessions are known from the log, their holdings are not.
+func (c *Coordinator) beginTerm(now time.Time, term uint64) {
 	c.term = term
-	c.leaser = &sessiontracker.Tracker{Lease: c.Lease, MaxRequestDuration: c.MaxRequestDuration}
+	c.sessions = &sessiontracker.Tracker{Lease: c.Lease, MaxRequestDuration: c.MaxRequestDuration}
 	c.limiter = &limiter.Limiter{}
 	c.planner = &planner.Planner{Policy: c.Policy}
 	c.planner.Start(now, term)
@@ -203,13 +204,13 @@
 	c.backends = newBackendList(term)
 	c.pending = nil
 	c.arbiter.Begin()
-	c.warm = now.Add(c.Policy.BackendLease)
+	c.warmUpUntil = now.Add(c.Policy.BackendLease)
 	for id, s := range c.state.Sessions() {
-		c.leaser.Open(now, sessionOf(s), true)
+		c.sessions.Open(now, sessionOf(s), true)
 		c.limiter.Expect(sessiontracker.SessionID(id))
 	}
 	for _, s := range c.state.EndedSessions() {
-		c.leaser.AdoptEnded(now, sessiontracker.SessionID(s.GetId()))
+		c.sessions.AdoptEnded(now, sessiontracker.SessionID(s.GetId()))
 		c.limiter.Expect(sessiontracker.SessionID(s.GetId()))
 	}
 	for _, contract := range c.state.Contracts() {
@@ -224,23 +225,23 @@
 	}
 }
 
-// leads reports whether the instance may answer and give orders now.
+// leads reports whether the instance may answer reads and issue orders now.
 func (c *Coordinator) leads(now time.Time) bool {
-	standing := c.Raft.Standing()
-	return c.term != 0 && c.term == standing.Term && standing.Leads(now)
+	status := c.Raft.Standing()
+	return c.term != 0 && c.term == status.Term && status.Leads(now)
 }
 
-// applied lets a result take effect on the leader's side.
-func (c *Coordinator) applied(result applier.Result) {
+// handleResult updates the leader's own state by the result of a command.
+func (c *Coordinator) handleResult(result applier.Result) {
 	if c.term == 0 {
 		return
 	}
 	if s := result.Session; s != nil {
-		c.leaser.Open(c.Clock.Now(), sessionOf(s), false)
+		c.sessions.Open(c.Clock.Now(), sessionOf(s), false)
 	}
 	if closed := result.Closed; closed != nil {
 		id := sessiontracker.SessionID(closed.GetSession())
-		c.leaser.RecordClosed(c.Clock.Now(), id, closed.GetGraceful())
+		c.sessions.RecordClosed(c.Clock.Now(), id, closed.GetGraceful())
 		c.planner.ForgetDemand(id)
 	}
 	if a := result.Apply; a != nil && a.GetContract() != nil {
@@ -250,9 +251,9 @@
 	}
 }
 
-// observeChanges notes the changes that have come into force everywhere.
-func (c *Coordinator) observeChanges(now time.Time) {
-	for len(c.pending) > 0 && len(c.leaser.Lagging(c.pending[0].revision)) == 0 {
+// observeAppliedChanges reports the changes that have come into force everywhere.
+func (c *Coordinator) observeAppliedChanges(now time.Time) {
+	for len(c.pending) > 0 && len(c.sessions.Lagging(c.pending[0].revision)) == 0 {
 		if c.ObserveInForce != nil {
 			c.ObserveInForce(now.Sub(c.pending[0].at))
 		}
@@ -265,24 +266,24 @@
 	if !c.leads(now) {
 		return
 	}
-	for _, id := range c.leaser.Expired(now) {
-		c.Log.Info("a session has expired", "Session", uint64(id), "Of", c.leaser.Get(id).Instance)
+	for _, id := range c.sessions.Expired(now) {
+		c.Log.Info("a session has expired", "Session", uint64(id), "Of", c.sessions.Get(id).Instance)
 		c.closeSession(id)
 	}
-	for _, id := range c.leaser.Freed(now) {
+	for _, id := range c.sessions.Freed(now) {
 		c.limiter.Forget(id)
 		c.planner.ForgetSession(id)
 	}
 	c.arbiter.Lead(now, c.term)
-	c.observeChanges(now)
-	c.forgetBackends(now)
-	if now.Before(c.warm) {
+	c.observeAppliedChanges(now)
+	c.expireBackends(now)
+	if now.Before(c.warmUpUntil) {
 		// Engines and leases are still being reported.
 		return
 	}
-	c.planner.SetSettled(c.leaser.HoldingsKnown())
+	c.planner.SetSettled(c.sessions.HoldingsKnown())
 	for _, order := range c.planner.Plan(now) {
-		c.carry(order)
+		c.sendOrder(order)
 	}
 }
 
@@ -293,7 +294,7 @@
 	c.Raft.Start(cmd, func(applier.Result, error) {})
 }
 
-func (c *Coordinator) carry(order planner.Order) {
+func (c *Coordinator) sendOrder(order planner.Order) {
 	term := c.term
 	c.Log.Info("order", "Kind", int(order.Kind), "Backend", order.Backend, "Adapter", order.Adapter, "Order", uint64(order.ID))
 	c.SendOrder(order, func(outcome planner.Outcome) {
--- a/controller/coordinator/coordinator_bench_test.go
+++ b/controller/coordinator/coordinator_bench_test.go
@@ -16,22 +16,22 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// leading is a log that always leads.
-type leading struct{ until time.Time }
+// leaderStub is a replicated log that this instance always leads.
+type leaderStub struct{ until time.Time }
 
-func (l *leading) Standing() *raftdriver.Status {
+func (l *leaderStub) Standing() *raftdriver.Status {
 	return &raftdriver.Status{Term: 1, LeaseUntil: l.until}
 }
 
-func (l *leading) Start(*wire.Command, func(applier.Result, error)) {}
+func (l *leaderStub) Start(*wire.Command, func(applier.Result, error)) {}
 
-func (l *leading) Compact(uint64, []byte) {}
+func (l *leaderStub) Compact(uint64, []byte) {}
 
-func newLeading(sessions, backends int) (*Coordinator, time.Time) {
+func newLeadingCoordinator(sessions, backends int) (*Coordinator, time.Time) {
 	clock := clockwork.NewFakeClock()
 	c := &Coordinator{
 		Clock: clock, Log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-		Raft: &leading{until: clock.Now().Add(time.Hour)}, Lease: time.Minute, MaxRequestDuration: time.Minute,
+		Raft: &leaderStub{until: clock.Now().Add(time.Hour)}, Lease: time.Minute, MaxRequestDuration: time.Minute,
 		Policy:    planner.Policy{BackendLease: time.Minute, LoadsPerSecond: 5, LoadsAtOnce: 3},
 		SendOrder: func(planner.Order, func(planner.Outcome)) {},
 	}
@@ -43,13 +43,13 @@
 		data, _ := proto.Marshal(cmd)
 		c.apply(raftdriver.CommittedBatch{Entries: []raftdriver.CommittedEntry{{Entry: &wire.Entry{Index: uint64(i + 1), Data: data}}}})
 	}
-	c.follow()
+	c.followLeadership()
 	now := clock.Now()
 	var announced []*wire.Backend
 	for i := range backends {
 		announced = append(announced, engineNumber(i))
 	}
-	c.announce(now, announced)
+	c.handleAnnouncements(now, announced)
 	return c, now
 }
 
@@ -60,27 +60,27 @@
 	}
 }
 
-// BenchmarkRenew times the leader's work for one renewal and reports the bytes of the
-// messages: idle, and with what a gateway at 35 requests a second reports.
+// BenchmarkRenew measures the leader's work for one renewal and reports the sizes of the
+// messages: idle, and with the report of a gateway at 35 requests a second.
 func BenchmarkRenew(b *testing.B) {
 	for _, size := range []struct{ sessions, backends int }{{9, 18}, {150, 1500}, {1200, 1500}} {
 		for _, busy := range []bool{false, true} {
 			b.Run(fmt.Sprintf("sessions=%d/backends=%d/busy=%t", size.sessions, size.backends, busy), func(b *testing.B) {
-				c, now := newLeading(size.sessions, size.backends)
+				c, now := newLeadingCoordinator(size.sessions, size.backends)
 				sequence := make([]uint64, size.sessions)
-				var asked, answered, n int
+				var requestBytes, responseBytes, n int
 				for b.Loop() {
 					i := n % size.sessions
 					sequence[i]++
 					req := renewal(uint64(i+1), sequence[i], c.backends.version, busy)
 					req.Full = sequence[i] == 1
 					res := c.renew(now, req)
-					asked += proto.Size(req)
-					answered += proto.Size(res)
+					requestBytes += proto.Size(req)
+					responseBytes += proto.Size(res)
 					n++
 				}
-				b.ReportMetric(float64(asked)/float64(n), "B/request")
-				b.ReportMetric(float64(answered)/float64(n), "B/answer")
+				b.ReportMetric(float64(requestBytes)/float64(n), "B/request")
+				b.ReportMetric(float64(responseBytes)/float64(n), "B/answer")
 			})
 		}
 	}
@@ -91,8 +91,8 @@
 	if !busy {
 		return req
 	}
-	// Half a second of 35 requests a second: some adapters and customers changed, and
-	// the announcements of 5 backend servers came in.
+	// Half a second of 35 requests a second: some adapters and customers changed, and 5 backend
+	// servers were announced.
 	for a := range 12 {
 		req.Demands = append(req.Demands, &wire.AdapterDemand{
 			Adapter: fmt.Sprintf("summary-%d@3", (int(session)*7+a)%20000), BaseModel: "base", Started: 1, Running: 1,
--- a/controller/coordinator/isolation.go
+++ b/controller/coordinator/isolation.go
@@ -20,15 +20,15 @@
 func (c *Coordinator) propose(cmd *wire.Command) {
 	c.Raft.Start(cmd, func(_ applier.Result, err error) {
 		if err != nil {
-			c.Log.Warn("a verdict was not committed", "Change", fmt.Sprintf("%T", cmd.GetBody()), "Error", err.Error())
+			c.Log.Warn("a quarantine decision was not committed", "Change", fmt.Sprintf("%T", cmd.GetBody()), "Error", err.Error())
 		}
 	})
 }
 
-// gatewayAddresses returns where the gateways with a session are reached.
+// gatewayAddresses returns the addresses of the gateways with a session.
 func (c *Coordinator) gatewayAddresses() []string {
 	var addresses []string
-	for _, s := range c.leaser.All() {
+	for _, s := range c.sessions.All() {
 		addresses = append(addresses, s.Address)
 	}
 	return addresses
--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -12,7 +12,7 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Read runs f on the state while this instance leads; else it fails.
+// Read runs f on the state while this instance leads; otherwise it fails.
 func (c *Coordinator) Read(ctx context.Context, f func(now time.Time)) error {
 	led := false
 	err := c.Call(ctx, func(now time.Time) {
@@ -50,7 +50,7 @@
 	return readValue(ctx, c, c.state.Contracts)
 }
 
-// History returns the kept changes of a customer's contract.
+// History returns the retained changes of a customer's contract.
 func (c *Coordinator) History(ctx context.Context, customer string) ([]*wire.ChangeRecord, error) {
 	return readValue(ctx, c, func() []*wire.ChangeRecord { return c.state.History(customer) })
 }
@@ -66,16 +66,16 @@
 	})
 }
 
-// Quarantined returns the requests that are held back.
+// Quarantined returns the quarantined requests.
 func (c *Coordinator) Quarantined(ctx context.Context) ([]*wire.HeldRequest, error) {
 	return readValue(ctx, c, c.state.Quarantined)
 }
 
-// InForce tells whether every live session has applied a revision.
+// InForce reports whether every live session has applied a revision.
 func (c *Coordinator) InForce(ctx context.Context, revision uint64) (*wire.InForceResponse, error) {
 	res := &wire.InForceResponse{}
 	err := c.Read(ctx, func(now time.Time) {
-		for _, s := range c.leaser.Lagging(revision) {
+		for _, s := range c.sessions.Lagging(revision) {
 			res.Missing = append(res.Missing, sessionStatus(now, s))
 		}
 		res.InForce = len(res.Missing) == 0 && c.state.Revision() >= revision
@@ -88,17 +88,17 @@
 	return readValue(ctx, c, c.state.AdmittedMembers)
 }
 
-// Status returns what an operator sees of the whole system.
+// Status returns the operators' view of the whole system.
 func (c *Coordinator) Status(ctx context.Context) (*wire.StatusResponse, error) {
-	standing := c.Raft.Standing()
+	status := c.Raft.Standing()
 	res := &wire.StatusResponse{
-		Leader: standing.Leader, Term: standing.Term, Configuration: standing.Configuration,
+		Leader: status.Leader, Term: status.Term, Configuration: status.Configuration,
 	}
 	err := c.Read(ctx, func(now time.Time) {
 		res.Applied, res.Revision = c.state.Applied(), c.state.Revision()
 		res.Claims = uint64(c.state.ClaimCount())
 		res.Drained = c.state.Drained()
-		for _, s := range c.leaser.All() {
+		for _, s := range c.sessions.All() {
 			res.Sessions = append(res.Sessions, sessionStatus(now, s))
 		}
 		for _, b := range c.backends.known {
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		return nil, err
 	}
-	// The lease is asked again: the call may have waited longer than it ran.
+	// The lease is checked again: it may have expired while the call waited.
 	if res == nil || !c.Raft.Standing().Leads(c.Clock.Now()) {
 		return nil, raftdriver.ErrNotLeader
 	}
@@ -32,7 +32,7 @@
 func (c *Coordinator) renew(now time.Time, req *wire.RenewRequest) *wire.RenewResponse {
 	id := sessiontracker.SessionID(req.GetSession())
 	res := &wire.RenewResponse{Term: c.term, Revision: c.state.Revision()}
-	switch c.leaser.Renew(now, id, req.GetSequence(), req.GetRevision(), req.GetFull()) {
+	switch c.sessions.Renew(now, id, req.GetSequence(), req.GetRevision(), req.GetFull()) {
 	case sessiontracker.Ended:
 		res.Ended = true
 		return res
@@ -45,15 +45,15 @@
 		if req.GetFull() {
 			c.resetSession(now, id, req)
 		}
-		c.report(now, id, req, res)
+		c.applyReport(now, id, req, res)
 	}
 	c.arbiter.Hear(now, req.GetRunReports())
-	c.announce(now, req.GetAnnounced())
-	c.addNews(now, req, res)
+	c.handleAnnouncements(now, req.GetAnnounced())
+	c.addUpdates(now, req, res)
 	return res
 }
 
-// resetSession takes a full report for all that the session holds.
+// resetSession replaces what the session holds by a full report.
 func (c *Coordinator) resetSession(now time.Time, id sessiontracker.SessionID, req *wire.RenewRequest) {
 	c.planner.ResetSession(now, id, req.GetHeld())
 	c.limiter.Reset(id, demandsOf(req))
@@ -67,7 +67,7 @@
 	return demands
 }
 
-func (c *Coordinator) report(now time.Time, id sessiontracker.SessionID, req *wire.RenewRequest, res *wire.RenewResponse) {
+func (c *Coordinator) applyReport(now time.Time, id sessiontracker.SessionID, req *wire.RenewRequest, res *wire.RenewResponse) {
 	for _, lease := range req.GetReleased() {
 		c.planner.Release(id, planner.LeaseID(lease))
 	}
@@ -87,10 +87,10 @@
 	res.Recalls = c.planner.Recalls(id)
 }
 
-// addNews adds what changed since the gateway last heard of contracts and backend
-// servers.
-func (c *Coordinator) addNews(now time.Time, req *wire.RenewRequest, res *wire.RenewResponse) {
+// addUpdates adds what changed since the gateway's last update: contracts, suspected requests
+// and backend servers.
+func (c *Coordinator) addUpdates(now time.Time, req *wire.RenewRequest, res *wire.RenewResponse) {
 	res.Contracts = c.state.ChangedSince(req.GetRevision())
 	res.Suspects, res.SuspectsRevision = c.arbiter.Tell(c.term, req.GetSuspectsRevision())
-	c.backends.addTo(res, req.GetBackendsVersion(), now.Before(c.warm))
+	c.backends.addTo(res, req.GetBackendsVersion(), now.Before(c.warmUpUntil))
 }
