--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -32,7 +32,7 @@
 // RaftDriver is the part of the replicated log that the coordinator uses.
 type RaftDriver interface {
 	Standing() *raftdriver.Status
-	Start(cmd *wire.Command, done func(applier.Result, error))
+	ProposeAsync(cmd *wire.Command, done func(applier.Result, error))
 	// Compact may take long, and may be called from any goroutine.
 	Compact(index uint64, state []byte)
 }
@@ -291,7 +291,7 @@
 	cmd := &wire.Command{Body: &wire.Command_CloseSession{
 		CloseSession: &wire.CloseSession{Session: uint64(id)},
 	}}
-	c.Raft.Start(cmd, func(applier.Result, error) {})
+	c.Raft.ProposeAsync(cmd, func(applier.Result, error) {})
 }
 
 func (c *Coordinator) sendOrder(order planner.Order) {
--- a/controller/coordinator/coordinator_bench_test.go
+++ b/controller/coordinator/coordinator_bench_test.go
@@ -23,7 +23,7 @@
 	return &raftdriver.Status{Term: 1, LeaseUntil: l.until}
 }
 
-func (l *leaderStub) Start(*wire.Command, func(applier.Result, error)) {}
+func (l *leaderStub) ProposeAsync(*wire.Command, func(applier.Result, error)) {}
 
 func (l *leaderStub) Compact(uint64, []byte) {}
 
--- a/controller/coordinator/isolation.go
+++ b/controller/coordinator/isolation.go
@@ -18,7 +18,7 @@
 
 // propose commits a change in the background.
 func (c *Coordinator) propose(cmd *wire.Command) {
-	c.Raft.Start(cmd, func(_ applier.Result, err error) {
+	c.Raft.ProposeAsync(cmd, func(_ applier.Result, err error) {
 		if err != nil {
 			c.Log.Warn("a quarantine decision was not committed", "Change", fmt.Sprintf("%T", cmd.GetBody()), "Error", err.Error())
 		}
--- a/controller/raftdriver/proposals.go
+++ b/controller/raftdriver/proposals.go
@@ -17,8 +17,8 @@
 	done func(applier.Result, error)
 }
 
-// Start proposes a command and calls done, once, with its result.
-func (d *Driver) Start(cmd *wire.Command, done func(applier.Result, error)) {
+// ProposeAsync proposes a command and calls done, once, with its result.
+func (d *Driver) ProposeAsync(cmd *wire.Command, done func(applier.Result, error)) {
 	cmd.AtNs = d.Clock.Now().UnixNano()
 	data, err := proto.Marshal(cmd)
 	if err != nil {
@@ -39,7 +39,7 @@
 		err    error
 	}
 	answers := make(chan answer, 1)
-	d.Start(cmd, func(result applier.Result, err error) { answers <- answer{result, err} })
+	d.ProposeAsync(cmd, func(result applier.Result, err error) { answers <- answer{result, err} })
 	select {
 	case a := <-answers:
 		return a.result, a.err
