--- a/scripts/fuzz.sh
+++ b/scripts/fuzz.sh
@@ -5,7 +5,7 @@
 set -euo pipefail
 cd "$(dirname "$0")/.."
 inputs=${1:-20000}
-for folder in platform pkg/spreader; do
+for folder in platform pkg/disseminator; do
   for target in $(cd $folder && go test -list '^Fuzz' . | grep '^Fuzz'); do
     (cd $folder && go test -run '^$' -fuzz "^$target\$" -fuzztime "${inputs}x" -parallel 3 .)
   done
