--- a/proof/caller_test.go
+++ b/proof/caller_test.go
@@ -11,7 +11,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// reply is a caller's answer.
+// reply is the answer that a caller received.
 type reply struct {
 	status int
 	body   string
@@ -19,7 +19,7 @@
 	header http.Header
 }
 
-// ran returns what a refusal says of running, or "".
+// ran returns a refusal's statement on whether the request ran, or "".
 func (r reply) ran() string {
 	p := struct {
 		Error struct{ Ran, Kind string }
@@ -28,9 +28,9 @@
 	return p.Error.Ran
 }
 
-// call sends a request to a gateway.
+// call sends a request to a gateway and returns the answer.
 func (y *system) call(gateway int, method, path, key, body string) reply {
-	req, err := http.NewRequest(method, "http://"+y.gatewayAt[gateway]+path, bytes.NewReader([]byte(body)))
+	req, err := http.NewRequest(method, "http://"+y.gatewayAddrs[gateway]+path, bytes.NewReader([]byte(body)))
 	y.c.Assert(err, qt.IsNil)
 	req.Header.Set("Authorization", "Bearer "+customerKey)
 	if key != "" {
@@ -47,15 +47,15 @@
 
 const tokens = 20
 
-// complete asks for a completion.
+// complete requests a completion.
 func (y *system) complete(gateway int, model string, stream bool) reply {
 	body := fmt.Sprintf(`{"model":%q,"prompt":"two loaves","max_tokens":%d,"stream":%t}`, model, tokens, stream)
 	return y.call(gateway, http.MethodPost, "/v1/completions", "", body)
 }
 
-// whole reports whether an answer has exactly the tokens that the model's engine
-// makes, in order, and nothing of another's.
-func whole(r reply, model string, stream bool) bool {
+// isComplete reports whether an answer consists of exactly the tokens that the model's engine
+// generates, in order.
+func isComplete(r reply, model string, stream bool) bool {
 	want := ""
 	for i := range tokens {
 		want += fmt.Sprintf("%s#%d ", model, i)
--- a/proof/crash_test.go
+++ b/proof/crash_test.go
@@ -11,60 +11,60 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A completion ended every engine that began to run it. It may run again, as its contract
-// says, so that a gateway sent it to engine after engine, up to six for one call of its
-// customer, and the customer called again at another gateway. 60 more engines ended
-// in 10 calls that were sent over 3 s after the third end, 84 in all.
-func TestACompletionThatEndsEnginesIsHeldBack(t *testing.T) {
+// A completion crashed every engine that began to run it. Its contract lets it run again, so a
+// gateway sent it to up to six engines per call, and the customer called again at another
+// gateway: 60 more engines crashed in 10 calls sent more than 3 s after the third crash, 84 in
+// all.
+func TestCompletionThatCrashesEnginesIsQuarantined(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	y := startSystem(c, shape{controllers: 3, gateways: 2, engines: 4, slots: 8, endOn: fatalBody})
-	ends := y.keepEngines()
+	y := startSystem(c, systemConfig{controllers: 3, gateways: 2, engines: 4, slots: 8, crashOn: fatalBody})
+	crashes := y.restartEngines()
 	calls := 0
 	send := func() reply {
 		calls++
 		body := fmt.Sprintf(`{"model":"proof-1@1","prompt":%q,"max_tokens":20}`, fatalBody)
 		return y.call(calls%2, http.MethodPost, "/v1/completions", "", body)
 	}
-	for ends.Load() < knownFatal {
+	for crashes.Load() < quarantineThreshold {
 		send()
 	}
-	for thirdAt := time.Now(); time.Since(thirdAt) < contact; {
+	for thresholdAt := time.Now(); time.Since(thresholdAt) < maxPropagation; {
 		send()
 	}
-	before := ends.Load()
-	last := reply{}
+	before := crashes.Load()
+	lastReply := reply{}
 	for range 10 {
-		last = send()
+		lastReply = send()
 	}
-	more := ends.Load() - before
-	c.Check(more <= mostRetries, qt.IsTrue, qt.Commentf("%d more engines ended, %d in all", more, ends.Load()))
-	c.Check(last.status, qt.Equals, http.StatusServiceUnavailable)
-	c.Check(last.body, qt.Contains, "HeldBack")
-	eventually(c, "others are served", func() bool { return y.complete(0, "proof-2@1", false).status == http.StatusOK })
+	extra := crashes.Load() - before
+	c.Check(extra <= maxRetries, qt.IsTrue, qt.Commentf("%d more engines crashed, %d in all", extra, crashes.Load()))
+	c.Check(lastReply.status, qt.Equals, http.StatusServiceUnavailable)
+	c.Check(lastReply.body, qt.Contains, "HeldBack")
+	eventually(c, "other requests are served", func() bool { return y.complete(0, "proof-2@1", false).status == http.StatusOK })
 }
 
-// keepEngines starts engines again that end, and counts the ends.
-func (y *system) keepEngines() *atomic.Int32 {
-	ends := &atomic.Int32{}
+// restartEngines restarts engines that crash, and counts the crashes.
+func (y *system) restartEngines() *atomic.Int32 {
+	crashes := &atomic.Int32{}
 	stop := make(chan struct{})
-	var wait sync.WaitGroup
+	var restarters sync.WaitGroup
 	for _, p := range y.engines {
-		wait.Go(func() {
+		restarters.Go(func() {
 			for {
 				select {
 				case <-stop:
 					return
 				case <-p.done:
 				}
-				ends.Add(1)
+				crashes.Add(1)
 				p.start()
 			}
 		})
 	}
 	y.c.Cleanup(func() {
 		close(stop)
-		wait.Wait()
+		restarters.Wait()
 	})
-	return ends
+	return crashes
 }
--- a/proof/limits_test.go
+++ b/proof/limits_test.go
@@ -10,9 +10,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// mostAtOnce returns how many requests ran at all engines together at the busiest
-// moment, by the engines' logs.
-func mostAtOnce(y *system) int {
+// maxConcurrent returns the highest number of requests that ran at all engines together, by the
+// engines' logs.
+func maxConcurrent(y *system) int {
 	type edge struct {
 		at    time.Time
 		delta int
@@ -31,37 +31,38 @@
 			}
 		}
 	}
-	// Of two at one moment the end counts first: a step ends one and begins another.
+	// At equal times an end sorts first, since one engine step ends a request and begins
+	// another.
 	slices.SortFunc(edges, func(a, b edge) int { return cmp.Or(a.at.Compare(b.at), cmp.Compare(a.delta, b.delta)) })
-	running, most := 0, 0
+	running, peak := 0, 0
 	for _, e := range edges {
 		running += e.delta
-		most = max(most, running)
+		peak = max(peak, running)
 	}
-	return most
+	return peak
 }
 
 func TestLimitHoldsAcrossGateways(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	y := startSystem(c, shape{controllers: 3, gateways: 3, engines: 2, slots: 4})
-	k := y.contract()
+	y := startSystem(c, systemConfig{controllers: 3, gateways: 3, engines: 2, slots: 4})
+	contract := y.contract()
 	const limit = 4
-	k.RequestsAtOnce = limit
-	y.apply(k)
+	contract.RequestsAtOnce = limit
+	y.apply(contract)
 	l := startLoad(y, 12, 3, 0, 1, 2)
-	l.reach(c, 60)
+	l.waitComplete(c, 60)
 	y.gateways[0].kill()
-	l.reach(c, 40)
+	l.waitComplete(c, 40)
 	y.gateways[0].start()
 	y.controllers[y.leader()].kill()
-	l.reach(c, 40)
+	l.waitComplete(c, 40)
 	y.gateways[1].stop()
 	y.gateways[1].start()
-	l.reach(c, 40)
-	l.end()
-	c.Assert(l.wrong, qt.HasLen, 0)
-	most := mostAtOnce(y)
-	c.Assert(most <= limit, qt.IsTrue, qt.Commentf("%d ran at once of %d", most, limit))
-	c.Assert(most >= limit-1, qt.IsTrue, qt.Commentf(fmt.Sprintf("only %d ran at once; the test shows little", most)))
+	l.waitComplete(c, 40)
+	l.finish()
+	c.Assert(l.violations, qt.HasLen, 0)
+	peak := maxConcurrent(y)
+	c.Assert(peak <= limit, qt.IsTrue, qt.Commentf("%d ran concurrently, limit %d", peak, limit))
+	c.Assert(peak >= limit-1, qt.IsTrue, qt.Commentf(fmt.Sprintf("only %d ran concurrently; the limit was not exercised", peak)))
 }
--- a/proof/link_test.go
+++ b/proof/link_test.go
@@ -9,60 +9,61 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// link is a cable between two processes that a test can pull or let go silent.
-type link struct {
+// tcpProxy forwards TCP connections; a test can partition it or stop forwarding without
+// closing.
+type tcpProxy struct {
 	address string
 	target  string
 
-	listener net.Listener
-	cut      atomic.Bool
-	mu       sync.Mutex
-	conns    []*linkConn
+	listener    net.Listener
+	partitioned atomic.Bool
+	mu          sync.Mutex
+	conns       []*proxyConn
 }
 
-type linkConn struct {
-	near, far net.Conn
-	silent    atomic.Bool
+type proxyConn struct {
+	downstream, upstream net.Conn
+	silent               atomic.Bool
 }
 
-// newLink makes a link to an address.
-func newLink(c *qt.C, target string) *link {
+// newTCPProxy starts a proxy for an address.
+func newTCPProxy(c *qt.C, target string) *tcpProxy {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	l := &link{address: listener.Addr().String(), target: target, listener: listener}
-	go l.run()
+	l := &tcpProxy{address: listener.Addr().String(), target: target, listener: listener}
+	go l.serve()
 	c.Cleanup(func() {
 		_ = listener.Close()
-		l.drop()
+		l.closeConns()
 	})
 	return l
 }
 
-func (l *link) run() {
+func (l *tcpProxy) serve() {
 	for {
-		near, err := l.listener.Accept()
+		downstream, err := l.listener.Accept()
 		if err != nil {
 			return
 		}
-		if l.cut.Load() {
-			_ = near.Close()
+		if l.partitioned.Load() {
+			_ = downstream.Close()
 			continue
 		}
-		far, err := net.Dial("tcp", l.target)
+		upstream, err := net.Dial("tcp", l.target)
 		if err != nil {
-			_ = near.Close()
+			_ = downstream.Close()
 			continue
 		}
-		conn := &linkConn{near: near, far: far}
+		conn := &proxyConn{downstream: downstream, upstream: upstream}
 		l.mu.Lock()
 		l.conns = append(l.conns, conn)
 		l.mu.Unlock()
-		go conn.pump(near, far)
-		go conn.pump(far, near)
+		go conn.forward(downstream, upstream)
+		go conn.forward(upstream, downstream)
 	}
 }
 
-func (c *linkConn) pump(from, to net.Conn) {
+func (c *proxyConn) forward(from, to net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := from.Read(buf)
@@ -76,23 +77,23 @@
 		}
 	}
 	if c.silent.Load() {
-		// Nobody is told: the other end waits for good.
+		// Leave both ends open, so that the peer waits forever.
 		return
 	}
 	_ = from.Close()
 	_ = to.Close()
 }
 
-// pull cuts all connections and takes no new ones until plug.
-func (l *link) pull() {
-	l.cut.Store(true)
-	l.drop()
+// partition closes all connections and refuses new ones until heal.
+func (l *tcpProxy) partition() {
+	l.partitioned.Store(true)
+	l.closeConns()
 }
 
-func (l *link) plug() { l.cut.Store(false) }
+func (l *tcpProxy) heal() { l.partitioned.Store(false) }
 
-// silence lets all open connections go silent for good, while new ones work.
-func (l *link) silence() {
+// blackhole stops all forwarding on the open connections for good; new connections work.
+func (l *tcpProxy) blackhole() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, conn := range l.conns {
@@ -100,13 +101,13 @@
 	}
 }
 
-func (l *link) drop() {
+func (l *tcpProxy) closeConns() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, conn := range l.conns {
 		conn.silent.Store(false)
-		_ = conn.near.Close()
-		_ = conn.far.Close()
+		_ = conn.downstream.Close()
+		_ = conn.upstream.Close()
 	}
 	l.conns = nil
 }
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -14,44 +14,44 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// orders places orders as a careful shop client does: it repeats an order under its
-// key until it knows what became of it.
-type orders struct {
-	y    *system
-	stop chan struct{}
-	all  sync.WaitGroup
-	mu   sync.Mutex
-	// acknowledged, refused and doubtful hold orders by their final answer.
-	acknowledged, refused, doubtful map[string]bool
-	wrong                           []string
+// orderClients send orders to the service. Like a careful shop client, each repeats an order
+// under its key until the outcome is known.
+type orderClients struct {
+	y       *system
+	stop    chan struct{}
+	workers sync.WaitGroup
+	mu      sync.Mutex
+	// acknowledged, refused and undetermined are the orders by their final outcome.
+	acknowledged, refused, undetermined map[string]bool
+	violations                          []string
 }
 
-func startOrders(y *system, callers int) *orders {
-	o := &orders{
+func startOrderClients(y *system, callers int) *orderClients {
+	o := &orderClients{
 		y: y, stop: make(chan struct{}),
-		acknowledged: map[string]bool{}, refused: map[string]bool{}, doubtful: map[string]bool{},
+		acknowledged: map[string]bool{}, refused: map[string]bool{}, undetermined: map[string]bool{},
 	}
 	for caller := range callers {
-		o.all.Add(1)
+		o.workers.Add(1)
 		go o.run(caller)
 	}
 	return o
 }
 
-func (o *orders) run(caller int) {
-	defer o.all.Done()
+func (o *orderClients) run(caller int) {
+	defer o.workers.Done()
 	for n := 0; ; n++ {
 		select {
 		case <-o.stop:
 			return
 		default:
-			o.place(fmt.Sprintf(`{"order":"%d-%d"}`, caller, n))
+			o.submit(fmt.Sprintf(`{"order":"%d-%d"}`, caller, n))
 		}
 	}
 }
 
-// place sends one order, again and again, to any gateway, until it is settled.
-func (o *orders) place(order string) {
+// submit repeats an order at random gateways until its outcome is known, at most 60 times.
+func (o *orderClients) submit(order string) {
 	first := ""
 	for attempt := range 60 {
 		r := o.y.call(rand.IntN(len(o.y.gateways)), http.MethodPost, "/services/orders/new", order, order)
@@ -59,25 +59,25 @@
 		case r.err == nil && r.status == http.StatusOK:
 			if first == "" {
 				first = r.body
-				o.settle(o.acknowledged, order)
+				o.record(o.acknowledged, order)
 				continue
 			}
 			if r.body != first {
-				o.note(fmt.Sprintf("order %s got two answers: %s and %s", order, first, r.body))
+				o.addViolation(fmt.Sprintf("order %s got two different answers: %s and %s", order, first, r.body))
 			}
 			return
 		case first != "" && r.err == nil && r.status != http.StatusConflict && r.ran() == "no":
-			o.note(fmt.Sprintf("order %s ran, and then was refused as not run: %s", order, r.body))
+			o.addViolation(fmt.Sprintf("order %s ran, and then was refused as not run: %s", order, r.body))
 		case r.err == nil && kindOf(r) == "MayHaveRun":
-			o.settle(o.doubtful, order)
+			o.record(o.undetermined, order)
 			return
 		case r.err == nil && r.ran() == "no" && attempt > 40:
-			o.settle(o.refused, order)
+			o.record(o.refused, order)
 			return
 		}
 		<-time.After(time.Duration(rand.IntN(200)) * time.Millisecond)
 	}
-	o.settle(o.doubtful, order)
+	o.record(o.undetermined, order)
 }
 
 func kindOf(r reply) string {
@@ -86,35 +86,35 @@
 	return p.Error.Kind
 }
 
-func (o *orders) settle(group map[string]bool, order string) {
+func (o *orderClients) record(group map[string]bool, order string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	group[order] = true
 }
 
-func (o *orders) note(text string) {
+func (o *orderClients) addViolation(text string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.wrong = append(o.wrong, text)
+	o.violations = append(o.violations, text)
 }
 
-func (o *orders) acknowledgedCount() int {
+func (o *orderClients) acknowledgedCount() int {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.acknowledged)
 }
 
-// reach waits until more orders are acknowledged.
-func (o *orders) reach(c *qt.C) {
+// waitAcknowledged waits until 50 more orders are acknowledged.
+func (o *orderClients) waitAcknowledged(c *qt.C) {
 	const more = 50
-	want := o.acknowledgedCount() + more
-	eventually(c, fmt.Sprintf("%d more orders are acknowledged", more), func() bool { return o.acknowledgedCount() >= want })
+	target := o.acknowledgedCount() + more
+	eventually(c, fmt.Sprintf("%d more orders are acknowledged", more), func() bool { return o.acknowledgedCount() >= target })
 }
 
-// check compares the callers' history with what the service ran.
-func (o *orders) check(c *qt.C) {
+// check compares the clients' history with the service's runs.
+func (o *orderClients) check(c *qt.C) {
 	close(o.stop)
-	o.all.Wait()
+	o.workers.Wait()
 	runs := o.y.serviceRuns()
 	for order, n := range runs {
 		c.Check(n, qt.Equals, 1, qt.Commentf("order %s ran %d times", order, n))
@@ -123,47 +123,48 @@
 	for order := range o.acknowledged {
 		c.Check(runs[order], qt.Equals, 1, qt.Commentf("order %s was acknowledged, but did not run", order))
 	}
-	c.Check(o.wrong, qt.HasLen, 0)
-	c.Logf("%d acknowledged, %d in doubt, %d refused, %d ran", len(o.acknowledged), len(o.doubtful), len(o.refused), len(runs))
+	c.Check(o.violations, qt.HasLen, 0)
+	c.Logf("%d acknowledged, %d undetermined, %d refused, %d ran", len(o.acknowledged), len(o.undetermined), len(o.refused), len(runs))
 }
 
 func TestOrdersRunAtMostOnce(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	y := startSystem(c, shape{controllers: 3, gateways: 3, engines: 1, slots: 2})
-	o := startOrders(y, 12)
-	o.reach(c)
-	// Late and lost acknowledgements, which make clients retry.
-	y.fault(y.serviceAt, `{"DelayMs":300,"DropAnswers":10}`)
-	o.reach(c)
-	y.fault(y.serviceAt, `{}`)
-	// A gateway is killed in the middle of its work, and comes back.
+	y := startSystem(c, systemConfig{controllers: 3, gateways: 3, engines: 1, slots: 2})
+	o := startOrderClients(y, 12)
+	o.waitAcknowledged(c)
+	// Delayed and lost acknowledgements, which make clients retry.
+	y.injectFault(y.serviceAddr, `{"DelayMs":300,"DropAnswers":10}`)
+	o.waitAcknowledged(c)
+	y.injectFault(y.serviceAddr, `{}`)
+	// A gateway is killed while it handles orders, and restarted.
 	y.gateways[0].kill()
-	o.reach(c)
+	o.waitAcknowledged(c)
 	y.gateways[0].start()
 	// The leader is killed while claims are written.
 	leader := y.leader()
 	y.controllers[leader].kill()
-	o.reach(c)
+	o.waitAcknowledged(c)
 	y.controllers[leader].start()
-	// A gateway freezes for longer than its session lives, and wakes up.
+	// A gateway is frozen until its session expires, and resumed.
 	y.gateways[1].freeze()
-	eventually(c, "the frozen gateway's session ends", func() bool { return !y.hasSession("entry-1") })
+	eventually(c, "the frozen gateway's session expires", func() bool { return !y.hasSession("entry-1") })
 	y.gateways[1].thaw()
-	o.reach(c)
-	// A gateway loses all controllers; it refuses, and comes back by itself.
-	for _, cable := range y.cables[2] {
-		cable.pull()
+	o.waitAcknowledged(c)
+	// A gateway is partitioned from all controllers; it refuses, and recovers by itself.
+	for _, proxy := range y.controllerProxies[2] {
+		proxy.partition()
 	}
-	o.reach(c)
-	for _, cable := range y.cables[2] {
-		cable.plug()
+	o.waitAcknowledged(c)
+	for _, proxy := range y.controllerProxies[2] {
+		proxy.heal()
 	}
-	o.reach(c)
+	o.waitAcknowledged(c)
 	o.check(c)
 }
 
-// hasSession tells whether the leader knows a live session of a gateway.
+// hasSession reports whether the leader knows a live session of a gateway; true as well if its
+// status can't be read.
 func (y *system) hasSession(instance string) bool {
 	res, err := y.operator().Status(y.ctx(), &wire.StatusRequest{})
 	if err != nil {
@@ -175,7 +176,7 @@
 func TestSameKeyOtherRequest(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	y := startSystem(c, shape{controllers: 1, gateways: 2, engines: 1, slots: 2})
+	y := startSystem(c, systemConfig{controllers: 1, gateways: 2, engines: 1, slots: 2})
 	first := y.call(0, http.MethodPost, "/services/orders/new", "k1", `{"n":1}`)
 	c.Assert(first.status, qt.Equals, http.StatusOK)
 	var again reply
--- a/proof/process_test.go
+++ b/proof/process_test.go
@@ -14,10 +14,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// programs is the folder of the built programs.
-var programs string
+// binDir is the folder that holds the built programs.
+var binDir string
 
-// TestMain builds the programs with the race detector, once.
+// TestMain builds the programs once, with the race detector.
 func TestMain(m *testing.M) { os.Exit(buildAndRun(m)) }
 
 func buildAndRun(m *testing.M) int {
@@ -35,11 +35,11 @@
 			return 1
 		}
 	}
-	programs = folder
+	binDir = folder
 	return m.Run()
 }
 
-// process is one program that a test started and may kill, freeze or stop.
+// process is a program that a test has started and may kill, freeze or stop.
 type process struct {
 	c    *qt.C
 	name string
@@ -52,7 +52,7 @@
 func (p *process) start() {
 	out, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	p.c.Assert(err, qt.IsNil)
-	p.cmd = exec.Command(filepath.Join(programs, p.args[0]), p.args[1:]...)
+	p.cmd = exec.Command(filepath.Join(binDir, p.args[0]), p.args[1:]...)
 	p.cmd.Stderr, p.cmd.Stdout = out, out
 	p.c.Assert(p.cmd.Start(), qt.IsNil)
 	p.done = make(chan struct{})
@@ -65,33 +65,33 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// kill ends the process as a lost instance ends.
+// kill ends the process with SIGKILL, as when its instance is lost.
 func (p *process) kill() {
 	p.signal(syscall.SIGKILL)
 	<-p.done
 }
 
-// freeze stops the process without its noticing; thaw lets it go on.
+// freeze suspends the process without notice to it; thaw resumes it.
 func (p *process) freeze() { p.signal(syscall.SIGSTOP) }
 func (p *process) thaw()   { p.signal(syscall.SIGCONT) }
 
-// stopBound is above the longest deadline of any request, which a stop waits for.
-const stopBound = 40 * time.Second
+// stopTimeout is longer than any request's deadline, since a stop waits for running requests.
+const stopTimeout = 40 * time.Second
 
-// stop asks for a graceful stop and waits for it.
+// stop requests a graceful stop and waits for the process to exit.
 func (p *process) stop() {
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
-	case <-time.After(stopBound):
+	case <-time.After(stopTimeout):
 		p.kill()
-		p.c.Fatalf("%s did not stop within %s", p.name, stopBound)
+		p.c.Fatalf("%s did not stop within %s", p.name, stopTimeout)
 	}
 }
 
-// end makes sure that nothing is left when a test is over, and that the race
-// detector found nothing.
-func (p *process) end() {
+// cleanUp kills the process at the end of a test and fails the test if the race detector
+// reported anything.
+func (p *process) cleanUp() {
 	if p.cmd == nil {
 		return
 	}
@@ -101,20 +101,20 @@
 	if err != nil {
 		return
 	}
-	for _, report := range races(text) {
-		p.c.Errorf("%s: the race detector found:\n%s", p.name, report)
+	for _, report := range raceReports(text) {
+		p.c.Errorf("%s: the race detector reported:\n%s", p.name, report)
 	}
 }
 
-// places counts the addresses that were given out.
-var places atomic.Uint32
+// allocatedAddresses counts the addresses that freeAddress has returned.
+var allocatedAddresses atomic.Uint32
 
-// freePort returns an address whose port the kernel chose. Each is of an IP number of
-// its own in the loopback range, since on 127.0.0.1 an outgoing connection may be
-// given the port before the process that it is meant for listens.
-func freePort(c *qt.C) string {
+// freeAddress returns an address with a port chosen by the kernel. Each has its own IP address
+// in the loopback range: on 127.0.0.1 an outgoing connection may be assigned the port before
+// the intended process listens on it.
+func freeAddress(c *qt.C) string {
 	const perByte = 250
-	n := int(places.Add(1))
+	n := int(allocatedAddresses.Add(1))
 	ip := fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()%128, n/perByte, 1+n%perByte)
 	l, err := net.Listen("tcp", ip+":0")
 	c.Assert(err, qt.IsNil)
@@ -122,14 +122,14 @@
 	return l.Addr().String()
 }
 
-// eventually waits until a condition holds. The bound is generous: it only ends a
-// test that would never pass.
+// eventually waits until a condition holds. Its long timeout only ends a test that would never
+// pass.
 func eventually(c *qt.C, what string, condition func() bool) {
 	c.Helper()
 	deadline := time.Now().Add(60 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			c.Fatalf("did not come about: %s", what)
+			c.Fatalf("timed out waiting until %s", what)
 		}
 		<-time.After(20 * time.Millisecond)
 	}
--- a/proof/promises_test.go
+++ b/proof/promises_test.go
@@ -11,19 +11,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// load sends completions from several callers until stop is called, and returns
-// what was wrong with any of them.
+// load sends completions from several callers until finish is called, and records wrong
+// answers.
 type load struct {
-	y       *system
-	stop    chan struct{}
-	callers sync.WaitGroup
-	whole   atomic.Int64
-	refused atomic.Int64
-	mu      sync.Mutex
-	wrong   []string
+	y          *system
+	stop       chan struct{}
+	callers    sync.WaitGroup
+	complete   atomic.Int64
+	refused    atomic.Int64
+	mu         sync.Mutex
+	violations []string
 }
 
-// startLoad starts callers that each ask for one adapter after another.
+// startLoad starts callers that request one adapter after another.
 func startLoad(y *system, callers, adapters int, gateways ...int) *load {
 	l := &load{y: y, stop: make(chan struct{})}
 	for caller := range callers {
@@ -44,45 +44,45 @@
 		gateway := gateways[(caller+n)%len(gateways)]
 		model := fmt.Sprintf("proof-%d@%d", (caller*7+n)%adapters, 1+n%2)
 		stream := n%3 == 0
-		l.judge(l.y.complete(gateway, model, stream), model, stream)
+		l.checkAnswer(l.y.complete(gateway, model, stream), model, stream)
 	}
 }
 
-func (l *load) judge(r reply, model string, stream bool) {
+func (l *load) checkAnswer(r reply, model string, stream bool) {
 	switch {
-	case r.status == http.StatusOK && whole(r, model, stream):
-		l.whole.Add(1)
+	case r.status == http.StatusOK && isComplete(r, model, stream):
+		l.complete.Add(1)
 	case r.status == http.StatusOK && r.err != nil:
-		// A stream that was cut shows as cut; that is no false answer.
+		// A truncated stream is visible to its caller, so it is not a wrong answer.
 		l.refused.Add(1)
 	case r.status == http.StatusOK:
-		l.note("a false answer for " + model + ": " + r.body)
+		l.addViolation("wrong answer for " + model + ": " + r.body)
 	default:
 		l.refused.Add(1)
 	}
 }
 
-func (l *load) note(text string) {
+func (l *load) addViolation(text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.wrong = append(l.wrong, text)
+	l.violations = append(l.violations, text)
 }
 
-func (l *load) end() {
+func (l *load) finish() {
 	close(l.stop)
 	l.callers.Wait()
 }
 
-// reach waits until so many more answers have come.
-func (l *load) reach(c *qt.C, more int64) {
-	want := l.whole.Load() + more
-	eventually(c, fmt.Sprintf("%d more whole answers", more), func() bool { return l.whole.Load() >= want })
+// waitComplete waits for a number of further complete answers.
+func (l *load) waitComplete(c *qt.C, more int64) {
+	target := l.complete.Load() + more
+	eventually(c, fmt.Sprintf("%d more answers are complete", more), func() bool { return l.complete.Load() >= target })
 }
 
-func TestAnswersAreRightAndWhole(t *testing.T) {
+func TestAnswersAreCorrectAndComplete(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	y := startSystem(c, shape{controllers: 3, gateways: 2, engines: 3, slots: 3})
+	y := startSystem(c, systemConfig{controllers: 3, gateways: 2, engines: 3, slots: 3})
 	l := startLoad(y, 12, 12, 0, 1)
 	faults := map[string]string{
 		"crossed":   `{"Cross":4}`,
@@ -93,19 +93,19 @@
 		"unloaded":  `{"FailLoads":2}`,
 	}
 	for name, fault := range faults {
-		y.fault(y.engineAt[0], fault)
-		y.fault(y.engineAt[1], fault)
-		l.reach(c, 60)
-		c.Logf("%s: %d whole answers so far, %d refused", name, l.whole.Load(), l.refused.Load())
+		y.injectFault(y.engineAddrs[0], fault)
+		y.injectFault(y.engineAddrs[1], fault)
+		l.waitComplete(c, 60)
+		c.Logf("%s: %d complete answers so far, %d refused", name, l.complete.Load(), l.refused.Load())
 	}
-	y.toEngine[2].silence()
-	l.reach(c, 60)
-	y.toEngine[2].pull()
-	l.reach(c, 60)
-	y.toEngine[2].plug()
-	l.reach(c, 60)
-	l.end()
-	c.Assert(l.wrong, qt.HasLen, 0)
+	y.engineProxies[2].blackhole()
+	l.waitComplete(c, 60)
+	y.engineProxies[2].partition()
+	l.waitComplete(c, 60)
+	y.engineProxies[2].heal()
+	l.waitComplete(c, 60)
+	l.finish()
+	c.Assert(l.violations, qt.HasLen, 0)
 	assertNeverEvictedInUse(c, y)
 }
 
@@ -117,21 +117,21 @@
 	}
 }
 
-func TestEvictionSparesWhatServes(t *testing.T) {
+func TestEvictionSparesAdaptersInUse(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	// Far more adapters than slots, and the leader and a gateway are lost on the way.
-	y := startSystem(c, shape{controllers: 3, gateways: 3, engines: 2, slots: 2, ignoreFencing: true})
+	// There are far more adapters than slots; the leader and a gateway are killed under load.
+	y := startSystem(c, systemConfig{controllers: 3, gateways: 3, engines: 2, slots: 2, ignoreFencing: true})
 	l := startLoad(y, 12, 20, 0, 1)
-	l.reach(c, 60)
+	l.waitComplete(c, 60)
 	leader := y.leader()
 	y.controllers[leader].kill()
-	l.reach(c, 60)
+	l.waitComplete(c, 60)
 	y.controllers[leader].start()
 	y.gateways[2].kill()
-	l.reach(c, 60)
-	l.end()
-	c.Assert(l.wrong, qt.HasLen, 0)
+	l.waitComplete(c, 60)
+	l.finish()
+	c.Assert(l.violations, qt.HasLen, 0)
 	assertNeverEvictedInUse(c, y)
 	evicted := 0
 	for i := range y.engines {
@@ -141,37 +141,37 @@
 			}
 		}
 	}
-	c.Assert(evicted > 10, qt.IsTrue, qt.Commentf("only %d evictions; the test shows little", evicted))
+	c.Assert(evicted > 10, qt.IsTrue, qt.Commentf("only %d evictions; eviction was not exercised", evicted))
 }
 
 func TestLosingTheLeaderRefusesNothing(t *testing.T) {
 	c := qt.New(t)
-	y := startSystem(c, shape{controllers: 3, gateways: 2, engines: 2, slots: 4})
-	// All adapters in use are loaded before the leader is lost.
+	y := startSystem(c, systemConfig{controllers: 3, gateways: 2, engines: 2, slots: 4})
+	// All adapters in use are loaded before the leader is killed.
 	l := startLoad(y, 6, 2, 0, 1)
-	l.reach(c, 60)
+	l.waitComplete(c, 60)
 	before := l.refused.Load()
 	y.controllers[y.leader()].kill()
-	l.reach(c, 200)
+	l.waitComplete(c, 200)
 	c.Assert(l.refused.Load()-before, qt.Equals, int64(0))
-	l.end()
-	c.Assert(l.wrong, qt.HasLen, 0)
+	l.finish()
+	c.Assert(l.violations, qt.HasLen, 0)
 }
 
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopCompletesRequests(t *testing.T) {
 	c := qt.New(t)
-	y := startSystem(c, shape{controllers: 3, gateways: 2, engines: 3, slots: 4})
+	y := startSystem(c, systemConfig{controllers: 3, gateways: 2, engines: 3, slots: 4})
 	l := startLoad(y, 8, 4, 0)
-	l.reach(c, 40)
-	// A leaving backend server and a stopping leader cut nothing either.
+	l.waitComplete(c, 40)
+	// A backend server that leaves and a leader that stops interrupt no request either.
 	y.engines[0].stop()
-	l.reach(c, 40)
+	l.waitComplete(c, 40)
 	y.controllers[y.leader()].stop()
-	l.reach(c, 40)
+	l.waitComplete(c, 40)
 	refused := l.refused.Load()
 	c.Assert(refused, qt.Equals, int64(0))
-	l.end()
-	// Callers of the stopping gateway that were taken in get their whole answer.
+	l.finish()
+	// Requests that the stopping gateway has accepted are answered completely.
 	var answers []reply
 	var mu sync.Mutex
 	var callers sync.WaitGroup
@@ -185,19 +185,19 @@
 			answers = append(answers, r)
 		}()
 	}
-	eventually(c, "requests run at the gateway", func() bool { return len(y.running(1)) > 0 })
+	eventually(c, "requests run at the gateway", func() bool { return len(y.runningRequests(1)) > 0 })
 	y.gateways[1].stop()
 	callers.Wait()
 	for _, r := range answers {
-		whole := r.status == http.StatusOK && whole(r, "proof-0@1", true)
+		complete := r.status == http.StatusOK && isComplete(r, "proof-0@1", true)
 		refused := r.status == 0 || r.ran() == "no"
-		c.Assert(whole || refused, qt.IsTrue, qt.Commentf("%d %v %s", r.status, r.err, r.body))
+		c.Assert(complete || refused, qt.IsTrue, qt.Commentf("%d %v %s", r.status, r.err, r.body))
 	}
 }
 
-// running returns the requests that the engines have begun for a gateway and not
-// yet finished.
-func (y *system) running(gateway int) map[string]bool {
+// runningRequests returns a gateway's requests that the engines have begun and not yet
+// finished.
+func (y *system) runningRequests(gateway int) map[string]bool {
 	open := map[string]bool{}
 	for i := range y.engines {
 		if !y.engines[i].alive() {
@@ -212,13 +212,13 @@
 			}
 		}
 	}
-	mine := map[string]bool{}
+	fromGateway := map[string]bool{}
 	for id := range open {
 		if len(id) > 7 && id[:7] == fmt.Sprintf("entry-%d", gateway) {
-			mine[id] = true
+			fromGateway[id] = true
 		}
 	}
-	return mine
+	return fromGateway
 }
 
 func (p *process) alive() bool {
@@ -230,23 +230,23 @@
 	}
 }
 
-func TestStopWithoutControllersEnds(t *testing.T) {
+func TestGatewayStopsWithoutControllers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
-	y := startSystem(c, shape{controllers: 1, gateways: 1, engines: 1, slots: 2})
+	y := startSystem(c, systemConfig{controllers: 1, gateways: 1, engines: 1, slots: 2})
 	y.controllers[0].kill()
 	y.gateways[0].stop()
 }
 
-// leaveBound is what the users' promise is taken for. The engine stays for longer, so
-// that work that comes later would be seen.
-const leaveBound = 5 * time.Second
+// maxLeaveDelay is the bound that the test sets for the promise that a leaving server gets no
+// new work. The engine stays for longer, so that later work would be seen.
+const maxLeaveDelay = 5 * time.Second
 
 func TestLeavingServerGetsNoNewWork(t *testing.T) {
 	c := qt.New(t)
-	y := startSystem(c, shape{controllers: 3, gateways: 2, engines: 2, slots: 4})
+	y := startSystem(c, systemConfig{controllers: 3, gateways: 2, engines: 2, slots: 4})
 	l := startLoad(y, 6, 4, 0, 1)
-	l.reach(c, 60)
+	l.waitComplete(c, 60)
 	leaving := time.Now()
 	y.engines[0].signal(15)
 	var last []engineEntry
@@ -258,19 +258,19 @@
 		}
 		return !y.engines[0].alive()
 	})
-	l.reach(c, 60)
-	l.end()
-	c.Assert(l.wrong, qt.HasLen, 0)
+	l.waitComplete(c, 60)
+	l.finish()
+	c.Assert(l.violations, qt.HasLen, 0)
 	for _, e := range last {
 		if e.What == "Ran" {
 			after := e.At.Sub(leaving)
-			c.Assert(after < leaveBound, qt.IsTrue, qt.Commentf("new work %s after leaving", after))
+			c.Assert(after < maxLeaveDelay, qt.IsTrue, qt.Commentf("new work %s after the server began to leave", after))
 		}
 	}
 }
 
 func (y *system) tryEngineLog(i int) []engineEntry {
-	res, err := http.Get("http://" + y.engineAt[i] + "/control/log")
+	res, err := http.Get("http://" + y.engineAddrs[i] + "/control/log")
 	if err != nil {
 		return nil
 	}
--- a/proof/routed_backends_test.go
+++ b/proof/routed_backends_test.go
@@ -17,71 +17,72 @@
 	"bronzelead.example/platform"
 )
 
-// announceEvery is the time between two announcements of a backend server.
-const announceEvery = 200 * time.Millisecond
+// announceInterval is the time between two announcements of a backend server.
+const announceInterval = 200 * time.Millisecond
 
-// backendStandIn is a backend server of the test's own. It notes each run.
-type backendStandIn struct {
+// fakeBackend is a backend server inside the test process. It records each run.
+type fakeBackend struct {
 	y  *routedSystem
 	id string
-	// cable is what lies before it, if anything does.
-	cable *link
-	// address is where it announces itself.
+	// proxy is the proxy in front of the server; nil for none.
+	proxy *tcpProxy
+	// address is the address that it announces.
 	address  string
 	server   *http.Server
 	draining atomic.Bool
 	sequence atomic.Uint64
-	// acknowledged counts announcements that were, and runs the requests that ran here.
+	// acknowledged counts the acknowledged announcements, runs the requests that ran here.
 	acknowledged atomic.Int32
 	runs         atomic.Int32
-	// fatal reports whether a request ends it; nil if none does. Crash is what happens then.
-	fatal func(body string) bool
-	crash func()
-	// end stops its announcements.
-	end context.CancelFunc
+	// isFatal reports whether a request crashes the server; nil for none. crash performs the
+	// crash.
+	isFatal func(body string) bool
+	crash   func()
+	// stopAnnouncing stops its announcements.
+	stopAnnouncing context.CancelFunc
 
 	mu sync.Mutex
-	// limit is what it names in its answers, and arrived is when requests reached it.
-	limit   throttler.RequestRate
-	arrived []time.Time
+	// limit is the rate limit that its answers name, arrivalTimes when requests arrived.
+	limit        throttler.RequestRate
+	arrivalTimes []time.Time
 }
 
-// setLimit lets the server name a limit in its answers; 0 ends that.
-func (b *backendStandIn) setLimit(limit throttler.RequestRate) {
+// setLimit sets the rate limit that the server's answers name; with 0 they name none.
+func (b *fakeBackend) setLimit(limit throttler.RequestRate) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.limit = limit
 }
 
-// arrivals returns when requests reached the server.
-func (b *backendStandIn) arrivals() []time.Time {
+// arrivals returns the times at which requests arrived.
+func (b *fakeBackend) arrivals() []time.Time {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return slices.Clone(b.arrived)
+	return slices.Clone(b.arrivalTimes)
 }
 
-// arrives notes a request, and returns the limit that its answer names.
-func (b *backendStandIn) arrives() throttler.RequestRate {
+// recordArrival records a request's arrival and returns the limit for its answer.
+func (b *fakeBackend) recordArrival() throttler.RequestRate {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.arrived = append(b.arrived, time.Now())
+	b.arrivalTimes = append(b.arrivalTimes, time.Now())
 	return b.limit
 }
 
-func startBackend(y *routedSystem, id string) *backendStandIn {
-	at := freePort(y.c)
-	cable := newLink(y.c, at)
-	b := &backendStandIn{y: y, id: id, cable: cable, address: cable.address}
-	b.start(at)
+func startBackend(y *routedSystem, id string) *fakeBackend {
+	addr := freeAddress(y.c)
+	proxy := newTCPProxy(y.c, addr)
+	b := &fakeBackend{y: y, id: id, proxy: proxy, address: proxy.address}
+	b.start(addr)
 	return b
 }
 
-// start serves at an address and announces the server.
-func (b *backendStandIn) start(at string) {
-	b.server = &http.Server{Addr: at, Handler: b, ReadHeaderTimeout: time.Minute}
+// start listens on an address and begins to announce the server.
+func (b *fakeBackend) start(addr string) {
+	b.server = &http.Server{Addr: addr, Handler: b, ReadHeaderTimeout: time.Minute}
 	go func() { _ = b.server.ListenAndServe() }()
 	ctx, cancel := context.WithCancel(context.Background())
-	b.end = cancel
+	b.stopAnnouncing = cancel
 	go b.announce(ctx)
 	b.y.c.Cleanup(func() {
 		cancel()
@@ -89,8 +90,8 @@
 	})
 }
 
-// announce says all the time where the server is, to any controller that answers.
-func (b *backendStandIn) announce(ctx context.Context) {
+// announce announces the server's address periodically, to the controllers in turn.
+func (b *fakeBackend) announce(ctx context.Context) {
 	client := &http.Client{Timeout: time.Second}
 	for i := 0; ctx.Err() == nil; i++ {
 		path, body, err := platform.StandInHeartbeat(&wire.Announcement{
@@ -109,30 +110,30 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(announceEvery):
+		case <-time.After(announceInterval):
 		}
 	}
 }
 
-// workTime is how long a request takes.
-const workTime = 5 * time.Millisecond
+// processingTime is how long a request takes.
+const processingTime = 5 * time.Millisecond
 
 // streamEvents is the number of events of each stream.
 const streamEvents = 5
 
-// ServeHTTP runs a request and answers with what only this request can get.
-func (b *backendStandIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	limit := b.arrives()
+// ServeHTTP runs a request and returns an answer that is specific to its id.
+func (b *fakeBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	limit := b.recordArrival()
 	if limit > 0 {
-		set(w, framer.Header{platform.StandInRequestLimit(limit)})
+		setHeaders(w, framer.Header{platform.StandInRequestLimit(limit)})
 	}
 	var header framer.Header
 	for name := range r.Header {
 		header = append(header, framer.Field{Name: name, Value: r.Header.Get(name)})
 	}
 	id := platform.DecodeRequest(header).ID
-	if meant := platform.DecodeDispatch(header).Name; meant != "" && meant != b.id {
-		set(w, platform.StandInRefusal(id))
+	if target := platform.DecodeDispatch(header).Name; target != "" && target != b.id {
+		setHeaders(w, platform.StandInRefusal(id))
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
@@ -142,20 +143,20 @@
 	}
 	b.runs.Add(1)
 	if platform.DecodeKey(header) != "" {
-		b.y.ledger.fault("%s came with its caller's key", id)
+		b.y.history.addViolation("%s was forwarded with its caller's key", id)
 	}
-	b.y.ledger.ranFor(platform.DecodeDispatch(header).Customer, time.Now())
-	b.y.ledger.ran(id, r.Method+" "+r.RequestURI+" "+string(body))
-	if b.fatal != nil && b.fatal(string(body)) {
+	b.y.history.recordCustomerRun(platform.DecodeDispatch(header).Customer, time.Now())
+	b.y.history.recordRun(id, r.Method+" "+r.RequestURI+" "+string(body))
+	if b.isFatal != nil && b.isFatal(string(body)) {
 		b.crash()
 		return
 	}
 	select {
 	case <-r.Context().Done():
-	case <-time.After(workTime):
+	case <-time.After(processingTime):
 	}
-	set(w, platform.StandInAnswer(id, b.id))
-	if kindOfPath(r.URL.Path) != stream {
+	setHeaders(w, platform.StandInAnswer(id, b.id))
+	if routeKindOf(r.URL.Path) != stream {
 		_, _ = io.WriteString(w, answerTo(id))
 		return
 	}
@@ -171,11 +172,11 @@
 	}
 }
 
-func set(w http.ResponseWriter, header framer.Header) {
+func setHeaders(w http.ResponseWriter, header framer.Header) {
 	for _, field := range header {
 		w.Header().Set(field.Name, field.Value)
 	}
 }
 
-// answerTo is what a request with an id must get.
+// answerTo returns the expected answer to a request.
 func answerTo(id string) string { return "the answer to " + id }
--- a/proof/routed_callers_test.go
+++ b/proof/routed_callers_test.go
@@ -15,19 +15,19 @@
 	"bronzelead.example/platform"
 )
 
-// kind is the path under which requests of a kind are sent.
-type kind string
+// routeKind is the path prefix of a kind of route.
+type routeKind string
 
 const (
-	once       kind = "/once/"
-	idempotent kind = "/idempotent/"
-	stream     kind = "/stream/"
-	// markerPrefix begins the paths that only one table each has.
+	once       routeKind = "/once/"
+	idempotent routeKind = "/idempotent/"
+	stream     routeKind = "/stream/"
+	// markerPrefix begins the paths that exist in only one table each.
 	markerPrefix = "/marker-"
 )
 
-func kindOfPath(path string) kind {
-	for _, k := range []kind{once, stream} {
+func routeKindOf(path string) routeKind {
+	for _, k := range []routeKind{once, stream} {
 		if strings.HasPrefix(path, string(k)) {
 			return k
 		}
@@ -41,17 +41,17 @@
 	return path
 }
 
-// callerPatience is how long callers wait for an answer.
-const callerPatience = 4 * time.Second
+// clientTimeout is how long callers wait for an answer.
+const clientTimeout = 4 * time.Second
 
-// caller sends requests over a connection that it keeps until something goes wrong.
+// caller sends requests over one connection, which it replaces after a failure.
 type caller struct {
 	y    *routedSystem
 	name string
 	to   *instance
-	// from is the address that it calls from; nil for any.
+	// from is its source address; nil for any.
 	from net.Addr
-	// key is what it sends with its requests; empty for none.
+	// key is the API key that it sends; empty for none.
 	key    string
 	count  int
 	conn   net.Conn
@@ -62,43 +62,42 @@
 	return &caller{y: y, name: name, to: to}
 }
 
-func (l *caller) hangUp() {
+func (l *caller) disconnect() {
 	if l.conn != nil {
 		_ = l.conn.Close()
 		l.conn = nil
 	}
 }
 
-// seen is what a caller got. Without an answer the status is 0.
-type seen struct {
+// result is what a caller received. Without an answer the status is 0.
+type result struct {
 	id       string
 	status   int
 	complete bool
 }
 
-// ask sends one request of its own and checks the answer.
-func (l *caller) ask(path string) seen { return l.askWith(path, "") }
+// send sends a request with a unique body and checks the answer.
+func (l *caller) send(path string) result { return l.sendBody(path, "") }
 
-// askWith sends a request with a body, which others may have too; "" makes one that no other
-// has.
-func (l *caller) askWith(path, body string) seen {
+// sendBody sends a request with a body that other requests may share; "" for a unique one.
+func (l *caller) sendBody(path, body string) result {
 	l.count++
 	id := fmt.Sprintf("%s-%d-%d", l.name, time.Now().UnixNano(), l.count)
 	if body == "" {
 		body = "order " + id
 	}
-	l.y.ledger.asked(id, "POST "+path+" "+body)
+	l.y.history.recordSent(id, "POST "+path+" "+body)
 	if l.conn == nil {
 		dialer := net.Dialer{Timeout: time.Second, LocalAddr: l.from}
-		conn, err := dialer.Dial("tcp", l.to.at)
+		conn, err := dialer.Dial("tcp", l.to.address)
 		if err != nil {
-			return seen{id: id}
+			return result{id: id}
 		}
 		l.conn, l.reader = conn, bufio.NewReader(conn)
 	}
-	_ = l.conn.SetDeadline(time.Now().Add(callerPatience))
+	_ = l.conn.SetDeadline(time.Now().Add(clientTimeout))
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n", path, len(body))
-	fields := platform.StandInRequest(id, callerPatience)
+	fields := platform.StandInRequest(id, clientTimeout)
 	if l.key != "" {
 		fields = append(fields, platform.StandInKey(l.key)...)
 	}
@@ -106,85 +105,85 @@
 		head += field.Name + ": " + field.Value + "\r\n"
 	}
 	if _, err := io.WriteString(l.conn, head+"\r\n"+body); err != nil {
-		l.hangUp()
-		return seen{id: id}
+		l.disconnect()
+		return result{id: id}
 	}
 	res, err := http.ReadResponse(l.reader, nil)
 	if err != nil {
-		l.hangUp()
-		return seen{id: id}
+		l.disconnect()
+		return result{id: id}
 	}
 	got, err := io.ReadAll(res.Body)
 	_ = res.Body.Close()
 	if err != nil || res.Close {
-		l.hangUp()
+		l.disconnect()
 	}
-	s := seen{id: id, status: res.StatusCode, complete: err == nil}
-	l.judge(path, s, res.Header, string(got))
+	s := result{id: id, status: res.StatusCode, complete: err == nil}
+	l.checkAnswer(path, s, res.Header, string(got))
 	return s
 }
 
-// judge notes what is wrong with an answer.
-func (l *caller) judge(path string, s seen, header http.Header, body string) {
-	ledger := l.y.ledger
+// checkAnswer records what is wrong with an answer.
+func (l *caller) checkAnswer(path string, s result, header http.Header, body string) {
+	history := l.y.history
 	if !s.complete {
 		return
 	}
-	ledger.answered(s.id, s.status)
+	history.recordAnswer(s.id, s.status)
 	if s.status == http.StatusNotFound && !strings.HasPrefix(path, markerPrefix) {
-		ledger.fault("%s: a route that all tables have was not found", s.id)
+		history.addViolation("%s: a route that exists in all tables was not found", s.id)
 	}
 	if s.status != http.StatusOK {
 		return
 	}
 	want := answerTo(s.id)
-	if kindOfPath(path) == stream {
+	if routeKindOf(path) == stream {
 		want = ""
 		for n := 1; n <= streamEvents; n++ {
 			want += fmt.Sprintf("id: %d\ndata: %s\n\n", n, answerTo(s.id))
 		}
 	}
 	if body != want {
-		ledger.fault("%s got %q", s.id, body)
+		history.addViolation("%s got %q", s.id, body)
 	}
 	for _, field := range platform.StandInAnswer(s.id, "") {
 		if field.Value != "" && header.Get(field.Name) != field.Value {
-			ledger.fault("%s got the answer to %s", s.id, header.Get(field.Name))
+			history.addViolation("%s got the answer to %s", s.id, header.Get(field.Name))
 		}
 	}
 }
 
-// crowd keeps callers, probes of the tables in force and reads of the table going until
-// stop.
-type crowd struct {
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
+// backgroundLoad runs callers, probes of the tables in force and reads of the newest table
+// until stop.
+type backgroundLoad struct {
+	cancel  context.CancelFunc
+	workers sync.WaitGroup
 }
 
-func startCrowd(y *routedSystem, callers int, seed uint64) *crowd {
+func startBackgroundLoad(y *routedSystem, callers int, seed uint64) *backgroundLoad {
 	ctx, cancel := context.WithCancel(context.Background())
-	w := &crowd{cancel: cancel}
+	w := &backgroundLoad{cancel: cancel}
 	for i := range callers {
-		w.wait.Go(func() { y.keepAsking(ctx, fmt.Sprintf("c%d", i), rand.New(rand.NewPCG(seed, uint64(i)))) })
+		w.workers.Go(func() { y.runCaller(ctx, fmt.Sprintf("c%d", i), rand.New(rand.NewPCG(seed, uint64(i)))) })
 	}
 	for i, n := range y.gateways {
-		w.wait.Go(func() { y.keepProbing(ctx, fmt.Sprintf("p%d", i), n) })
+		w.workers.Go(func() { y.probeTables(ctx, fmt.Sprintf("p%d", i), n) })
 	}
-	w.wait.Go(func() {
+	w.workers.Go(func() {
 		for i := 0; ctx.Err() == nil; i++ {
-			y.operator.read(i)
+			y.operator.readVersion(i)
 			pause(ctx)
 		}
 	})
 	return w
 }
 
-func (w *crowd) stop() {
+func (w *backgroundLoad) stop() {
 	w.cancel()
-	w.wait.Wait()
+	w.workers.Wait()
 }
 
-// pause keeps a caller from asking as fast as it can.
+// pause limits the rate of a caller.
 func pause(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -192,42 +191,42 @@
 	}
 }
 
-// stayFor is the number of requests after which a caller looks for another gateway.
-const stayFor = 30
+// requestsPerGateway is the number of requests after which a caller picks another gateway.
+const requestsPerGateway = 30
 
-func (y *routedSystem) keepAsking(ctx context.Context, name string, random *rand.Rand) {
-	kinds := []kind{once, once, idempotent, stream}
+func (y *routedSystem) runCaller(ctx context.Context, name string, random *rand.Rand) {
+	kinds := []routeKind{once, once, idempotent, stream}
 	for ctx.Err() == nil {
 		l := newCaller(y, name, y.gateways[random.IntN(len(y.gateways))])
-		for range stayFor {
-			l.ask(string(kinds[random.IntN(len(kinds))]) + "x")
+		for range requestsPerGateway {
+			l.send(string(kinds[random.IntN(len(kinds))]) + "x")
 			pause(ctx)
 			if ctx.Err() != nil || l.conn == nil {
 				break
 			}
 		}
-		l.hangUp()
+		l.disconnect()
 	}
 }
 
-// keepProbing asks one gateway for the paths that only one table each has. Within one
-// life of the gateway the table in force must not go back.
-func (y *routedSystem) keepProbing(ctx context.Context, name string, to *instance) {
+// probeTables requests the marker paths of recent tables from one gateway. Within one
+// incarnation of the gateway the table in force must not go back to an older version.
+func (y *routedSystem) probeTables(ctx context.Context, name string, to *instance) {
 	l := newCaller(y, name, to)
-	defer l.hangUp()
-	life, highest := int32(0), uint64(0)
+	defer l.disconnect()
+	incarnation, highest := int32(0), uint64(0)
 	const lookBack = 4
 	for i := uint64(0); ctx.Err() == nil; i++ {
 		newest := y.operator.sent.Load()
 		version := newest - min(newest, i%lookBack)
-		before := to.lives.Load()
-		s := l.ask(marker(version))
-		if after := to.lives.Load(); before != after || after != life {
-			life, highest = after, 0
-			l.hangUp()
+		before := to.restarts.Load()
+		s := l.send(markerPath(version))
+		if after := to.restarts.Load(); before != after || after != incarnation {
+			incarnation, highest = after, 0
+			l.disconnect()
 		} else if s.status == http.StatusOK {
 			if version < highest {
-				y.ledger.fault("%s served by version %d after %d", to.name, version, highest)
+				y.history.addViolation("%s served by version %d after version %d", to.name, version, highest)
 			}
 			highest = max(highest, version)
 		}
--- a/proof/routed_ledger_test.go
+++ b/proof/routed_ledger_test.go
@@ -11,135 +11,136 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// ledger holds what callers and backend servers have seen, and what was wrong with it.
-type ledger struct {
-	mu     sync.Mutex
-	sent   map[string]string
-	runs   map[string]int
-	refuse map[string]int
-	// whole and good are the requests whose callers got a whole answer, and one with 200.
-	whole  map[string]bool
-	good   map[string]bool
-	served int
-	faults []string
-	// customers are the times at which requests of each ran.
-	customers map[string][]time.Time
+// history records what callers and backend servers observed, and the violations.
+type history struct {
+	mu      sync.Mutex
+	sent    map[string]string
+	runs    map[string]int
+	refused map[string]int
+	// complete holds the requests whose callers received a complete answer, succeeded those
+	// with 200.
+	complete   map[string]bool
+	succeeded  map[string]bool
+	served     int
+	violations []string
+	// customerRunTimes holds the times at which each customer's requests ran.
+	customerRunTimes map[string][]time.Time
 }
 
-func newLedger() *ledger {
-	return &ledger{sent: map[string]string{}, runs: map[string]int{}, refuse: map[string]int{}, whole: map[string]bool{}, good: map[string]bool{}, customers: map[string][]time.Time{}}
+func newHistory() *history {
+	return &history{sent: map[string]string{}, runs: map[string]int{}, refused: map[string]int{}, complete: map[string]bool{}, succeeded: map[string]bool{}, customerRunTimes: map[string][]time.Time{}}
 }
 
-func (l *ledger) fault(format string, v ...any) {
+func (l *history) addViolation(format string, v ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.faults = append(l.faults, fmt.Sprintf(format, v...))
+	l.violations = append(l.violations, fmt.Sprintf(format, v...))
 }
 
-func (l *ledger) asked(id, what string) {
+func (l *history) recordSent(id, what string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sent[id] = what
 }
 
-// ranFor notes that a backend server runs a request of a customer.
-func (l *ledger) ranFor(customer string, at time.Time) {
+// recordCustomerRun records that a backend server runs a customer's request.
+func (l *history) recordCustomerRun(customer string, at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.customers[customer] = append(l.customers[customer], at)
+	l.customerRunTimes[customer] = append(l.customerRunTimes[customer], at)
 }
 
-func (l *ledger) countOf(customer string) int {
+func (l *history) customerRuns(customer string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.customers[customer])
+	return len(l.customerRunTimes[customer])
 }
 
-// mostInWindow returns the most requests of a customer that ran within a time.
-func (l *ledger) mostInWindow(customer string, window time.Duration) int {
+// maxInWindow returns the highest number of a customer's requests that ran within a window.
+func (l *history) maxInWindow(customer string, window time.Duration) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	times := slices.Clone(l.customers[customer])
+	times := slices.Clone(l.customerRunTimes[customer])
 	slices.SortFunc(times, time.Time.Compare)
-	most, from := 0, 0
+	peak, from := 0, 0
 	for i, at := range times {
 		for at.Sub(times[from]) > window {
 			from++
 		}
-		most = max(most, i-from+1)
+		peak = max(peak, i-from+1)
 	}
-	return most
+	return peak
 }
 
-// ran notes that a backend server runs a request.
-func (l *ledger) ran(id, what string) {
+// recordRun records that a backend server runs a request.
+func (l *history) recordRun(id, what string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.runs[id]++
 	if l.sent[id] != what {
-		l.faults = append(l.faults, fmt.Sprintf("%s ran as %s and was sent as %s", id, strconv.Quote(what), strconv.Quote(l.sent[id])))
+		l.violations = append(l.violations, fmt.Sprintf("%s ran as %s and was sent as %s", id, strconv.Quote(what), strconv.Quote(l.sent[id])))
 	}
 }
 
-func (l *ledger) answered(id string, status int) {
+func (l *history) recordAnswer(id string, status int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.whole[id] = true
+	l.complete[id] = true
 	switch status {
 	case http.StatusOK:
 		l.served++
-		l.good[id] = true
+		l.succeeded[id] = true
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusMisdirectedRequest, http.StatusRequestTimeout:
-		l.refuse[id] = status
+		l.refused[id] = status
 	}
 }
 
-func (l *ledger) servedSoFar() int {
+func (l *history) servedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.served
 }
 
-// check judges the whole history.
-func (l *ledger) check(c *qt.C) {
+// check evaluates the whole history.
+func (l *history) check(c *qt.C) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, fault := range l.faults {
+	for _, fault := range l.violations {
 		c.Errorf("%s", fault)
 	}
-	for id, status := range l.refuse {
+	for id, status := range l.refused {
 		if l.runs[id] > 0 {
 			c.Errorf("%s was refused with %d and ran", id, status)
 		}
 	}
 	for id, runs := range l.runs {
-		if kindOfPath(pathOf(l.sent[id])) != idempotent && runs > 1 {
+		if routeKindOf(pathOf(l.sent[id])) != idempotent && runs > 1 {
 			c.Errorf("%s ran %d times", id, runs)
 		}
 	}
-	c.Logf("%d requests, %d served, %d refused", len(l.sent), l.served, len(l.refuse))
+	c.Logf("%d requests, %d served, %d refused", len(l.sent), l.served, len(l.refused))
 }
 
-// lost returns the orders that ran and whose callers were told of a failure.
-func (l *ledger) lost() []string {
+// failedAfterRun returns the run-once orders that ran and whose callers received a failure.
+func (l *history) failedAfterRun() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var ids []string
 	for id := range l.runs {
-		if kindOfPath(pathOf(l.sent[id])) == once && l.whole[id] && !l.good[id] {
+		if routeKindOf(pathOf(l.sent[id])) == once && l.complete[id] && !l.succeeded[id] {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-// unanswered returns the requests that ran and whose callers got no whole answer.
-func (l *ledger) unanswered() []string {
+// unanswered returns the requests that ran and whose callers received no complete answer.
+func (l *history) unanswered() []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var ids []string
 	for id := range l.runs {
-		if !l.whole[id] {
+		if !l.complete[id] {
 			ids = append(ids, id)
 		}
 	}
--- a/proof/routed_news_test.go
+++ b/proof/routed_news_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// relays waits until all gateways of a zone but two follow these two, and returns the two
-// and the others.
+// relays waits until exactly two gateways fetch all updates from the controllers, and returns
+// these two and the others.
 func (y *routedSystem) relays() (relays, followers []*instance) {
-	eventually(y.c, "two gateways ask the controllers for all", func() bool {
+	eventually(y.c, "exactly two gateways fetch updates from the controllers", func() bool {
 		relays, followers = nil, nil
 		for _, n := range y.gateways {
 			if y.asksControllers(n) {
@@ -24,10 +24,10 @@
 	return relays, followers
 }
 
-// asksControllers reports what a gateway said last of how it hears of news.
+// asksControllers reports the update path that a gateway logged last.
 func (y *routedSystem) asksControllers(n *instance) bool {
 	asks := true
-	for _, line := range y.logOf(n) {
+	for _, line := range y.readLog(n) {
 		if line.AsksControllers != nil {
 			asks = *line.AsksControllers
 		}
@@ -35,44 +35,45 @@
 	return asks
 }
 
-// Twelve gateways of one zone hear of news from two of them. These freeze, come back and are
-// killed, one and both, while tables change: every gateway that runs serves by the newest.
-func TestRoutedNewsByRelays(t *testing.T) {
+// Of twelve gateways of one zone, ten receive updates through two relays. The relays are
+// frozen, resumed and killed, alone and together, while tables change: every running gateway
+// serves by the newest table.
+func TestRoutedUpdatesThroughRelays(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	y := startRouted(c, 3, 12, 2)
 	relays, followers := y.relays()
 	c.Assert(followers, qt.HasLen, 10)
-	crowd := startCrowd(y, 4, 7)
+	background := startBackgroundLoad(y, 4, 7)
 
 	relays[0].freeze()
-	y.operator.put()
+	y.operator.putTable()
 	y.waitServingAt(slices.Concat(followers, relays[1:]))
 	relays[0].thaw()
-	y.operator.put()
+	y.operator.putTable()
 	y.waitServing()
 
 	for _, n := range relays {
 		n.kill()
 	}
-	y.operator.put()
+	y.operator.putTable()
 	y.waitServingAt(followers)
 	for _, n := range relays {
 		n.restart()
 	}
-	y.operator.put()
+	y.operator.putTable()
 	y.waitServing()
 
-	// Relays and controllers go together, a majority of these stays.
+	// A relay and a controller are killed together; a majority of the controllers remains.
 	relays, followers = y.relays()
 	relays[0].kill()
 	y.controllers[0].kill()
-	y.operator.put()
+	y.operator.putTable()
 	y.waitServingAt(followers)
 	relays[0].restart()
 	y.controllers[0].restart()
-	y.operator.put()
+	y.operator.putTable()
 	y.waitServing()
-	crowd.stop()
-	y.ledger.check(c)
+	background.stop()
+	y.history.check(c)
 }
--- a/proof/routed_operator_test.go
+++ b/proof/routed_operator_test.go
@@ -15,42 +15,42 @@
 	"bronzelead.example/platform"
 )
 
-// operatorStandIn puts tables into force, one after the other, and reads them back.
-type operatorStandIn struct {
-	y      *routedSystem
-	client *http.Client
-	mu     sync.Mutex
-	places []string
-	// customers are those of the next tables; set while no table is sent.
+// fakeOperator puts one table after another into force and reads them back.
+type fakeOperator struct {
+	y               *routedSystem
+	client          *http.Client
+	mu              sync.Mutex
+	controllerAddrs []string
+	// customers are the customers of the next tables; set only while no table is sent.
 	customers []platform.StandInCustomer
 	// sent and acknowledged are the highest versions so far.
 	sent, acknowledged atomic.Uint64
 }
 
-func newOperator(y *routedSystem) *operatorStandIn {
-	o := &operatorStandIn{y: y, client: &http.Client{Timeout: time.Second}}
-	o.look()
+func newOperator(y *routedSystem) *fakeOperator {
+	o := &fakeOperator{y: y, client: &http.Client{Timeout: time.Second}}
+	o.refreshControllers()
 	return o
 }
 
-// look takes note of where the controllers are now.
-func (o *operatorStandIn) look() {
+// refreshControllers updates the controllers' addresses.
+func (o *fakeOperator) refreshControllers() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.places = nil
+	o.controllerAddrs = nil
 	for _, n := range o.y.controllers {
-		o.places = append(o.places, n.at)
+		o.controllerAddrs = append(o.controllerAddrs, n.address)
 	}
 }
 
-func (o *operatorStandIn) controller(i int) string {
+func (o *fakeOperator) controller(i int) string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.places[i%len(o.places)]
+	return o.controllerAddrs[i%len(o.controllerAddrs)]
 }
 
-// marker is the path that only the table of a version has.
-func marker(version uint64) string { return fmt.Sprintf("%s%d/", markerPrefix, version) }
+// markerPath returns the path that exists only in the table of a version.
+func markerPath(version uint64) string { return fmt.Sprintf("%s%d/", markerPrefix, version) }
 
 func table(version uint64) *wire.RoutingTable {
 	route := func(prefix string, repetition wire.Repetition) *wire.Route {
@@ -64,14 +64,14 @@
 		Limits: &wire.DoorLimits{HeaderBytes: 16384, BodyBytes: 1 << 20, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15000},
 		Routes: []*wire.Route{
 			route(string(once), wire.Repetition_REPETITION_ONCE), route(string(idempotent), wire.Repetition_REPETITION_IDEMPOTENT),
-			route(string(stream), wire.Repetition_REPETITION_STREAM), route(marker(version), wire.Repetition_REPETITION_IDEMPOTENT),
+			route(string(stream), wire.Repetition_REPETITION_STREAM), route(markerPath(version), wire.Repetition_REPETITION_IDEMPOTENT),
 		},
 	}
 }
 
-// try sends the table of a version to one controller and reports whether it was
+// sendTable sends the table of a version to one controller and reports whether it was
 // acknowledged.
-func (o *operatorStandIn) try(i int, version uint64) bool {
+func (o *fakeOperator) sendTable(i int, version uint64) bool {
 	body, err := platform.StandInTable(table(version), o.customers...)
 	o.y.c.Assert(err, qt.IsNil)
 	res, err := o.client.Post("http://"+o.controller(i)+platform.StandInReplacePath, "application/json", bytes.NewReader(body))
@@ -80,25 +80,25 @@
 	}
 	_ = res.Body.Close()
 	if res.StatusCode >= 400 && res.StatusCode < 500 {
-		o.y.ledger.fault("a valid table was refused with %d", res.StatusCode)
+		o.y.history.addViolation("a valid table was refused with %d", res.StatusCode)
 	}
 	return res.StatusCode == http.StatusOK
 }
 
-// put puts a new version into force, with whichever controller acknowledges it.
-func (o *operatorStandIn) put() {
+// putTable retries a new version at the controllers in turn until one acknowledges it.
+func (o *fakeOperator) putTable() {
 	version := o.sent.Add(1)
 	attempt := 0
 	eventually(o.y.c, "a table is acknowledged", func() bool {
 		attempt++
-		return o.try(attempt, version)
+		return o.sendTable(attempt, version)
 	})
 	o.acknowledged.Store(version)
 }
 
-// read returns the version that a controller says is the newest, or false.
-func (o *operatorStandIn) read(i int) (uint64, bool) {
-	least := o.acknowledged.Load()
+// readVersion returns the newest version known to a controller, or false.
+func (o *fakeOperator) readVersion(i int) (uint64, bool) {
+	minVersion := o.acknowledged.Load()
 	res, err := o.client.Get("http://" + o.controller(i) + platform.StandInReadPath)
 	if err != nil {
 		return 0, false
@@ -110,11 +110,11 @@
 	}
 	got, err := platform.DecodeTable(body)
 	if err != nil {
-		o.y.ledger.fault("a table that was read back can't be read: %v", err)
+		o.y.history.addViolation("a table that was read back can't be decoded: %v", err)
 		return 0, false
 	}
-	if got.GetVersion() < least || got.GetVersion() > o.sent.Load() {
-		o.y.ledger.fault("version %d was read after %d was acknowledged", got.GetVersion(), least)
+	if got.GetVersion() < minVersion || got.GetVersion() > o.sent.Load() {
+		o.y.history.addViolation("version %d was read after %d was acknowledged", got.GetVersion(), minVersion)
 	}
 	return got.GetVersion(), true
 }
--- a/proof/routed_soak_test.go
+++ b/proof/routed_soak_test.go
@@ -14,32 +14,32 @@
 	"bronzelead.example/pkg/throttler"
 )
 
-// soakSeeds is how many seeds TestRoutedSoak plays, and soakFirst the first of them:
+// soakSeeds is the number of seeds that TestRoutedSoak runs, and soakFirst the first of them:
 // go test ./proof -run RoutedSoak -soak.seeds 50 -timeout 2h
 var (
-	soakSeeds = flag.Int("soak.seeds", 2, "seeds that the soak plays")
-	soakFirst = flag.Uint64("soak.first", 1, "first seed of the soak")
-	soakSteps = flag.Int("soak.steps", 8, "faults of each seed")
+	soakSeeds = flag.Int("soak.seeds", 2, "number of seeds that the soak test runs")
+	soakFirst = flag.Uint64("soak.first", 1, "first seed of the soak test")
+	soakSteps = flag.Int("soak.steps", 8, "number of fault steps of each seed")
 )
 
-// Seeds that failed once, with the cause. Whoever changes the list of faults or how they are
-// drawn changes what a seed plays: the case itself then needs a story of its own, as 102 has
-// in TestRoutedSeedsThatKnowNothing.
+// regressions are seeds that failed once, with the cause. A change to the list of faults or to
+// how they are drawn changes what a seed runs: the case then needs a test of its own, as 102
+// has in TestRoutedSeedsWithoutState.
 var regressions = map[uint64]string{
-	238: "all backend servers started again while no controller ran; it was waited for in vain that requests are served",
-	102: "after a replacement and the loss of two disks no address in the settings knew the cluster, and nobody joined",
+	238: "all backend servers restarted while no controller ran; the test waited in vain for requests to be served",
+	102: "after a replacement and the loss of two disks no address in the settings belonged to a member with state, and no controller joined",
 }
 
-// Faults of all kinds, one after the other and in pairs, in an order that the seed gives.
+// Runs faults of all kinds, one after the other and in pairs, in an order given by the seed.
 func TestRoutedSoak(t *testing.T) {
-	plans := map[uint64]bool{}
+	seedSet := map[uint64]bool{}
 	for i := range uint64(*soakSeeds) {
-		plans[*soakFirst+i] = true
+		seedSet[*soakFirst+i] = true
 	}
 	for seed := range regressions {
-		plans[seed] = true
+		seedSet[seed] = true
 	}
-	for seed := range plans {
+	for seed := range seedSet {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			soak(qt.New(t), seed)
@@ -47,80 +47,81 @@
 	}
 }
 
-// soakLimits is the stream of random numbers that limits are drawn from.
+// soakLimits selects the random stream for limits.
 const soakLimits = 33
 
 func soak(c *qt.C, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, seed))
-	y := startEmpty(c, 5, 2)
-	herd := &fragileHerd{y: y, from: func(int) net.Addr { return nil }}
+	y := startWithoutBackends(c, 5, 2)
+	crashing := &crashingBackends{y: y, from: func(int) net.Addr { return nil }}
 	for range 3 {
-		y.backends = append(y.backends, herd.startCabled())
+		y.backends = append(y.backends, crashing.startProxied())
 	}
-	y.herd = herd
-	y.settle()
-	crowd := startCrowd(y, 5, seed)
-	// Limits are drawn apart, so that each seed goes on playing the same faults.
+	y.crashing = crashing
+	y.initialize()
+	background := startBackgroundLoad(y, 5, seed)
+	// Limits use a separate random stream, so that they don't change the faults of a seed.
 	limits := rand.New(rand.NewPCG(seed, soakLimits))
 	for range *soakSteps {
 		y.backends[0].setLimit(throttler.RequestRate(limits.IntN(3) * 10))
 		first, second := faults[random.IntN(len(faults))], faults[random.IntN(len(faults))]
 		c.Logf("seed %d: %s", seed, first.name)
-		heal := []func(){first.begin(y, random)}
-		if random.IntN(2) == 0 && !strings.HasSuffix(second.on, first.on) && !strings.HasSuffix(first.on, second.on) {
+		heal := []func(){first.inject(y, random)}
+		if random.IntN(2) == 0 && !strings.HasSuffix(second.target, first.target) && !strings.HasSuffix(first.target, second.target) {
 			c.Logf("seed %d: with %s", seed, second.name)
-			heal = append(heal, second.begin(y, random))
+			heal = append(heal, second.inject(y, random))
 		}
-		if first.on != "all controllers" && (len(heal) == 1 || second.on != "all controllers") {
-			// Who is away meanwhile comes back with an older table.
-			y.operator.put()
+		if first.target != "all controllers" && (len(heal) == 1 || second.target != "all controllers") {
+			// An instance that is down meanwhile comes back with an older table.
+			y.operator.putTable()
 		}
-		if !nobodyKnowsWhatStarts(first, second, len(heal)) {
+		if !incarnationsUnannounced(first, second, len(heal)) {
 			y.waitServed(20)
 		}
 		for _, h := range heal {
 			h()
 		}
-		y.operator.look()
-		y.operator.put()
-		eventually(c, "the controllers that run vote", y.settled)
+		y.operator.refreshControllers()
+		y.operator.putTable()
+		eventually(c, "all running controllers vote", y.allVote)
 		y.waitServing()
 	}
-	crowd.stop()
-	y.ledger.check(c)
-	// By its content and by its caller; nothing else may be held back.
-	held := y.heldRequests()
-	c.Check(len(held) <= 2, qt.IsTrue, qt.Commentf("%q", held))
-	c.Logf("seed %d: %d backend servers ended under a request", seed, herd.ended())
+	background.stop()
+	y.history.check(c)
+	// One entry by content and one by caller; nothing else may be quarantined.
+	quarantined := y.quarantinedRequests()
+	c.Check(len(quarantined) <= 2, qt.IsTrue, qt.Commentf("%q", quarantined))
+	c.Logf("seed %d: %d backend servers crashed", seed, crashing.crashCount())
 }
 
-// nobodyKnowsWhatStarts reports whether backend servers start again while all controllers are
-// gone, to which alone they announce themselves. If all of them have, nobody can be served
-// until a controller runs: 1,055 requests of one seed were refused with "no backend server of
-// the service is known" while no controller ran.
-func nobodyKnowsWhatStarts(first, second fault, begun int) bool {
-	on := []string{first.on}
-	if begun > 1 {
-		on = append(on, second.on)
+// incarnationsUnannounced reports whether backend servers restart while all controllers are
+// down; they announce themselves only to controllers. If all have restarted, no request can be
+// served until a controller runs: in one seed 1,055 requests were refused with "no backend
+// server of the service is known" while no controller ran.
+func incarnationsUnannounced(first, second fault, count int) bool {
+	on := []string{first.target}
+	if count > 1 {
+		on = append(on, second.target)
 	}
 	return slices.Contains(on, "requests") && slices.Contains(on, "all controllers")
 }
 
-// fault begins something bad and returns what ends it.
+// fault is a fault to inject; inject returns the function that ends it.
 type fault struct {
 	name string
-	// on is what it hits. Two on the same could exceed what may be lost at once.
-	on    string
-	begin func(y *routedSystem, random *rand.Rand) (heal func())
+	// target is what it affects. Two faults on the same target could exceed the tolerated
+	// losses.
+	target string
+	inject func(y *routedSystem, random *rand.Rand) (heal func())
 }
 
 var faults = []fault{
-	{"a controller is killed", "controllers", func(y *routedSystem, r *rand.Rand) func() { return killed(oneOf(r, y.controllers)) }},
-	{"a gateway is killed", "gateways", func(y *routedSystem, r *rand.Rand) func() { return killed(oneOf(r, y.gateways)) }},
-	{"a controller is frozen", "controllers", func(y *routedSystem, r *rand.Rand) func() { return frozen(oneOf(r, y.controllers)) }},
-	{"a gateway is frozen", "gateways", func(y *routedSystem, r *rand.Rand) func() { return frozen(oneOf(r, y.gateways)) }},
+	{"a controller is killed", "controllers", func(y *routedSystem, r *rand.Rand) func() { return killFault(pickInstance(r, y.controllers)) }},
+	{"a gateway is killed", "gateways", func(y *routedSystem, r *rand.Rand) func() { return killFault(pickInstance(r, y.gateways)) }},
+	{"a controller is frozen", "controllers", func(y *routedSystem, r *rand.Rand) func() { return freezeFault(pickInstance(r, y.controllers)) }},
+	{"a gateway is frozen", "gateways", func(y *routedSystem, r *rand.Rand) func() { return freezeFault(pickInstance(r, y.gateways)) }},
 	{"a gateway is stopped", "gateways", func(y *routedSystem, r *rand.Rand) func() {
-		return stopped(oneOf(r, y.gateways))
+		return stopFault(pickInstance(r, y.gateways))
 	}},
 	{"two controllers lose their disks", "controllers", func(y *routedSystem, r *rand.Rand) func() {
 		first := r.IntN(len(y.controllers))
@@ -144,32 +145,32 @@
 			}
 		}
 	}},
-	{"a backend server is cut off", "backends", func(y *routedSystem, r *rand.Rand) func() {
-		cable := y.backends[r.IntN(len(y.backends))].cable
-		cable.pull()
-		return cable.plug
+	{"a backend server is partitioned", "backends", func(y *routedSystem, r *rand.Rand) func() {
+		proxy := y.backends[r.IntN(len(y.backends))].proxy
+		proxy.partition()
+		return proxy.heal
 	}},
-	{"a request ends backend servers", "requests", func(y *routedSystem, r *rand.Rand) func() {
+	{"a request crashes backend servers", "requests", func(y *routedSystem, r *rand.Rand) func() {
 		for range 1 + r.IntN(6) {
-			y.sendFatal(y.herd, func() bool { return true })
+			y.sendFatal(y.crashing, func() bool { return true })
 		}
 		return func() {}
 	}},
-	{"connections to a backend server fall silent", "backends", func(y *routedSystem, r *rand.Rand) func() {
-		cable := y.backends[r.IntN(len(y.backends))].cable
-		cable.silence()
-		return cable.drop
+	{"connections to a backend server stop forwarding", "backends", func(y *routedSystem, r *rand.Rand) func() {
+		proxy := y.backends[r.IntN(len(y.backends))].proxy
+		proxy.blackhole()
+		return proxy.closeConns
 	}},
 }
 
-func oneOf(r *rand.Rand, list []*instance) *instance { return list[r.IntN(len(list))] }
+func pickInstance(r *rand.Rand, list []*instance) *instance { return list[r.IntN(len(list))] }
 
-func killed(n *instance) func() {
+func killFault(n *instance) func() {
 	n.kill()
 	return n.restart
 }
 
-func frozen(n *instance) func() {
+func freezeFault(n *instance) func() {
 	n.freeze()
 	return n.thaw
 }
--- a/proof/routed_system_test.go
+++ b/proof/routed_system_test.go
@@ -14,58 +14,58 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// seeds is the number of controllers that found a cluster.
+// seeds is the number of controllers that bootstrap a cluster.
 const seeds = 3
 
-// routedSystem is a whole bronzelead in its routed mode: controllers and gateways as
-// separate processes, and callers, an operator and backend servers of the test's own.
+// routedSystem is a complete bronzelead in routed mode: controllers and gateways as separate
+// processes; callers, an operator and backend servers inside the test process.
 type routedSystem struct {
 	c           *qt.C
 	folder      string
 	port        string
-	seedAt      []string
+	seedAddrs   []string
 	controllers []*instance
 	gateways    []*instance
-	backends    []*backendStandIn
-	// herd are the backend servers that end when they run the fatal request.
-	herd     *fragileHerd
-	operator *operatorStandIn
-	ledger   *ledger
-	made     int
+	backends    []*fakeBackend
+	// crashing are the backend servers that crash when they run the fatal request.
+	crashing *crashingBackends
+	operator *fakeOperator
+	history  *history
+	launched int
 }
 
-// instance is one process with addresses of its own.
+// instance is a controller or gateway process with its own addresses.
 type instance struct {
 	*process
 	ip string
-	// at is where callers reach a gateway, or operators a controller.
-	at   string
-	data string
-	// lives counts the starts.
-	lives atomic.Int32
+	// address is where a gateway serves callers, or a controller operators.
+	address string
+	data    string
+	// restarts counts the restarts.
+	restarts atomic.Int32
 }
 
 func startRouted(c *qt.C, controllers, gateways, backends int) *routedSystem {
-	y := startEmpty(c, controllers, gateways)
+	y := startWithoutBackends(c, controllers, gateways)
 	for i := range backends {
 		y.backends = append(y.backends, startBackend(y, fmt.Sprintf("b%d", i)))
 	}
-	y.settle()
+	y.initialize()
 	return y
 }
 
-// startEmpty starts a system without backend servers.
-func startEmpty(c *qt.C, controllers, gateways int) *routedSystem {
-	y := &routedSystem{c: c, folder: c.TempDir(), ledger: newLedger()}
-	_, y.port, _ = net.SplitHostPort(freePort(c))
-	c.Cleanup(y.end)
-	var places []string
+// startWithoutBackends starts a system without backend servers.
+func startWithoutBackends(c *qt.C, controllers, gateways int) *routedSystem {
+	y := &routedSystem{c: c, folder: c.TempDir(), history: newHistory()}
+	_, y.port, _ = net.SplitHostPort(freeAddress(c))
+	c.Cleanup(y.cleanUp)
+	var controllerAddrs []string
 	for range controllers {
-		places = append(places, freePort(c))
+		controllerAddrs = append(controllerAddrs, freeAddress(c))
 	}
-	y.seedAt = places[:seeds]
-	for _, at := range places {
-		y.controllers = append(y.controllers, y.startController(at, true))
+	y.seedAddrs = controllerAddrs[:seeds]
+	for _, addr := range controllerAddrs {
+		y.controllers = append(y.controllers, y.startController(addr, true))
 	}
 	for range gateways {
 		y.gateways = append(y.gateways, y.startGateway())
@@ -74,31 +74,32 @@
 	return y
 }
 
-// settle puts a first table into force and waits until all is in order.
-func (y *routedSystem) settle() {
-	y.operator.put()
-	eventually(y.c, "all controllers vote", y.settled)
+// initialize puts a first table into force and waits until all controllers vote and all gateways
+// serve by it.
+func (y *routedSystem) initialize() {
+	y.operator.putTable()
+	eventually(y.c, "all controllers vote", y.allVote)
 	y.waitServing()
 }
 
 func (y *routedSystem) path(name string) string { return filepath.Join(y.folder, name) }
 
-func (y *routedSystem) launch(program, at, settings string) *instance {
-	y.made++
-	ip, _, _ := net.SplitHostPort(at)
-	name := fmt.Sprintf("%s-%d", program, y.made)
-	health := freePort(y.c)
-	n := &instance{ip: ip, at: at, data: y.path(name)}
-	settings = strings.NewReplacer("{Name}", name, "{IP}", ip, "{At}", at, "{Port}", y.port, "{Data}", n.data,
-		"{Health}", health, "{Seeds}", strings.Join(y.seedAt, ", ")).Replace(settings)
+func (y *routedSystem) launch(program, addr, settings string) *instance {
+	y.launched++
+	ip, _, _ := net.SplitHostPort(addr)
+	name := fmt.Sprintf("%s-%d", program, y.launched)
+	health := freeAddress(y.c)
+	n := &instance{ip: ip, address: addr, data: y.path(name)}
+	settings = strings.NewReplacer("{Name}", name, "{IP}", ip, "{At}", addr, "{Port}", y.port, "{Data}", n.data,
+		"{Health}", health, "{Seeds}", strings.Join(y.seedAddrs, ", ")).Replace(settings)
 	y.c.Assert(os.WriteFile(y.path(name+".ini"), []byte(settings), 0o600), qt.IsNil)
 	n.process = &process{c: y.c, name: name, args: []string{program, "run-routed", y.path(name + ".ini")}, log: y.path(name + ".log")}
 	n.start()
 	return n
 }
 
-func (y *routedSystem) startController(at string, bootstrap bool) *instance {
-	return y.launch("controller", at, fmt.Sprintf(`[Instance]
+func (y *routedSystem) startController(addr string, bootstrap bool) *instance {
+	return y.launch("controller", addr, fmt.Sprintf(`[Instance]
 Name = {Name}
 Zone = z
 IP = {IP}
@@ -116,11 +117,11 @@
 Window = 4s
 Overage = 0.1
 Slack = 60
-`, bootstrap, announceEvery))
+`, bootstrap, announceInterval))
 }
 
 func (y *routedSystem) startGateway() *instance {
-	return y.launch("gateway", freePort(y.c), `[Instance]
+	return y.launch("gateway", freeAddress(y.c), `[Instance]
 Name = {Name}
 Zone = z
 Listen = {At}
@@ -135,14 +136,14 @@
 `)
 }
 
-// restart starts a process again that has ended or is about to.
+// restart waits until a process has exited and starts it again.
 func (n *instance) restart() {
 	n.wait()
-	n.lives.Add(1)
+	n.restarts.Add(1)
 	n.start()
 }
 
-// loseDisks kills controllers and starts them again with empty disks.
+// loseDisks kills controllers and restarts them with empty disks.
 func (y *routedSystem) loseDisks(nodes ...*instance) {
 	for _, n := range nodes {
 		n.kill()
@@ -151,7 +152,7 @@
 	}
 }
 
-// wipe lets a controller that has ended lose its disk. It then joins and founds nothing.
+// wipe deletes a stopped controller's data. On its restart it joins and does not bootstrap.
 func (y *routedSystem) wipe(n *instance) {
 	y.c.Assert(os.RemoveAll(n.data), qt.IsNil)
 	file := y.path(n.name + ".ini")
@@ -161,15 +162,15 @@
 	y.c.Assert(os.WriteFile(file, text, 0o600), qt.IsNil)
 }
 
-// replace ends a controller for good and starts an empty one at another address.
+// replace removes a controller for good and starts an empty one at another address.
 func (y *routedSystem) replace(i int) {
 	y.controllers[i].kill()
-	y.controllers[i] = y.startController(freePort(y.c), false)
+	y.controllers[i] = y.startController(freeAddress(y.c), false)
 }
 
-func (y *routedSystem) end() {
+func (y *routedSystem) cleanUp() {
 	for _, n := range append(y.controllers, y.gateways...) {
-		n.end()
+		n.cleanUp()
 	}
 	if !y.c.Failed() {
 		return
@@ -181,17 +182,17 @@
 	}
 }
 
-// logLine is what the tests read of the programs' logs.
+// logLine holds the fields that the tests read from the programs' logs.
 type logLine struct {
 	Time    string `json:"time"`
 	Message string `json:"msg"`
 	Member  string
 	Voters  []string
-	// AsksControllers is set in the lines by which a gateway says how it hears of news.
+	// AsksControllers is set in the lines in which a gateway logs its update path.
 	AsksControllers *bool
 }
 
-func (y *routedSystem) logOf(n *instance) []logLine {
+func (y *routedSystem) readLog(n *instance) []logLine {
 	text, err := os.ReadFile(n.log)
 	y.c.Assert(err, qt.IsNil)
 	var lines []logLine
@@ -206,29 +207,29 @@
 	return lines
 }
 
-// settled reports whether the controllers that run are the voters.
-func (y *routedSystem) settled() bool {
+// allVote reports whether the voters are exactly the running controllers.
+func (y *routedSystem) allVote() bool {
 	newest := logLine{}
 	members := map[string]bool{}
 	for _, n := range y.controllers {
-		member, starts := "", int32(0)
-		for _, line := range y.logOf(n) {
+		member, runs := "", int32(0)
+		for _, line := range y.readLog(n) {
 			if line.Member != "" {
 				member = line.Member
-				starts++
+				runs++
 			}
 			if line.Voters != nil && line.Time > newest.Time {
 				newest = line
 			}
 		}
-		if starts <= n.lives.Load() {
-			// Its latest start has not got far enough to say who it is.
+		if runs <= n.restarts.Load() {
+			// Its latest run has not logged its member id yet.
 			return false
 		}
 		members[member] = true
 	}
 	if newest.Voters == nil {
-		// The founders alone vote from the beginning.
+		// Until a configuration is logged, the bootstrapping controllers are the voters.
 		return len(y.controllers) == seeds
 	}
 	for _, voter := range newest.Voters {
@@ -247,8 +248,8 @@
 	for _, n := range gateways {
 		eventually(y.c, n.name+" serves by the newest table", func() bool {
 			caller := newCaller(y, "wait-"+n.name, n)
-			defer caller.hangUp()
-			return caller.ask(marker(newest)).status == 200
+			defer caller.disconnect()
+			return caller.send(markerPath(newest)).status == 200
 		})
 	}
 }
--- a/proof/routed_test.go
+++ b/proof/routed_test.go
@@ -6,49 +6,50 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The seeds found a cluster of five, of which any two may lose their disks at once; a
-// third is replaced by an empty one at another address. Nothing acknowledged is lost.
+// In a cluster of five, which the seeds have bootstrapped, any two may lose their disks at
+// once; a third is replaced by an empty one at another address. Nothing acknowledged is lost.
 func TestRoutedDisksAndReplacements(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	y := startRouted(c, 5, 2, 2)
-	crowd := startCrowd(y, 4, 1)
+	background := startBackgroundLoad(y, 4, 1)
 	y.loseDisks(y.controllers[:2]...)
-	eventually(c, "those with new disks vote", y.settled)
-	y.operator.put()
+	eventually(c, "the controllers with new disks vote", y.allVote)
+	y.operator.putTable()
 	y.replace(2)
-	y.operator.look()
-	eventually(c, "the new one votes", y.settled)
-	y.operator.put()
-	// The two that never lost anything go; the rest must know it all.
+	y.operator.refreshControllers()
+	eventually(c, "the replacement votes", y.allVote)
+	y.operator.putTable()
+	// The two that kept their disks and addresses are killed; the others must have all the
+	// data.
 	y.controllers[3].kill()
 	y.controllers[4].kill()
 	y.waitRead(1)
-	y.operator.put()
+	y.operator.putTable()
 	y.waitServing()
-	crowd.stop()
-	y.ledger.check(c)
+	background.stop()
+	y.history.check(c)
 }
 
-// One seed is replaced at another address, and the other two lose their disks: of the
-// addresses that a controller starts from none knows the cluster any more. The members
-// that are left tell the new ones.
-func TestRoutedSeedsThatKnowNothing(t *testing.T) {
+// One seed is replaced at another address, and the other two lose their disks, so that no
+// address in a controller's settings belongs to a member with state. The new ones learn
+// of the cluster from the remaining members.
+func TestRoutedSeedsWithoutState(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	y := startRouted(c, 5, 1, 1)
 	y.replace(2)
-	y.operator.look()
-	eventually(c, "the new one votes", y.settled)
+	y.operator.refreshControllers()
+	eventually(c, "the replacement votes", y.allVote)
 	y.loseDisks(y.controllers[:2]...)
-	eventually(c, "those with new disks vote", y.settled)
-	y.operator.put()
+	eventually(c, "the controllers with new disks vote", y.allVote)
+	y.operator.putTable()
 	y.waitServing()
-	y.ledger.check(c)
+	y.history.check(c)
 }
 
-// Without a majority of the controllers callers are served; only changes and reads of
-// the table wait.
+// Without a majority of the controllers callers are served; only changes and reads of the table
+// fail.
 func TestRoutedServingWithoutAMajority(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
@@ -56,30 +57,30 @@
 	for _, n := range y.controllers[:3] {
 		n.kill()
 	}
-	crowd := startCrowd(y, 4, 2)
+	background := startBackgroundLoad(y, 4, 2)
 	y.waitServed(200)
 	before := y.operator.acknowledged.Load()
-	c.Check(y.operator.try(3, y.operator.sent.Add(1)), qt.IsFalse)
-	_, ok := y.operator.read(4)
+	c.Check(y.operator.sendTable(3, y.operator.sent.Add(1)), qt.IsFalse)
+	_, ok := y.operator.readVersion(4)
 	c.Check(ok, qt.IsFalse)
 	for _, n := range y.controllers[:3] {
 		n.restart()
 	}
-	y.operator.put()
+	y.operator.putTable()
 	c.Check(y.operator.acknowledged.Load() > before, qt.IsTrue)
 	y.waitServing()
-	crowd.stop()
-	y.ledger.check(c)
+	background.stop()
+	y.history.check(c)
 }
 
-// Everything loses its power at once. What was acknowledged is there afterwards.
-func TestRoutedAllAreKilled(t *testing.T) {
+// All processes are killed at once. What was acknowledged is recovered.
+func TestRoutedAllProcessesKilled(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	y := startRouted(c, 5, 2, 2)
-	crowd := startCrowd(y, 4, 3)
+	background := startBackgroundLoad(y, 4, 3)
 	for range 3 {
-		y.operator.put()
+		y.operator.putTable()
 		all := append(append([]*instance{}, y.controllers...), y.gateways...)
 		for _, n := range all {
 			n.kill()
@@ -90,74 +91,74 @@
 		y.waitRead(0)
 		y.waitServing()
 	}
-	crowd.stop()
-	y.ledger.check(c)
+	background.stop()
+	y.history.check(c)
 }
 
-// Gateways are stopped and started in turn. Whatever was passed on gets its answer.
+// Gateways are stopped and restarted in turn. Each forwarded request gets its answer.
 func TestRoutedPlannedStops(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	y := startRouted(c, 3, 2, 2)
-	crowd := startCrowd(y, 6, 4)
+	background := startBackgroundLoad(y, 6, 4)
 	for _, n := range y.gateways {
 		y.waitServed(100)
 		n.stop()
 		n.restart()
 		y.waitServing()
 	}
-	crowd.stop()
-	y.ledger.check(c)
-	c.Check(y.ledger.unanswered(), qt.HasLen, 0)
+	background.stop()
+	y.history.check(c)
+	c.Check(y.history.unanswered(), qt.HasLen, 0)
 }
 
-// The cable to a backend server is pulled again and again while requests run there. Their
-// answers are lost, and nobody may say that they did not run.
+// A backend server is partitioned again and again while it runs requests. Their answers are
+// lost, and none of them may be refused as not run.
 func TestRoutedLostAnswers(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	y := startRouted(c, 3, 2, 2)
-	crowd := startCrowd(y, 8, 6)
-	for len(y.ledger.lost()) < 10 {
-		cable := y.backends[0].cable
-		cable.pull()
+	background := startBackgroundLoad(y, 8, 6)
+	for len(y.history.failedAfterRun()) < 10 {
+		proxy := y.backends[0].proxy
+		proxy.partition()
 		y.waitServed(5)
-		cable.plug()
+		proxy.heal()
 		y.waitServed(40)
 	}
-	crowd.stop()
-	y.ledger.check(c)
+	background.stop()
+	y.history.check(c)
 }
 
-// A backend server that leaves gets nothing more once a controller has acknowledged it.
+// A draining backend server gets no new requests after a controller's acknowledgement.
 func TestRoutedDraining(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	y := startRouted(c, 3, 2, 2)
-	crowd := startCrowd(y, 6, 5)
+	background := startBackgroundLoad(y, 6, 5)
 	y.waitServed(100)
 	leaving := y.backends[0]
 	leaving.draining.Store(true)
 	acknowledged := leaving.acknowledged.Load()
-	eventually(c, "the notice is acknowledged", func() bool { return leaving.acknowledged.Load() > acknowledged+1 })
+	eventually(c, "the draining announcement is acknowledged", func() bool { return leaving.acknowledged.Load() > acknowledged+1 })
 	runs := leaving.runs.Load()
 	y.waitServed(300)
-	// Requests may have been on their way when the notice was acknowledged.
+	// Requests may have been in flight when the announcement was acknowledged.
 	c.Check(leaving.runs.Load()-runs <= 6, qt.IsTrue, qt.Commentf("%d", leaving.runs.Load()-runs))
-	crowd.stop()
-	y.ledger.check(c)
+	background.stop()
+	y.history.check(c)
 }
 
-// waitServed waits until so many more requests have been served.
+// waitServed waits until a number of further requests are served.
 func (y *routedSystem) waitServed(more int) {
-	until := y.ledger.servedSoFar() + more
-	eventually(y.c, "requests are served", func() bool { return y.ledger.servedSoFar() >= until })
+	target := y.history.servedCount() + more
+	eventually(y.c, "requests are served", func() bool { return y.history.servedCount() >= target })
 }
 
-// waitRead waits until a controller reads back the newest table that was acknowledged.
+// waitRead waits until a controller returns the newest acknowledged table.
 func (y *routedSystem) waitRead(i int) {
 	eventually(y.c, "the newest table is read", func() bool {
-		version, ok := y.operator.read(i)
+		version, ok := y.operator.readVersion(i)
 		return ok && version == y.operator.acknowledged.Load()
 	})
 }
--- a/proof/routed_throttle_test.go
+++ b/proof/routed_throttle_test.go
@@ -16,16 +16,16 @@
 )
 
 // Two of nine model engines announced that they take 6.3 and 4.5 requests a second from all
-// gateways together. They got 77 and 65 in the 4 s that ended 3 s later, where 43 and 32 were
-// allowed: what arrived each second did not change when they announced it.
+// gateways together. In the 4 s that ended 3 s later they received 77 and 65, where 43 and 32
+// were allowed: the announcement did not change the arrivals per second.
 //
 //	second           5  6  7  8  9 10 11 12 13
 //	i-b884b97c85    17 15 15 19 27 20 23 16 17   limited to 6.3 from 8.0 s on
 //	i-fa5bd0184c    14 12  7 12 13 17 17 14 19   limited to 4.5 from 8.0 s on
 //
-// Here one of three backend servers announces a limit while callers ask all gateways together
-// for more than that. Of twelve gateways, ten hear of it through two others.
-func TestRoutedARequestLimitHoldsOverAllGateways(t *testing.T) {
+// Here one of three backend servers announces a limit while callers send more than that through
+// all gateways together. Of twelve gateways, ten receive it through two others.
+func TestRoutedRequestLimitHoldsAcrossGateways(t *testing.T) {
 	for name, gateways := range map[string]int{"three gateways": 3, "twelve gateways": 12} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -34,102 +34,103 @@
 			load := startSteadyLoad(y, 60/gateways)
 			limited := y.backends[0]
 			y.waitServed(120)
-			named := time.Now()
+			announcedAt := time.Now()
 			limited.setLimit(announcedLimit)
-			y.keepServing(named.Add(contact + 2*limitWindow))
+			y.waitWhileServing(announcedAt.Add(maxPropagation + 2*limitWindow))
 			limited.setLimit(0)
-			lifted := time.Now()
-			limited.checkLimit(named, lifted)
-			used := limited.arrivedBetween(named.Add(contact), lifted)
-			c.Check(float64(used) >= leastUse*announcedLimit*lifted.Sub(named.Add(contact)).Seconds(), qt.IsTrue,
-				qt.Commentf("%d requests in %s under a limit of %v a second", used, lifted.Sub(named.Add(contact)), announcedLimit))
-			eventually(c, "the server gets more once it has lifted its limit", func() bool {
+			liftedAt := time.Now()
+			limited.checkLimit(announcedAt, liftedAt)
+			used := limited.arrivedBetween(announcedAt.Add(maxPropagation), liftedAt)
+			c.Check(float64(used) >= minUse*announcedLimit*liftedAt.Sub(announcedAt.Add(maxPropagation)).Seconds(), qt.IsTrue,
+				qt.Commentf("%d requests in %s under a limit of %v a second", used, liftedAt.Sub(announcedAt.Add(maxPropagation)), announcedLimit))
+			eventually(c, "the server receives more requests after its limit is lifted", func() bool {
 				return limited.arrivedBetween(time.Now().Add(-time.Second), time.Now()) > 2*announcedLimit
 			})
 			load.stop()
 			c.Check(load.notServed(), qt.HasLen, 0)
-			y.ledger.check(c)
+			y.history.check(c)
 		})
 	}
 }
 
-// The limit holds while gateways are killed, frozen and stopped in turn, the owner of the limit
-// among them, and while there is no leader; an operator sees it. Here no gateway is excused.
-func TestRoutedARequestLimitHoldsWhileGatewaysAreLost(t *testing.T) {
+// The limit holds while gateways, including the limit's owner, are killed, frozen and stopped
+// in turn, and while there is no leader; an operator sees it. No gateway is exempt from the
+// check.
+func TestRoutedRequestLimitHoldsDuringGatewayFaults(t *testing.T) {
 	t.Parallel()
 	c := qt.New(t)
 	y := startRouted(c, 3, 4, 3)
 	load := startSteadyLoad(y, 15)
 	limited := y.backends[0]
 	y.waitServed(120)
-	named := time.Now()
+	announcedAt := time.Now()
 	limited.setLimit(announcedLimit)
-	y.keepServing(named.Add(contact))
+	y.waitWhileServing(announcedAt.Add(maxPropagation))
 	eventually(c, "the operator sees the limit", func() bool {
-		return strings.Contains(y.control("limits", "--backends"), "b0       6.00  InForce")
+		return strings.Contains(y.runBronzectl("limits", "--backends"), "b0       6.00  InForce")
 	})
 	for i, n := range y.gateways {
-		heal := []func(*instance) func(){killed, frozen, stopped, killed}[i](n)
-		y.keepServing(time.Now().Add(1500 * time.Millisecond))
+		heal := []func(*instance) func(){killFault, freezeFault, stopFault, killFault}[i](n)
+		y.waitWhileServing(time.Now().Add(1500 * time.Millisecond))
 		heal()
-		y.keepServing(time.Now().Add(time.Second))
+		y.waitWhileServing(time.Now().Add(time.Second))
 	}
 	for _, n := range y.controllers {
 		n.freeze()
 	}
-	y.keepServing(time.Now().Add(2 * time.Second))
+	y.waitWhileServing(time.Now().Add(2 * time.Second))
 	for _, n := range y.controllers {
 		n.thaw()
 	}
-	y.keepServing(time.Now().Add(time.Second))
-	limited.checkLimit(named, time.Now())
+	y.waitWhileServing(time.Now().Add(time.Second))
+	limited.checkLimit(announcedAt, time.Now())
 	load.stop()
-	y.ledger.check(c)
+	y.history.check(c)
 }
 
-func stopped(n *instance) func() {
+func stopFault(n *instance) func() {
 	n.stop()
 	return n.restart
 }
 
 const (
-	// announcedLimit is what the limited server takes in a second.
+	// announcedLimit is the limited server's limit in requests per second.
 	announcedLimit = 6
-	// limitWindow is the time over which a limit is judged, and leastUse the part of a limit
-	// that is to be used while there is demand.
+	// limitWindow is the window over which a limit is checked, and minUse the share of the
+	// limit that must be used while there is demand.
 	limitWindow = 4 * time.Second
-	leastUse    = 0.75
+	minUse      = 0.75
 )
 
-// allowedInWindow is how many requests a server with a limit may get in a window.
+// allowedInWindow returns how many requests a limited server may receive in a window.
 func allowedInWindow(limit throttler.RequestRate) int {
 	const overage, slack = 1.5, 5
 	return int(overage*float64(limit)*limitWindow.Seconds()) + slack
 }
 
-// checkLimit checks each window that ends at least the time of contact after the limit was
-// named, and before it was lifted.
-func (b *backendStandIn) checkLimit(named, lifted time.Time) {
-	most := b.mostInWindow(named.Add(contact), lifted)
-	used := b.arrivedBetween(named.Add(contact), lifted)
-	b.y.c.Logf("at most %d requests in %s, allowed %d; %.2f a second under a limit of %v", most, limitWindow,
-		allowedInWindow(announcedLimit), float64(used)/lifted.Sub(named.Add(contact)).Seconds(), announcedLimit)
-	b.y.c.Check(most <= allowedInWindow(announcedLimit), qt.IsTrue,
-		qt.Commentf("%d requests in %s, allowed %d", most, limitWindow, allowedInWindow(announcedLimit)))
+// checkLimit checks each window that ends between maxPropagation after the announcement and the
+// limit's end.
+func (b *fakeBackend) checkLimit(announcedAt, liftedAt time.Time) {
+	peak := b.maxInWindow(announcedAt.Add(maxPropagation), liftedAt)
+	used := b.arrivedBetween(announcedAt.Add(maxPropagation), liftedAt)
+	b.y.c.Logf("at most %d requests in %s, allowed %d; %.2f a second under a limit of %v", peak, limitWindow,
+		allowedInWindow(announcedLimit), float64(used)/liftedAt.Sub(announcedAt.Add(maxPropagation)).Seconds(), announcedLimit)
+	b.y.c.Check(peak <= allowedInWindow(announcedLimit), qt.IsTrue,
+		qt.Commentf("%d requests in %s, allowed %d", peak, limitWindow, allowedInWindow(announcedLimit)))
 }
 
-// mostInWindow returns the most requests that arrived in a window that ends in a time.
-func (b *backendStandIn) mostInWindow(from, until time.Time) int {
-	most := 0
+// maxInWindow returns the highest number of arrivals in a window that ends in the given period.
+func (b *fakeBackend) maxInWindow(from, until time.Time) int {
+	peak := 0
 	for _, end := range append(b.arrivals(), from) {
 		if !end.Before(from) && !end.After(until) {
-			most = max(most, b.arrivedBetween(end.Add(-limitWindow), end))
+			peak = max(peak, b.arrivedBetween(end.Add(-limitWindow), end))
 		}
 	}
-	return most
+	return peak
 }
 
-func (b *backendStandIn) arrivedBetween(from, until time.Time) int {
+func (b *fakeBackend) arrivedBetween(from, until time.Time) int {
 	n := 0
 	for _, at := range b.arrivals() {
 		if at.After(from) && !at.After(until) {
@@ -139,32 +140,32 @@
 	return n
 }
 
-// keepServing waits until a time, and for requests to be served all along.
-func (y *routedSystem) keepServing(until time.Time) {
+// waitWhileServing waits until a time and requires that requests are served throughout.
+func (y *routedSystem) waitWhileServing(until time.Time) {
 	for time.Now().Before(until) {
 		y.waitServed(10)
 	}
 }
 
-// steadyLoad is callers that ask each gateway for streams at a steady rate.
+// steadyLoad sends requests to each gateway at a steady rate.
 type steadyLoad struct {
-	cancel context.CancelFunc
-	wait   sync.WaitGroup
-	mu     sync.Mutex
-	failed []string
+	cancel  context.CancelFunc
+	senders sync.WaitGroup
+	mu      sync.Mutex
+	failed  []string
 }
 
-// startSteadyLoad asks each gateway for some requests a second.
+// startSteadyLoad sends each gateway perSecond requests a second.
 func startSteadyLoad(y *routedSystem, perSecond int) *steadyLoad {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &steadyLoad{cancel: cancel}
-	kinds := []kind{stream, once, idempotent}
+	kinds := []routeKind{stream, once, idempotent}
 	for i, n := range y.gateways {
-		l.wait.Go(func() {
+		l.senders.Go(func() {
 			ticker := time.NewTicker(time.Second / time.Duration(perSecond))
 			defer ticker.Stop()
 			for sent := 0; ctx.Err() == nil; sent++ {
-				l.wait.Go(func() { l.ask(y, fmt.Sprintf("steady-%d-%d", i, sent), n, kinds[sent%len(kinds)]) })
+				l.senders.Go(func() { l.send(y, fmt.Sprintf("steady-%d-%d", i, sent), n, kinds[sent%len(kinds)]) })
 				select {
 				case <-ctx.Done():
 				case <-ticker.C:
@@ -175,10 +176,10 @@
 	return l
 }
 
-func (l *steadyLoad) ask(y *routedSystem, name string, to *instance, k kind) {
+func (l *steadyLoad) send(y *routedSystem, name string, to *instance, k routeKind) {
 	caller := newCaller(y, name, to)
-	defer caller.hangUp()
-	s := caller.ask(string(k) + "x")
+	defer caller.disconnect()
+	s := caller.send(string(k) + "x")
 	if s.status == http.StatusOK {
 		return
 	}
@@ -189,7 +190,7 @@
 
 func (l *steadyLoad) stop() {
 	l.cancel()
-	l.wait.Wait()
+	l.senders.Wait()
 }
 
 // notServed returns the requests that were not served, with their status.
--- a/proof/system_test.go
+++ b/proof/system_test.go
@@ -27,19 +27,19 @@
 	customer    = "volantes"
 )
 
-// shape says what a system is made of.
-type shape struct {
+// systemConfig describes the processes of a system.
+type systemConfig struct {
 	controllers int
 	gateways    int
 	engines     int
 	slots       int
-	// endOn is a text in a request under which engines end; "" is none.
-	endOn string
-	// ignoreFencing lets engines take orders with old numbers.
+	// crashOn is a text in requests that crashes the engines that run them; "" for none.
+	crashOn string
+	// ignoreFencing makes engines accept orders with old fencing numbers.
 	ignoreFencing bool
 }
 
-// system is a whole bronzelead of separate processes, with cables between them.
+// system is a complete bronzelead of separate processes, connected by proxies.
 type system struct {
 	c           *qt.C
 	folder      string
@@ -48,36 +48,36 @@
 	engines     []*process
 	service     *process
 	store       *process
-	// addresses by position, as the parts listen.
-	controllerAt, gatewayAt, engineAt []string
-	serviceAt                         string
-	// cables[i][j] leads from gateway i to controller j; toEngine[i] to engine i.
-	cables   [][]*link
-	toEngine []*link
-	client   *http.Client
-	version  uint64
+	// Listen addresses, by index.
+	controllerAddrs, gatewayAddrs, engineAddrs []string
+	serviceAddr                                string
+	// controllerProxies[i][j] connects gateway i to controller j; engineProxies[i] leads to
+	// engine i.
+	controllerProxies [][]*tcpProxy
+	engineProxies     []*tcpProxy
+	client            *http.Client
+	version           uint64
 }
 
-// startSystem starts everything, puts a contract into force and waits until each
-// gateway serves.
-func startSystem(c *qt.C, s shape) *system {
+// startSystem starts all processes, applies a contract and waits until each gateway serves.
+func startSystem(c *qt.C, s systemConfig) *system {
 	y := &system{c: c, folder: c.TempDir(), client: &http.Client{Transport: connector.NewTransport(nil)}}
 	y.write("cluster.key", clusterKey)
 	y.write("operators", "tester "+digest(operatorKey))
 	y.write("backends", "all "+digest(backendKey))
 	y.write("backend.key", backendKey)
 	y.write("operator.key", operatorKey)
-	c.Cleanup(y.end)
-	storeAt := freePort(c)
+	c.Cleanup(y.cleanUp)
+	storeAddr := freeAddress(c)
 	for range s.controllers {
-		y.controllerAt = append(y.controllerAt, freePort(c))
+		y.controllerAddrs = append(y.controllerAddrs, freeAddress(c))
 	}
 	for range s.gateways {
-		y.gatewayAt = append(y.gatewayAt, freePort(c))
+		y.gatewayAddrs = append(y.gatewayAddrs, freeAddress(c))
 	}
-	y.store = y.process("store", "standin", "store", "--listen", storeAt, "--per-second", "20", "--takes", "50ms")
+	y.store = y.process("store", "standin", "store", "--listen", storeAddr, "--per-second", "20", "--takes", "50ms")
 	for i := range s.controllers {
-		y.addController(i, storeAt)
+		y.addController(i, storeAddr)
 	}
 	for i := range s.gateways {
 		y.addGateway(i)
@@ -85,9 +85,9 @@
 	for i := range s.engines {
 		y.addEngine(i, s)
 	}
-	y.serviceAt = freePort(c)
+	y.serviceAddr = freeAddress(c)
 	y.service = y.process("service", "standin", "service", "--name", "orders-1", "--zone", "sala-sur", "--service", "orders",
-		"--listen", y.serviceAt, "--gateways", strings.Join(y.gatewayAt, ","), "--key-file", y.path("backend.key"),
+		"--listen", y.serviceAddr, "--gateways", strings.Join(y.gatewayAddrs, ","), "--key-file", y.path("backend.key"),
 		"--every", "200ms", "--leave", "3s")
 	y.waitReady()
 	return y
@@ -107,9 +107,9 @@
 	return p
 }
 
-func (y *system) addController(i int, storeAt string) {
+func (y *system) addController(i int, storeAddr string) {
 	name := fmt.Sprintf("control-%d", i)
-	names := make([]string, len(y.controllerAt))
+	names := make([]string, len(y.controllerAddrs))
 	for j := range names {
 		names[j] = fmt.Sprintf("control-%d", j)
 	}
@@ -134,8 +134,8 @@
 LongestOrder = 3s
 MinResidence = 200ms
 StarveAfter = 300ms
-`, name, i, y.controllerAt[i], y.path(name), strings.Join(names, ", "), strings.Join(y.controllerAt, ", "),
-		y.path("cluster.key"), y.path("operators"), storeAt))
+`, name, i, y.controllerAddrs[i], y.path(name), strings.Join(names, ", "), strings.Join(y.controllerAddrs, ", "),
+		y.path("cluster.key"), y.path("operators"), storeAddr))
 	if i == 0 {
 		y.process("init", "controller", "init", y.path(name+".ini")).wait()
 	}
@@ -146,14 +146,14 @@
 
 func (y *system) addGateway(i int) {
 	name := fmt.Sprintf("entry-%d", i)
-	var cables []*link
-	var through []string
-	for _, address := range y.controllerAt {
-		cable := newLink(y.c, address)
-		cables = append(cables, cable)
-		through = append(through, cable.address)
+	var proxies []*tcpProxy
+	var proxyAddrs []string
+	for _, address := range y.controllerAddrs {
+		proxy := newTCPProxy(y.c, address)
+		proxies = append(proxies, proxy)
+		proxyAddrs = append(proxyAddrs, proxy.address)
 	}
-	y.cables = append(y.cables, cables)
+	y.controllerProxies = append(y.controllerProxies, proxies)
 	y.write(name+".ini", fmt.Sprintf(`[Instance]
 Name = %s
 Zone = zone-%d
@@ -170,35 +170,35 @@
 StopDelay = 300ms
 [Policy]
 IdleLease = 2s
-`, name, i, y.gatewayAt[i], strings.Join(through, ", "), y.path("cluster.key"), y.path("backends"), y.path("operators")))
+`, name, i, y.gatewayAddrs[i], strings.Join(proxyAddrs, ", "), y.path("cluster.key"), y.path("backends"), y.path("operators")))
 	y.gateways = append(y.gateways, y.process(name, "gateway", "run", y.path(name+".ini")))
 }
 
-func (y *system) addEngine(i int, s shape) {
-	at := freePort(y.c)
-	cable := newLink(y.c, at)
-	y.engineAt = append(y.engineAt, at)
-	y.toEngine = append(y.toEngine, cable)
+func (y *system) addEngine(i int, s systemConfig) {
+	addr := freeAddress(y.c)
+	proxy := newTCPProxy(y.c, addr)
+	y.engineAddrs = append(y.engineAddrs, addr)
+	y.engineProxies = append(y.engineProxies, proxy)
 	args := []string{
 		"standin", "engine", "--name", fmt.Sprintf("engine-%d", i), "--zone", fmt.Sprintf("zone-%d", i%3),
-		"--listen", at, "--address", cable.address, "--gateways", strings.Join(y.gatewayAt, ","),
+		"--listen", addr, "--address", proxy.address, "--gateways", strings.Join(y.gatewayAddrs, ","),
 		"--key-file", y.path("backend.key"), "--every", "200ms", "--leave", "8s",
 		"--slots", fmt.Sprint(s.slots), "--step", "10ms",
 	}
 	if s.ignoreFencing {
 		args = append(args, "--ignore-fencing")
 	}
-	if s.endOn != "" {
-		args = append(args, "--end-on", s.endOn)
+	if s.crashOn != "" {
+		args = append(args, "--end-on", s.crashOn)
 	}
 	y.engines = append(y.engines, y.process(fmt.Sprintf("engine-%d", i), args...))
 }
 
-func (y *system) end() {
+func (y *system) cleanUp() {
 	all := append(append(append([]*process{y.service, y.store}, y.gateways...), y.engines...), y.controllers...)
 	for _, p := range all {
 		if p != nil {
-			p.end()
+			p.cleanUp()
 		}
 	}
 	if y.c.Failed() {
@@ -214,8 +214,8 @@
 	}
 }
 
-// waitReady waits until all controllers vote, the contract is in force and each
-// gateway reaches the backend servers.
+// waitReady waits until all controllers are voters, the contract is in force and each gateway
+// reaches the backend servers.
 func (y *system) waitReady() {
 	eventually(y.c, "all controllers vote", func() bool {
 		res, err := y.operator().Members(y.ctx(), &wire.MembersRequest{})
@@ -230,9 +230,9 @@
 	}
 }
 
-// contract returns the contract that the tests work with.
+// contract returns the contract that the tests use.
 func (y *system) contract() *wire.Contract {
-	k := &wire.Contract{
+	contract := &wire.Contract{
 		Customer: customer, RequestsAtOnce: 64, QueueLength: 500,
 		DeadlineNs: int64(20 * time.Second), KeepKeysNs: int64(time.Hour),
 		Classes:  []*wire.ClassTerms{{Name: "counter", Priority: 10}},
@@ -240,19 +240,19 @@
 		Keys:     []*wire.KeyTerms{{Name: "test", Digest: digest(customerKey)}},
 	}
 	for i := range 40 {
-		k.Adapters = append(k.Adapters, &wire.AdapterTerms{
+		contract.Adapters = append(contract.Adapters, &wire.AdapterTerms{
 			Name: fmt.Sprintf("proof-%d", i), BaseModel: "base", Versions: []string{"1", "2"}, Class: "counter",
 		})
 	}
-	return k
+	return contract
 }
 
-// apply puts a contract into force and waits until it is so everywhere.
-func (y *system) apply(k *wire.Contract) {
+// apply applies a contract and waits until it is in force everywhere.
+func (y *system) apply(contract *wire.Contract) {
 	var revision uint64
 	change := fmt.Sprintf("change-%d", time.Now().UnixNano())
 	eventually(y.c, "the contract is accepted", func() bool {
-		res, err := y.operator().Apply(y.ctx(), &wire.ApplyRequest{ChangeId: change, BaseVersion: y.version, Contract: k})
+		res, err := y.operator().Apply(y.ctx(), &wire.ApplyRequest{ChangeId: change, BaseVersion: y.version, Contract: contract})
 		if err != nil {
 			return false
 		}
@@ -269,7 +269,7 @@
 
 func (y *system) ctx() context.Context { return context.Background() }
 
-// operator returns a client of whichever controller answers.
+// operator returns a client of the first controller that answers.
 func (y *system) operator() wire.Operator {
 	for range 2 {
 		for i := range y.controllers {
@@ -283,12 +283,12 @@
 }
 
 func (y *system) operatorAt(i int) wire.Operator {
-	return wire.NewOperatorProtobufClient("http://"+y.controllerAt[i], &connector.Client{
+	return wire.NewOperatorProtobufClient("http://"+y.controllerAddrs[i], &connector.Client{
 		Timeout: time.Second, Key: operatorKey, Transport: connector.NewTransport(nil),
 	})
 }
 
-// leader returns the position of the controller that leads, or -1.
+// leader returns the index of the leading controller, or -1.
 func (y *system) leader() int {
 	res, err := y.operator().Members(y.ctx(), &wire.MembersRequest{})
 	if err != nil {
@@ -302,17 +302,17 @@
 	return -1
 }
 
-// fault tells a stand-in what to do wrong.
-func (y *system) fault(address, body string) {
+// injectFault makes a stand-in misbehave.
+func (y *system) injectFault(address, body string) {
 	res, err := http.Post("http://"+address+"/control/fault", "application/json", strings.NewReader(body))
 	y.c.Assert(err, qt.IsNil)
 	_ = res.Body.Close()
 }
 
-// engineLog reads what an engine ran, loaded and unloaded.
+// engineLog returns what an engine has run, loaded and unloaded.
 func (y *system) engineLog(i int) []engineEntry {
 	log := struct{ Entries []engineEntry }{}
-	y.read(y.engineAt[i], &log)
+	y.readLog(y.engineAddrs[i], &log)
 	return log.Entries
 }
 
@@ -323,10 +323,10 @@
 	Adapter   string
 }
 
-// serviceRuns reads the bodies of all requests that the plain service ran.
+// serviceRuns counts the runs of each POST body at the plain service.
 func (y *system) serviceRuns() map[string]int {
 	var runs []struct{ Method, Body string }
-	y.read(y.serviceAt, &runs)
+	y.readLog(y.serviceAddr, &runs)
 	counts := map[string]int{}
 	for _, r := range runs {
 		if r.Method == http.MethodPost {
@@ -336,17 +336,17 @@
 	return counts
 }
 
-func (y *system) read(address string, target any) {
+func (y *system) readLog(address string, target any) {
 	res, err := http.Get("http://" + address + "/control/log")
 	y.c.Assert(err, qt.IsNil)
 	defer func() { _ = res.Body.Close() }()
 	y.c.Assert(json.NewDecoder(res.Body).Decode(target), qt.IsNil)
 }
 
-// races returns the reports of the race detector in which one of the two accesses is
-// in bronzelead's code. The HTTP library hands connections from one goroutine to
-// another through the kernel's epoll, which the detector can't see.
-func races(log []byte) []string {
+// raceReports returns the race detector's reports in which at least one of the two accesses is
+// in bronzelead's code. The HTTP library passes connections between goroutines through the
+// kernel's epoll, which the detector can't see.
+func raceReports(log []byte) []string {
 	var found []string
 	for _, report := range strings.Split(string(log), "WARNING: DATA RACE")[1:] {
 		accesses, _, _ := strings.Cut(report, "created at:")
