--- a/gateway/receiver/completions.go
+++ b/gateway/receiver/completions.go
@@ -68,9 +68,9 @@
 
 // readKey takes the key that makes a request run at most once.
 func (e *entry) readKey() *Problem {
-	e.key = e.http.Header.Get(KeyHeader)
+	e.key = e.http.Header.Get(IdempotencyKeyHeader)
 	if len(e.key) > maxKeyLength {
-		return malformed(KeyHeader + " is longer than " + strconv.Itoa(maxKeyLength) + " bytes")
+		return malformed(IdempotencyKeyHeader + " is longer than " + strconv.Itoa(maxKeyLength) + " bytes")
 	}
 	if e.key != "" {
 		e.once = true
--- a/gateway/receiver/once.go
+++ b/gateway/receiver/once.go
@@ -219,7 +219,7 @@
 // mayBeRepeat reports whether a request that was refused before its key was read may
 // have one.
 func (r *Receiver) mayBeRepeat(e *entry) bool {
-	if e.http.Header.Get(KeyHeader) != "" {
+	if e.http.Header.Get(IdempotencyKeyHeader) != "" {
 		return true
 	}
 	if !strings.HasPrefix(e.http.URL.Path, servicesPath) || e.once {
--- a/gateway/receiver/receiver.go
+++ b/gateway/receiver/receiver.go
@@ -38,8 +38,8 @@
 	ClassHeader = "X-Priority-Class"
 	// DeadlineHeader shortens a request's deadline; it is a duration or seconds.
 	DeadlineHeader = "X-Deadline"
-	// KeyHeader names a request that must not run twice.
-	KeyHeader = "Idempotency-Key"
+	// IdempotencyKeyHeader names a request that must not run twice.
+	IdempotencyKeyHeader = "Idempotency-Key"
 	// RequestIDAnswer tells the caller the request's id.
 	RequestIDAnswer = "X-Request-Id"
 )
