--- a/gateway/receiver/completions.go
+++ b/gateway/receiver/completions.go
@@ -205,7 +205,7 @@
 	h.Set("Content-Type", contentType)
 	h.Set("Cache-Control", "no-store")
 	h.Set("Transfer-Encoding", "chunked")
-	h.Set(RequestIDAnswer, c.entry.id)
+	h.Set(RequestIDHeader, c.entry.id)
 	c.writer.WriteHeader(http.StatusOK)
 }
 
@@ -243,7 +243,7 @@
 		return
 	}
 	c.writer.Header().Set("Content-Type", jsonContent)
-	c.writer.Header().Set(RequestIDAnswer, c.entry.id)
+	c.writer.Header().Set(RequestIDHeader, c.entry.id)
 	c.writer.WriteHeader(out.Status)
 	_, _ = c.writer.Write(out.Body)
 }
--- a/gateway/receiver/once.go
+++ b/gateway/receiver/once.go
@@ -243,7 +243,7 @@
 func writeStored(w http.ResponseWriter, requestID string, o *wire.Outcome) {
 	w.Header().Set("Content-Type", o.GetContentType())
 	w.Header().Set("Content-Length", strconv.Itoa(len(o.GetBody())))
-	w.Header().Set(RequestIDAnswer, requestID)
+	w.Header().Set(RequestIDHeader, requestID)
 	w.Header().Set("Idempotency-Replayed", "true")
 	w.WriteHeader(int(o.GetStatus()))
 	_, _ = w.Write(o.GetBody())
--- a/gateway/receiver/problem_test.go
+++ b/gateway/receiver/problem_test.go
@@ -27,7 +27,7 @@
 	for _, kind := range kinds {
 		c.Check(string(page), qt.Contains, kind)
 	}
-	for _, header := range []string{ClassHeader, DeadlineHeader, IdempotencyKeyHeader, RequestIDAnswer} {
+	for _, header := range []string{ClassHeader, DeadlineHeader, IdempotencyKeyHeader, RequestIDHeader} {
 		c.Check(string(page), qt.Contains, "`"+header+"`")
 	}
 }
--- a/gateway/receiver/receiver.go
+++ b/gateway/receiver/receiver.go
@@ -40,8 +40,8 @@
 	DeadlineHeader = "X-Deadline"
 	// IdempotencyKeyHeader names a request that must not run twice.
 	IdempotencyKeyHeader = "Idempotency-Key"
-	// RequestIDAnswer tells the caller the request's id.
-	RequestIDAnswer = "X-Request-Id"
+	// RequestIDHeader tells the caller the request's id.
+	RequestIDHeader = "X-Request-Id"
 )
 
 // Receiver serves callers. Set the exported fields, then use Handler.
--- a/gateway/receiver/services.go
+++ b/gateway/receiver/services.go
@@ -151,7 +151,7 @@
 	for name, values := range a.Header {
 		h[name] = values
 	}
-	h.Set(RequestIDAnswer, e.id)
+	h.Set(RequestIDHeader, e.id)
 	if a.Rest == nil {
 		h.Set("Content-Length", strconv.Itoa(len(a.Body)))
 		c.writer.WriteHeader(a.Status)
