--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -165,7 +165,7 @@
 		Meter:   meter.New("gateway", s.Instance.Name, s.Instance.Zone),
 		Retries: &receiver.RetryBudget{Clock: a.Clock, Share: s.Requests.RetryShare, Burst: s.Requests.RetryBurst},
 		Session: a.scheduler.SessionID, BackendKeys: a.keys.backends, OperatorKeys: a.keys.operators,
-		Ready: a.ready, MaxBody: s.Requests.MaxBody, KeepAnswer: s.Requests.KeepAnswer,
+		Ready: a.ready, MaxBody: s.Requests.MaxBody, MaxStoredAnswer: s.Requests.KeepAnswer,
 	}
 	return r.Handler()
 }
--- a/gateway/receiver/completions.go
+++ b/gateway/receiver/completions.go
@@ -225,7 +225,7 @@
 	if c.entry.key == "" || !c.keptWhole {
 		return
 	}
-	if c.kept.Len()+len(event) > c.receiver.KeepAnswer {
+	if c.kept.Len()+len(event) > c.receiver.MaxStoredAnswer {
 		c.keptWhole = false
 		c.kept.Reset()
 		return
--- a/gateway/receiver/once.go
+++ b/gateway/receiver/once.go
@@ -156,7 +156,7 @@
 
 // kept is an answer as it is stored, or a note that it was too large.
 func (r *Receiver) kept(status int, contentType string, body []byte) *wire.Outcome {
-	if len(body) > r.KeepAnswer {
+	if len(body) > r.MaxStoredAnswer {
 		return &wire.Outcome{Status: int32(status), Truncated: true}
 	}
 	return &wire.Outcome{Status: int32(status), ContentType: contentType, Body: body}
--- a/gateway/receiver/receiver.go
+++ b/gateway/receiver/receiver.go
@@ -67,8 +67,8 @@
 	Ready func() bool
 	// MaxBody bounds a request's body in bytes.
 	MaxBody int
-	// KeepAnswer bounds the answer that is kept for an idempotency key, in bytes.
-	KeepAnswer int
+	// MaxStoredAnswer bounds the answer that is kept for an idempotency key, in bytes.
+	MaxStoredAnswer int
 }
 
 // Handler returns the routes that callers, backend servers and operators use.
