--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -34,7 +34,7 @@
 		return p
 	}
 	defer r.endTrial(e)
-	r.Retries.Earn()
+	r.RetryBudget.Earn()
 	unsure := false
 	candidate, refusal := r.Scheduler.Acquire(ctx, e.job)
 	for n := 0; refusal == nil; n++ {
@@ -51,7 +51,7 @@
 			r.Scheduler.Complete(e.job, s.failed)
 			return s.problem
 		}
-		if !r.Retries.Spend(ctx, n, e.job.Deadline) {
+		if !r.RetryBudget.Spend(ctx, n, e.job.Deadline) {
 			r.Scheduler.Complete(e.job, s.failed)
 			return unlessRun(ctx, unsure, refused(&scheduler.Refusal{Reason: scheduler.NoBackend, RetryAfter: retryAfterFault}))
 		}
--- a/gateway/receiver/receiver.go
+++ b/gateway/receiver/receiver.go
@@ -46,16 +46,16 @@
 
 // Receiver serves callers. Set the exported fields, then use Handler.
 type Receiver struct {
-	Clock      clockwork.Clock
-	Log        *slog.Logger
-	Instance   string
-	Registrar  *registrar.Registrar
-	Scheduler  *scheduler.Scheduler
-	Dispatcher *dispatcher.Dispatcher
-	Claimer    *claimer.Claimer
-	Explainer  *explainer.Explainer
-	Meter      *meter.Meter
-	Retries    *RetryBudget
+	Clock       clockwork.Clock
+	Log         *slog.Logger
+	Instance    string
+	Registrar   *registrar.Registrar
+	Scheduler   *scheduler.Scheduler
+	Dispatcher  *dispatcher.Dispatcher
+	Claimer     *claimer.Claimer
+	Explainer   *explainer.Explainer
+	Meter       *meter.Meter
+	RetryBudget *RetryBudget
 	// Isolator knows the requests that end backend servers.
 	Isolator *isolator.Isolator
 	// Session returns the gateway's present session.
