--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -163,7 +163,7 @@
 		Registrar: a.registrar, Scheduler: a.scheduler, Claimer: a.claimer, Isolator: a.isolator,
 		Dispatcher: a.dispatcher(), Explainer: &explainer.Explainer{Clock: a.Clock},
 		Meter:       meter.New("gateway", s.Instance.Name, s.Instance.Zone),
-		RetryBudget: &receiver.RetryBudget{Clock: a.Clock, Share: s.Requests.RetryShare, Burst: s.Requests.RetryBurst},
+		RetryBudget: &receiver.RetryBudget{Clock: a.Clock, RetryRatio: s.Requests.RetryShare, Burst: s.Requests.RetryBurst},
 		Session:     a.scheduler.SessionID, BackendKeys: a.keys.backends, OperatorKeys: a.keys.operators,
 		Ready: a.ready, MaxBody: s.Requests.MaxBody, MaxStoredAnswer: s.Requests.KeepAnswer,
 	}
--- a/gateway/receiver/retry.go
+++ b/gateway/receiver/retry.go
@@ -19,8 +19,8 @@
 // can't make an overload worse. Set the exported fields before use.
 type RetryBudget struct {
 	Clock clockwork.Clock
-	// Share is how many retries each request earns.
-	Share float64
+	// RetryRatio is how many retries each request earns.
+	RetryRatio float64
 	// Burst is how many retries may be saved up.
 	Burst float64
 
@@ -34,7 +34,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fill()
-	b.tokens = min(b.Burst, b.tokens+b.Share)
+	b.tokens = min(b.Burst, b.tokens+b.RetryRatio)
 }
 
 func (b *RetryBudget) fill() {
