--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -34,7 +34,7 @@
 		return p
 	}
 	defer r.endTrial(e)
-	r.RetryBudget.Earn()
+	r.RetryBudget.Deposit()
 	unsure := false
 	candidate, refusal := r.Scheduler.Acquire(ctx, e.job)
 	for n := 0; refusal == nil; n++ {
--- a/gateway/receiver/retry.go
+++ b/gateway/receiver/retry.go
@@ -29,8 +29,8 @@
 	filled bool
 }
 
-// Earn notes a request.
-func (b *RetryBudget) Earn() {
+// Deposit notes a request.
+func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fill()
