--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -51,7 +51,7 @@
 			r.Scheduler.Complete(e.job, s.failed)
 			return s.problem
 		}
-		if !r.RetryBudget.Spend(ctx, n, e.job.Deadline) {
+		if !r.RetryBudget.Withdraw(ctx, n, e.job.Deadline) {
 			r.Scheduler.Complete(e.job, s.failed)
 			return unlessRun(ctx, unsure, refused(&scheduler.Refusal{Reason: scheduler.NoBackend, RetryAfter: retryAfterFault}))
 		}
--- a/gateway/receiver/retry.go
+++ b/gateway/receiver/retry.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// Spend asks for one retry and waits, with full jitter, before it. It reports false
+// Withdraw asks for one retry and waits, with full jitter, before it. It reports false
 // when there is none to be had or the deadline would pass.
-func (b *RetryBudget) Spend(ctx context.Context, attempt int, deadline time.Time) bool {
+func (b *RetryBudget) Withdraw(ctx context.Context, attempt int, deadline time.Time) bool {
 	if attempt >= maxAttempts || !b.take() {
 		return false
 	}
