--- a/gateway/receiver/once.go
+++ b/gateway/receiver/once.go
@@ -87,7 +87,7 @@
 		return &foundClaim{problem: unknownIfKeyed(refused(refusal))}, false
 	case string(c.GetCommand().GetFingerprint()) != string(e.fingerprint()):
 		return &foundClaim{problem: &Problem{
-			Status: http.StatusUnprocessableEntity, Kind: kindKeyReused, Ran: dispatcher.RanNo, Certain: true,
+			Status: http.StatusUnprocessableEntity, Kind: kindKeyReused, Ran: dispatcher.RanNo, KeyChecked: true,
 			Message: "the idempotency key was used before for another request",
 		}}, false
 	case c.GetState() == wire.ClaimState_CLAIM_STATE_FINISHED:
@@ -193,7 +193,7 @@
 func (r *Receiver) checkKey(e *entry, p *Problem) *foundClaim {
 	refused := &foundClaim{problem: p}
 	switch {
-	case p.Ran != dispatcher.RanNo || p.Certain:
+	case p.Ran != dispatcher.RanNo || p.KeyChecked:
 		return refused
 	case e.key == "" && !r.mayBeRepeat(e):
 		return refused
--- a/gateway/receiver/problem.go
+++ b/gateway/receiver/problem.go
@@ -19,8 +19,8 @@
 	Message    string
 	Ran        dispatcher.Ran
 	RetryAfter time.Duration
-	// Certain tells that the request's key was looked at before Ran was set.
-	Certain bool
+	// KeyChecked tells that the request's key was looked at before Ran was set.
+	KeyChecked bool
 }
 
 // The kinds of problems besides the scheduler's reasons.
