--- a/gateway/explainer/explainer.go
+++ b/gateway/explainer/explainer.go
@@ -21,8 +21,8 @@
 	What string
 }
 
-// Account is all that was decided for one request.
-type Account struct {
+// Trace is all that was decided for one request.
+type Trace struct {
 	RequestID string
 	Customer  string
 	Steps     []Step
@@ -33,7 +33,7 @@
 	Clock clockwork.Clock
 
 	mu       sync.Mutex
-	accounts map[string]*Account
+	accounts map[string]*Trace
 	order    []string
 	next     int
 }
@@ -45,7 +45,7 @@
 	defer e.mu.Unlock()
 	a := e.accounts[requestID]
 	if a == nil {
-		a = &Account{RequestID: requestID, Customer: customer}
+		a = &Trace{RequestID: requestID, Customer: customer}
 		e.remember(requestID, a)
 	}
 	if len(a.Steps) < maxSteps {
@@ -53,9 +53,9 @@
 	}
 }
 
-func (e *Explainer) remember(requestID string, a *Account) {
+func (e *Explainer) remember(requestID string, a *Trace) {
 	if e.accounts == nil {
-		e.accounts = map[string]*Account{}
+		e.accounts = map[string]*Trace{}
 	}
 	e.accounts[requestID] = a
 	if len(e.order) < maxRequests {
@@ -68,12 +68,12 @@
 }
 
 // Get returns a copy of a request's account.
-func (e *Explainer) Get(requestID string) (Account, bool) {
+func (e *Explainer) Get(requestID string) (Trace, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	a := e.accounts[requestID]
 	if a == nil {
-		return Account{}, false
+		return Trace{}, false
 	}
 	copied := *a
 	copied.Steps = append([]Step(nil), a.Steps...)
