--- a/gateway/explainer/explainer.go
+++ b/gateway/explainer/explainer.go
@@ -38,8 +38,8 @@
 	next     int
 }
 
-// Note adds a decision to a request's account.
-func (e *Explainer) Note(requestID, customer, format string, args ...any) {
+// Record adds a decision to a request's account.
+func (e *Explainer) Record(requestID, customer, format string, args ...any) {
 	step := Step{At: e.Clock.Now(), What: fmt.Sprintf(format, args...)}
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -73,6 +73,6 @@
 	series := r.Meter.For(e.terms.Customer(), e.class)
 	series.QueueWait.RecordDuration(e.job.QueueWait())
 	series.LoadStall.RecordDuration(e.job.LoadStall())
-	r.Explainer.Note(e.id, e.terms.Customer(), "goes to %s (%s) after %s in the queue and %s for the adapter; load %d, score %.2f",
+	r.Explainer.Record(e.id, e.terms.Customer(), "goes to %s (%s) after %s in the queue and %s for the adapter; load %d, score %.2f",
 		candidate.Backend.GetName(), candidate.Backend.GetZone(), e.job.QueueWait(), e.job.LoadStall(), candidate.Load, candidate.Score)
 }
--- a/gateway/receiver/once.go
+++ b/gateway/receiver/once.go
@@ -130,7 +130,7 @@
 			RequestID: cmd.GetRequestId(), Address: cmd.GetAddress(), Incarnation: cmd.GetIncarnation(),
 			Path: e.http.URL.Path, Model: e.job.Want.Adapter,
 		})
-		r.Explainer.Note(e.id, e.terms.Customer(), "took up request %s of a gateway that is gone: ran: %s, %v", cmd.GetRequestId(), out.Ran, out.Err)
+		r.Explainer.Record(e.id, e.terms.Customer(), "took up request %s of a gateway that is gone: ran: %s, %v", cmd.GetRequestId(), out.Ran, out.Err)
 		switch {
 		case out.Err == nil:
 			return r.finishRecovered(ctx, old, cmd.GetRequestId(), r.kept(out.Status, jsonContent, out.Body)), false
--- a/gateway/receiver/receiver.go
+++ b/gateway/receiver/receiver.go
@@ -299,7 +299,7 @@
 	}
 	if p != nil {
 		kind = p.Kind
-		r.Explainer.Note(e.id, customer, "final answer: %s (%d), ran: %s, retry after %s", p.Kind, p.Status, p.Ran, p.RetryAfter)
+		r.Explainer.Record(e.id, customer, "final answer: %s (%d), ran: %s, retry after %s", p.Kind, p.Status, p.Ran, p.RetryAfter)
 		p.write(w, e.id)
 	}
 	took := r.Clock.Now().Sub(e.start)
--- a/gateway/receiver/services.go
+++ b/gateway/receiver/services.go
@@ -124,7 +124,7 @@
 	if answer.Ran == dispatcher.RanUnknown {
 		r.lostRun(e, candidate, false)
 	}
-	r.Explainer.Note(e.id, e.terms.Customer(), "%s: status %d, %v, ran: %s", candidate.Backend.GetName(), answer.Status, answer.Err, answer.Ran)
+	r.Explainer.Record(e.id, e.terms.Customer(), "%s: status %d, %v, ran: %s", candidate.Backend.GetName(), answer.Status, answer.Err, answer.Ran)
 	return c.afterFailure(ctx, requestID, answer)
 }
 
