--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -52,7 +52,7 @@
 
 	seeds     atomic.Pointer[[]string]
 	stopping  atomic.Bool
-	door      *doorkeeper.Doorkeeper
+	door      *doorkeeper.Acceptor
 	forwarder *forwarder.Forwarder
 	follower  *synchronizer.Synchronizer
 	relayer   *relayer.Relayer
@@ -143,7 +143,7 @@
 		Relayer: r.relayer, Demand: r.forwarder.Demand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
 		Granter: r.granter,
 	}
-	r.door = &doorkeeper.Doorkeeper{
+	r.door = &doorkeeper.Acceptor{
 		Clock: r.Clock, Log: r.Log, Address: s.Instance.Listen, Handle: r.forwarder.Handle,
 		Screen: r.forwarder.Screen,
 		Limits: r.forwarder.Limits, MaxConnections: s.Instance.MaxFiles / callerShare,
--- a/gateway/doorkeeper/doorkeeper.go
+++ b/gateway/doorkeeper/doorkeeper.go
@@ -59,8 +59,8 @@
 	Reused bool
 }
 
-// Doorkeeper serves one address. Set the exported fields, then call Start.
-type Doorkeeper struct {
+// Acceptor serves one address. Set the exported fields, then call Start.
+type Acceptor struct {
 	Clock   clockwork.Clock
 	Log     *slog.Logger
 	Address string
@@ -82,7 +82,7 @@
 }
 
 // Start listens and serves in the background.
-func (d *Doorkeeper) Start() error {
+func (d *Acceptor) Start() error {
 	listen := net.ListenConfig{KeepAlive: -1}
 	listener, err := listen.Listen(context.Background(), "tcp", d.Address)
 	if err != nil {
@@ -95,12 +95,12 @@
 }
 
 // Addr returns the address that is listened on.
-func (d *Doorkeeper) Addr() string { return d.listener.Addr().String() }
+func (d *Acceptor) Addr() string { return d.listener.Addr().String() }
 
 // acceptPause is the wait after a failed accept, as when descriptors run out.
 const acceptPause = 20 * time.Millisecond
 
-func (d *Doorkeeper) accept() {
+func (d *Acceptor) accept() {
 	for {
 		c, err := d.listener.Accept()
 		switch {
@@ -115,7 +115,7 @@
 	}
 }
 
-func (d *Doorkeeper) open(c net.Conn) {
+func (d *Acceptor) open(c net.Conn) {
 	served := &conn{Conn: c, door: d, reader: bufio.NewReaderSize(c, readBuffer)}
 	d.mu.Lock()
 	if d.MaxConnections > 0 && len(d.conns) >= d.MaxConnections {
@@ -129,7 +129,7 @@
 	go served.serve()
 }
 
-func (d *Doorkeeper) closed(c *conn) {
+func (d *Acceptor) closed(c *conn) {
 	d.mu.Lock()
 	delete(d.conns, c)
 	d.mu.Unlock()
@@ -138,11 +138,11 @@
 
 // Quiesce lets connections end with their next answer. New ones are still taken, since
 // the balancer in front needs time to look elsewhere.
-func (d *Doorkeeper) Quiesce() { d.stopping.Store(true) }
+func (d *Acceptor) Quiesce() { d.stopping.Store(true) }
 
 // Stop takes no more connections, closes those without a request, and waits for the
 // others until ctx ends.
-func (d *Doorkeeper) Stop(ctx context.Context) error {
+func (d *Acceptor) Stop(ctx context.Context) error {
 	d.Quiesce()
 	_ = d.listener.Close()
 	d.mu.Lock()
@@ -163,7 +163,7 @@
 	}
 }
 
-func (d *Doorkeeper) limits() Limits {
+func (d *Acceptor) limits() Limits {
 	l := Limits{}
 	if d.Limits != nil {
 		l = d.Limits()
@@ -186,7 +186,7 @@
 // conn is one connection of a caller.
 type conn struct {
 	net.Conn
-	door   *Doorkeeper
+	door   *Acceptor
 	reader *bufio.Reader
 	// used is set once a request was read.
 	used bool
--- a/gateway/doorkeeper/doorkeeper_test.go
+++ b/gateway/doorkeeper/doorkeeper_test.go
@@ -20,9 +20,9 @@
 
 // start serves a door on loopback whose handler answers 200 with what it was sent, and
 // counts the requests.
-func start(c *qt.C, limits Limits) (*Doorkeeper, chan *Request) {
+func start(c *qt.C, limits Limits) (*Acceptor, chan *Request) {
 	seen := make(chan *Request, 16)
-	door := &Doorkeeper{
+	door := &Acceptor{
 		Clock: clockwork.NewRealClock(), Log: slog.New(slog.DiscardHandler), Address: "127.0.0.1:0",
 		Limits: func() Limits { return limits },
 		Handle: func(_ context.Context, req *Request, reply *Reply) {
@@ -173,7 +173,7 @@
 func TestStopWaitsForRequests(t *testing.T) {
 	c := qt.New(t)
 	entered, release := make(chan struct{}), make(chan struct{})
-	door := &Doorkeeper{
+	door := &Acceptor{
 		Clock: clockwork.NewRealClock(), Log: slog.New(slog.DiscardHandler), Address: "127.0.0.1:0",
 		Handle: func(_ context.Context, _ *Request, reply *Reply) {
 			close(entered)
@@ -206,7 +206,7 @@
 func TestLeavingCallerEndsItsRequest(t *testing.T) {
 	c := qt.New(t)
 	entered, ended := make(chan struct{}), make(chan struct{})
-	door := &Doorkeeper{
+	door := &Acceptor{
 		Clock: clockwork.NewRealClock(), Log: slog.New(slog.DiscardHandler), Address: "127.0.0.1:0",
 		Handle: func(ctx context.Context, _ *Request, reply *Reply) {
 			close(entered)
