--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -145,8 +145,8 @@
 	}
 	r.door = &doorkeeper.Acceptor{
 		Clock: r.Clock, Log: r.Log, Address: s.Instance.Listen, Handle: r.forwarder.Handle,
-		Screen: r.forwarder.Screen,
-		Limits: r.forwarder.Limits, MaxConnections: s.Instance.MaxFiles / callerShare,
+		CheckHead: r.forwarder.Screen,
+		Limits:    r.forwarder.Limits, MaxConnections: s.Instance.MaxFiles / callerShare,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", r.ready)
--- a/gateway/doorkeeper/doorkeeper.go
+++ b/gateway/doorkeeper/doorkeeper.go
@@ -66,9 +66,9 @@
 	Address string
 	// Handle answers a request. Its context ends when the caller leaves.
 	Handle func(ctx context.Context, req *Request, reply *Reply)
-	// Screen looks at a request's head before its body is read. It answers a request that it
+	// CheckHead looks at a request's head before its body is read. It answers a request that it
 	// refuses, and reports whether it did; nil lets all pass.
-	Screen func(req *Request, reply *Reply) bool
+	CheckHead func(req *Request, reply *Reply) bool
 	// Limits returns the limits in force; zero values mean the defaults.
 	Limits func() Limits
 	// MaxConnections bounds the open connections; more are closed at once.
@@ -262,13 +262,13 @@
 // screen lets a request be refused by its head alone. It reports whether it was, and
 // whether the connection may be used again: the body is read and thrown away then.
 func (c *conn) screen(req *Request, limits Limits) (refused, keep bool) {
-	if c.door.Screen == nil {
+	if c.door.CheckHead == nil {
 		return false, false
 	}
 	reply := c.reply(req)
 	// A caller that waits for leave to send its body may or may not send it now.
 	reply.keep = reply.keep && !req.Head.Header.Has("Expect")
-	if !c.door.Screen(req, reply) {
+	if !c.door.CheckHead(req, reply) {
 		return false, false
 	}
 	if !reply.keep || !reply.done {
--- a/gateway/doorkeeper/doorkeeper_test.go
+++ b/gateway/doorkeeper/doorkeeper_test.go
@@ -279,7 +279,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			door, seen := start(c, Limits{BodyBytes: 20})
-			door.Screen = func(req *Request, reply *Reply) bool {
+			door.CheckHead = func(req *Request, reply *Reply) bool {
 				if !strings.HasPrefix(req.Head.Target, "/no/") {
 					return false
 				}
--- a/gateway/forwarder/harness_test.go
+++ b/gateway/forwarder/harness_test.go
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.Cleanup(cancel)
 	go f.Run(ctx)
-	door := &doorkeeper.Acceptor{Clock: clock, Log: log, Address: "127.0.0.1:0", Handle: f.Handle, Screen: f.Screen}
+	door := &doorkeeper.Acceptor{Clock: clock, Log: log, Address: "127.0.0.1:0", Handle: f.Handle, CheckHead: f.Screen}
 	c.Assert(door.Start(), qt.IsNil)
 	c.Cleanup(func() { _ = door.Stop(ctx) })
 	return door.Addr(), f
