--- a/pkg/framer/body.go
+++ b/pkg/framer/body.go
@@ -128,7 +128,7 @@
 		return n, io.EOF
 	}
 	if err != nil {
-		return n, wrap("Body", KindCut, err)
+		return n, wrap("Body", KindTruncated, err)
 	}
 	return n, nil
 }
@@ -143,7 +143,7 @@
 		b.ended = true
 	}
 	if err != nil && b.left > 0 || err != nil && b.Framing == FramingChunked {
-		return n, wrap("Body", KindCut, err)
+		return n, wrap("Body", KindTruncated, err)
 	}
 	return n, nil
 }
@@ -198,7 +198,7 @@
 	case err == bufio.ErrBufferFull || len(raw) > max(limit, 0)+len(lineEnd):
 		return "", fail("Body", KindTooLarge, "a line is too long")
 	case err != nil:
-		return "", wrap("Body", KindCut, err)
+		return "", wrap("Body", KindTruncated, err)
 	case !strings.HasSuffix(string(raw), lineEnd) || strings.ContainsAny(string(raw[:len(raw)-2]), "\r\x00"):
 		return "", fail("Body", KindMalformed, "a line ends without CR")
 	}
--- a/pkg/framer/fault.go
+++ b/pkg/framer/fault.go
@@ -9,8 +9,8 @@
 const (
 	// KindClosed means that the connection ended between two messages.
 	KindClosed Kind = iota + 1
-	// KindCut means that the connection ended inside a message.
-	KindCut
+	// KindTruncated means that the connection ended inside a message.
+	KindTruncated
 	// KindMalformed means that the bytes are no valid message.
 	KindMalformed
 	// KindTooLarge means that a bound was exceeded.
--- a/pkg/framer/framer.go
+++ b/pkg/framer/framer.go
@@ -108,7 +108,7 @@
 			if len(head) == 0 && len(line) == 0 {
 				return nil, wrap("ReadHead", KindClosed, err)
 			}
-			return nil, wrap("ReadHead", KindCut, err)
+			return nil, wrap("ReadHead", KindTruncated, err)
 		}
 		if len(head) == 0 && string(line) == lineEnd {
 			continue
