--- a/gateway/doorkeeper/doorkeeper.go
+++ b/gateway/doorkeeper/doorkeeper.go
@@ -287,7 +287,7 @@
 	}
 	_ = c.SetReadDeadline(time.Now().Add(bodyTimeout))
 	_, err = io.Copy(io.Discard, io.LimitReader(body, int64(limits.BodyBytes)))
-	return err == nil && body.Ended()
+	return err == nil && body.Complete()
 }
 
 // reply returns what a request is answered through.
@@ -317,7 +317,7 @@
 		c.refuse(errTooLong, statusBodyTooLarge)
 		return false
 	}
-	if req.Head.Header.HasToken("Expect", "100-continue") && !body.Ended() {
+	if req.Head.Header.HasToken("Expect", "100-continue") && !body.Complete() {
 		if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
 			return false
 		}
--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -281,7 +281,7 @@
 func (f *Forwarder) relayWhole(ctx context.Context, j *job, backend *wire.Announcement, in *sender.Incoming) bool {
 	header := platform.EncodeAnswer(in.Head.Header)
 	body, err := io.ReadAll(io.LimitReader(in.Body, maxWhole))
-	if err == nil && !in.Body.Ended() {
+	if err == nil && !in.Body.Complete() {
 		return f.relayLong(j, backend, in, header, body)
 	}
 	in.Close()
--- a/gateway/sender/sender.go
+++ b/gateway/sender/sender.go
@@ -120,7 +120,7 @@
 			return in, nil
 		}
 		// A second answer to an earlier request, which comes where this one's was due.
-		if _, err := io.Copy(io.Discard, in.Body); err != nil || !in.Body.Ended() {
+		if _, err := io.Copy(io.Discard, in.Body); err != nil || !in.Body.Complete() {
 			return nil, fail(KindLost, "an answer to another request ended early")
 		}
 	}
@@ -212,7 +212,7 @@
 func (in *Incoming) Close() {
 	running := in.stop()
 	in.sender.end(in.backend, in.link)
-	reusable := running && in.Body.Ended() && in.Body.Framing != framer.FramingClose &&
+	reusable := running && in.Body.Complete() && in.Body.Framing != framer.FramingClose &&
 		in.Head.KeepAlive() && in.link.reader.Buffered() == 0 && in.bodyWritten()
 	if !reusable {
 		_ = in.link.Close()
--- a/pkg/framer/body.go
+++ b/pkg/framer/body.go
@@ -96,8 +96,8 @@
 	return n, nil
 }
 
-// Ended reports whether the body was read to its end.
-func (b *Body) Ended() bool { return b.ended }
+// Complete reports whether the body was read to its end.
+func (b *Body) Complete() bool { return b.ended }
 
 // Read reads a part of the body.
 func (b *Body) Read(p []byte) (int, error) {
--- a/pkg/framer/framer_test.go
+++ b/pkg/framer/framer_test.go
@@ -59,7 +59,7 @@
 			c.Check(body.Framing, qt.Equals, test.framing)
 			got, err := io.ReadAll(body)
 			c.Check(string(got), qt.Equals, test.body)
-			c.Check(err == nil && body.Ended(), qt.Equals, test.whole)
+			c.Check(err == nil && body.Complete(), qt.Equals, test.whole)
 		})
 	}
 }
