--- a/pkg/translator/announcement.go
+++ b/pkg/translator/announcement.go
@@ -118,8 +118,8 @@
 	KindMalformed Kind = iota + 1
 	// KindCrossed means that an answer belongs to another request or adapter.
 	KindCrossed
-	// KindCut means that an answer ended before it was whole.
-	KindCut
+	// KindTruncated means that an answer ended before it was whole.
+	KindTruncated
 	// KindRefused means that the server refused, and did not run, what it was asked.
 	KindRefused
 )
--- a/pkg/translator/requests.go
+++ b/pkg/translator/requests.go
@@ -101,7 +101,7 @@
 func (x Expectation) Check(body []byte) error {
 	e := &echo{}
 	if err := json.Unmarshal(body, e); err != nil {
-		return fail("Check", KindCut, "the answer is not JSON: %v", err)
+		return fail("Check", KindTruncated, "the answer is not JSON: %v", err)
 	}
 	if e.ID != x.AnswerID || e.Model != x.Model {
 		return fail("Check", KindCrossed, "the answer is for %q of %q, not %q of %q", e.ID, e.Model, x.AnswerID, x.Model)
@@ -128,7 +128,7 @@
 			line, err = r.long(line)
 		}
 		if err != nil {
-			return nil, false, fail("Next", KindCut, "the stream ended early: %v", err)
+			return nil, false, fail("Next", KindTruncated, "the stream ended early: %v", err)
 		}
 		line = bytes.TrimRight(line, "\r\n")
 		data, ok := bytes.CutPrefix(line, []byte(dataPrefix))
--- a/pkg/translator/translator_test.go
+++ b/pkg/translator/translator_test.go
@@ -49,8 +49,8 @@
 		"another request's":           {body: `{"id":"cmpl-2","model":"a@1"}`, kind: translator.KindCrossed},
 		"another version's":           {body: `{"id":"cmpl-1","model":"a@2"}`, kind: translator.KindCrossed},
 		"one without an id":           {body: `{"model":"a@1"}`, kind: translator.KindCrossed},
-		"half of one":                 {body: `{"id":"cmpl-1","mod`, kind: translator.KindCut},
-		"an error in an answer's way": {body: `[]`, kind: translator.KindCut},
+		"half of one":                 {body: `{"id":"cmpl-1","mod`, kind: translator.KindTruncated},
+		"an error in an answer's way": {body: `[]`, kind: translator.KindTruncated},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
