--- a/pkg/translator/orders.go
+++ b/pkg/translator/orders.go
@@ -13,8 +13,8 @@
 
 const maxRefusal = 4 << 10
 
-// AlreadyLoaded is in the text with which an engine refuses to load twice.
-const AlreadyLoaded = "already been loaded"
+// AlreadyLoadedText is in the text with which an engine refuses to load twice.
+const AlreadyLoadedText = "already been loaded"
 
 // LoadRequest is the published call that loads an adapter.
 type LoadRequest struct {
@@ -80,7 +80,7 @@
 func (o *Orders) done(status int, text []byte, body any) bool {
 	switch body.(type) {
 	case LoadRequest:
-		return status == http.StatusBadRequest && bytes.Contains(text, []byte(AlreadyLoaded))
+		return status == http.StatusBadRequest && bytes.Contains(text, []byte(AlreadyLoadedText))
 	case UnloadRequest:
 		return status == http.StatusNotFound
 	}
--- a/standin/generator/orders.go
+++ b/standin/generator/orders.go
@@ -49,7 +49,7 @@
 	case !g.allowed(fencing):
 		return http.StatusPreconditionFailed, "the fencing number is old"
 	case g.loaded[name]:
-		return http.StatusBadRequest, "the adapter has " + translator.AlreadyLoaded
+		return http.StatusBadRequest, "the adapter has " + translator.AlreadyLoadedText
 	case g.loading[name]:
 		return http.StatusConflict, "the adapter is being loaded"
 	case len(g.loaded)+len(g.loading) >= g.Slots:
