--- a/controller/orderer/orderer.go
+++ b/controller/orderer/orderer.go
@@ -15,7 +15,7 @@
 type Orderer struct {
 	Log *slog.Logger
 	// Orders speaks the engines' protocol.
-	Orders *translator.Orders
+	Orders *translator.OrderClient
 	// LongestOrder bounds an order in time.
 	LongestOrder time.Duration
 	// Leads is asked directly before an order leaves.
--- a/pkg/translator/orders.go
+++ b/pkg/translator/orders.go
@@ -33,8 +33,8 @@
 	return fmt.Sprintf("%010d%010d", term, sequence)
 }
 
-// Orders sends orders to engines. Set the exported fields before use.
-type Orders struct {
+// OrderClient sends orders to engines. Set the exported fields before use.
+type OrderClient struct {
 	// Client bounds each order in time.
 	Client interface {
 		Do(*http.Request) (*http.Response, error)
@@ -44,16 +44,16 @@
 }
 
 // Load orders an engine to load an adapter.
-func (o *Orders) Load(ctx context.Context, address, adapter, fencing string) error {
+func (o *OrderClient) Load(ctx context.Context, address, adapter, fencing string) error {
 	return o.post(ctx, "http://"+address+LoadPath, fencing, LoadRequest{Name: adapter, Path: o.WeightsURL + adapter})
 }
 
 // Unload orders an engine to unload an adapter.
-func (o *Orders) Unload(ctx context.Context, address, adapter, fencing string) error {
+func (o *OrderClient) Unload(ctx context.Context, address, adapter, fencing string) error {
 	return o.post(ctx, "http://"+address+UnloadPath, fencing, UnloadRequest{Name: adapter})
 }
 
-func (o *Orders) post(ctx context.Context, url, fencing string, body any) error {
+func (o *OrderClient) post(ctx context.Context, url, fencing string, body any) error {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return errors.Wrap(err, "translator: order")
@@ -77,7 +77,7 @@
 }
 
 // done recognizes refusals which say that what was ordered is so already.
-func (o *Orders) done(status int, text []byte, body any) bool {
+func (o *OrderClient) done(status int, text []byte, body any) bool {
 	switch body.(type) {
 	case LoadRequest:
 		return status == http.StatusBadRequest && bytes.Contains(text, []byte(AlreadyLoadedText))
