--- a/gateway/registrar/registrar.go
+++ b/gateway/registrar/registrar.go
@@ -83,7 +83,7 @@
 	}
 	for _, a := range c.GetAdapters() {
 		for _, version := range a.GetVersions() {
-			t.models[translator.Model(a.GetName(), version)] = a
+			t.models[translator.ModelName(a.GetName(), version)] = a
 		}
 	}
 	for _, s := range c.GetServices() {
--- a/pkg/translator/requests.go
+++ b/pkg/translator/requests.go
@@ -41,9 +41,9 @@
 	maxEventBytes    = 4 << 20
 )
 
-// Model joins an adapter and a version to the name under which engines load it, so
+// ModelName joins an adapter and a version to the name under which engines load it, so
 // that a wrong version can't be served under a right name.
-func Model(adapter, version string) string { return adapter + "@" + version }
+func ModelName(adapter, version string) string { return adapter + "@" + version }
 
 // SplitModel takes a caller's model name apart.
 func SplitModel(model string) (adapter, version string, ok bool) {
