--- a/bronzectl/app/contract.go
+++ b/bronzectl/app/contract.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		return errors.Wrap(err, "bronzectl")
 	}
-	contract, faults := drafter.Read(data)
+	contract, faults := drafter.Parse(data)
 	if len(faults) == 0 {
 		faults = validator.Contract(contract)
 	}
--- a/pkg/drafter/drafter.go
+++ b/pkg/drafter/drafter.go
@@ -22,8 +22,8 @@
 	sectionKey      = "Key"
 )
 
-// Read decodes a contract. Every fault is reported, a line each.
-func Read(data []byte) (*wire.Contract, []string) {
+// Parse decodes a contract. Every fault is reported, a line each.
+func Parse(data []byte) (*wire.Contract, []string) {
 	file, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", AllowNonUniqueSections: true}, data)
 	if err != nil {
 		return nil, []string{"the document can't be read: " + err.Error()}
--- a/pkg/drafter/drafter_test.go
+++ b/pkg/drafter/drafter_test.go
@@ -24,7 +24,7 @@
 
 func TestWriteAndRead(t *testing.T) {
 	c := qt.New(t)
-	got, faults := drafter.Read([]byte(drafter.Write(contract())))
+	got, faults := drafter.Parse([]byte(drafter.Write(contract())))
 	c.Assert(faults, qt.HasLen, 0)
 	c.Assert(proto.Equal(got, contract()), qt.IsTrue, qt.Commentf("%v", got))
 }
@@ -43,7 +43,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			_, faults := drafter.Read([]byte(tc.text))
+			_, faults := drafter.Parse([]byte(tc.text))
 			c.Assert(faults, qt.HasLen, 1)
 			c.Assert(faults[0], qt.Contains, tc.fault)
 		})
@@ -54,7 +54,7 @@
 	f.Add([]byte(drafter.Write(contract())))
 	f.Add([]byte("[Contract]\nDeadline = 1h1\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		got, faults := drafter.Read(data)
+		got, faults := drafter.Parse(data)
 		if got == nil && len(faults) == 0 {
 			t.Fatal("neither a contract nor a fault")
 		}
