--- a/bronzectl/app/contract.go
+++ b/bronzectl/app/contract.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	return s.print(res.GetContract(), strings.TrimRight(drafter.Write(res.GetContract()), "\n"))
+	return s.print(res.GetContract(), strings.TrimRight(drafter.Format(res.GetContract()), "\n"))
 }
 
 type listCommand struct{}
--- a/pkg/drafter/drafter.go
+++ b/pkg/drafter/drafter.go
@@ -172,8 +172,8 @@
 	}
 }
 
-// Write encodes a contract so that Read gives it back.
-func Write(c *wire.Contract) string {
+// Format encodes a contract so that Read gives it back.
+func Format(c *wire.Contract) string {
 	b := &strings.Builder{}
 	_, _ = fmt.Fprintf(b, "[Contract]\nCustomer = %s\nVersion = %d\nRequestsAtOnce = %d\nQueueLength = %d\nDeadline = %s\nKeepKeys = %s\n",
 		c.GetCustomer(), c.GetVersion(), c.GetRequestsAtOnce(), c.GetQueueLength(),
--- a/pkg/drafter/drafter_test.go
+++ b/pkg/drafter/drafter_test.go
@@ -24,7 +24,7 @@
 
 func TestWriteAndRead(t *testing.T) {
 	c := qt.New(t)
-	got, faults := drafter.Parse([]byte(drafter.Write(contract())))
+	got, faults := drafter.Parse([]byte(drafter.Format(contract())))
 	c.Assert(faults, qt.HasLen, 0)
 	c.Assert(proto.Equal(got, contract()), qt.IsTrue, qt.Commentf("%v", got))
 }
@@ -51,7 +51,7 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(drafter.Write(contract())))
+	f.Add([]byte(drafter.Format(contract())))
 	f.Add([]byte("[Contract]\nDeadline = 1h1\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		got, faults := drafter.Parse(data)
