--- a/bronzectl/app/story.go
+++ b/bronzectl/app/story.go
@@ -23,7 +23,7 @@
 		}
 		all = append(all, lines...)
 	}
-	story := narrator.Story(all, c.Request)
+	story := narrator.Trace(all, c.Request)
 	if len(story) == 0 {
 		return errors.Errorf("no line of the logs names request %s; of answered requests only a sample is logged", c.Request)
 	}
--- a/pkg/narrator/narrator.go
+++ b/pkg/narrator/narrator.go
@@ -101,9 +101,9 @@
 	adapters  map[string]bool
 }
 
-// Story returns the lines that tell what became of a request, in the order of time;
+// Trace returns the lines that tell what became of a request, in the order of time;
 // none if no line names it.
-func Story(lines []Line, request string) []Line {
+func Trace(lines []Line, request string) []Line {
 	s := about(lines, request)
 	if s.to.IsZero() {
 		return nil
--- a/pkg/narrator/narrator_test.go
+++ b/pkg/narrator/narrator_test.go
@@ -49,7 +49,7 @@
 			c.Assert(err, qt.IsNil)
 			c.Check(skipped, qt.Equals, 1)
 			var got []string
-			for _, l := range Story(lines, test.request) {
+			for _, l := range Trace(lines, test.request) {
 				got = append(got, l.String())
 			}
 			c.Check(got, qt.DeepEquals, test.want)
