--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -186,7 +186,7 @@
 		{Address: s.meshAddress(s.Instance.IP), Handler: r.meshHandler(), Log: r.Log},
 		{
 			Address: s.Instance.Control, Handler: r.control().Handler(), Log: r.Log,
-			Idle: idleAnnouncements * s.Timing.Announcements,
+			IdleTimeout: idleAnnouncements * s.Timing.Announcements,
 		},
 	}
 }
--- a/pkg/server/server.go
+++ b/pkg/server/server.go
@@ -35,8 +35,8 @@
 	Address string
 	Handler http.Handler
 	Log     *slog.Logger
-	// Idle is how long a connection may take to send a request.
-	Idle time.Duration
+	// IdleTimeout is how long a connection may take to send a request.
+	IdleTimeout time.Duration
 	// MaxBody is the number of bytes after which a body is cut off; 0 for no bound.
 	// Handlers refuse earlier, with a clear error.
 	MaxBody int64
@@ -53,8 +53,8 @@
 
 // Start listens and serves in the background.
 func (s *Server) Start() error {
-	if s.Idle == 0 {
-		s.Idle = defaultIdle
+	if s.IdleTimeout == 0 {
+		s.IdleTimeout = defaultIdle
 	}
 	listen := net.ListenConfig{}
 	listener, err := listen.Listen(context.Background(), "tcp", s.Address)
@@ -63,7 +63,7 @@
 	}
 	s.listener = listener
 	s.http = &http.Server{
-		Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: s.Idle, MaxHeaderBytes: maxHeaderBytes,
+		Handler: http.HandlerFunc(s.serve), ReadHeaderTimeout: headerTimeout, IdleTimeout: s.IdleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: slog.NewLogLogger(s.Log.Handler(), slog.LevelDebug),
 	}
 	go s.accept()
