--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -157,7 +157,7 @@
 	a.responder = &responder.Responder{
 		Log: a.Log, Keeper: a.keeper, Coordinator: a.coordinator, Peer: forward, LeaseNs: int64(s.Timing.SessionLease),
 	}
-	a.server = &server.Server{Address: s.Instance.Listen, Handler: a.handler(forward), Log: a.Log, MaxBody: maxMessage}
+	a.server = &server.Server{Address: s.Instance.Listen, Handler: a.handler(forward), Log: a.Log, MaxBodyBytes: maxMessage}
 }
 
 // bulk returns the client that sends snapshots.
--- a/pkg/server/server.go
+++ b/pkg/server/server.go
@@ -37,9 +37,9 @@
 	Log     *slog.Logger
 	// IdleTimeout is how long a connection may take to send a request.
 	IdleTimeout time.Duration
-	// MaxBody is the number of bytes after which a body is cut off; 0 for no bound.
+	// MaxBodyBytes is the number of bytes after which a body is cut off; 0 for no bound.
 	// Handlers refuse earlier, with a clear error.
-	MaxBody int64
+	MaxBodyBytes int64
 
 	http     *http.Server
 	listener net.Listener
@@ -141,8 +141,8 @@
 	if s.stopping.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	if s.MaxBody > 0 {
-		r.Body = http.MaxBytesReader(w, r.Body, s.MaxBody)
+	if s.MaxBodyBytes > 0 {
+		r.Body = http.MaxBytesReader(w, r.Body, s.MaxBodyBytes)
 	}
 	out := &writer{ResponseWriter: w, control: http.NewResponseController(w)}
 	s.handle(out, r)
