--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -63,7 +63,7 @@
 	CountQuarantine func(change string)
 
 	arbiter  arbiter.Arbiter
-	calls    *caller.Caller
+	calls    *caller.Sequencer
 	admitted atomic.Pointer[raftdriver.Admission]
 	state    *applier.StateMachine
 	snapshot uint64
--- a/controller/routecoordinator/curator.go
+++ b/controller/routecoordinator/curator.go
@@ -90,7 +90,7 @@
 	SnapshotEntries uint64
 	SnapshotBytes   int
 
-	calls      *caller.Caller
+	calls      *caller.Sequencer
 	epoch      uint64
 	state      *applier.StateMachine
 	snapshot   uint64
--- a/pkg/caller/caller.go
+++ b/pkg/caller/caller.go
@@ -12,20 +12,20 @@
 // ErrBusy is returned when too many calls wait.
 var ErrBusy = errors.New("caller: too many calls wait")
 
-// Caller takes calls. Make one with New; the goroutine that owns the state carries out
+// Sequencer takes calls. Make one with New; the goroutine that owns the state carries out
 // what comes from Calls, one after the other.
-type Caller struct {
+type Sequencer struct {
 	calls chan func(now time.Time)
 }
 
 // New returns a caller for which so many calls may wait.
-func New(ring int) *Caller { return &Caller{calls: make(chan func(time.Time), ring)} }
+func New(ring int) *Sequencer { return &Sequencer{calls: make(chan func(time.Time), ring)} }
 
 // Calls brings the calls to be carried out.
-func (c *Caller) Calls() <-chan func(now time.Time) { return c.calls }
+func (c *Sequencer) Calls() <-chan func(now time.Time) { return c.calls }
 
 // Call has f carried out and waits for it. When ctx ends before, f may still be carried out.
-func (c *Caller) Call(ctx context.Context, f func(now time.Time)) error {
+func (c *Sequencer) Call(ctx context.Context, f func(now time.Time)) error {
 	done := make(chan struct{})
 	call := func(now time.Time) {
 		f(now)
@@ -45,4 +45,4 @@
 }
 
 // Post has f carried out in its turn. It waits while the ring is full.
-func (c *Caller) Post(f func(now time.Time)) { c.calls <- f }
+func (c *Sequencer) Post(f func(now time.Time)) { c.calls <- f }
