--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -119,7 +119,7 @@
 	if err != nil {
 		return errors.Wrap(err, "app")
 	}
-	a.operators[authenticator.DigestOf(a.clusterKey)] = authenticator.Cluster
+	a.operators[authenticator.DigestOf(a.clusterKey)] = authenticator.ClusterOwner
 	return nil
 }
 
@@ -183,7 +183,7 @@
 }
 
 func (a *App) handler(forward *connector.Client) http.Handler {
-	cluster := authenticator.Ring{authenticator.DigestOf(a.clusterKey): authenticator.Cluster}
+	cluster := authenticator.Ring{authenticator.DigestOf(a.clusterKey): authenticator.ClusterOwner}
 	peer := &responder.Peer{
 		Keeper: a.keeper, Cluster: a.clusterID, Leader: a.responder.LeaderAddress, Heard: a.transporter.Heard, Invited: a.met.meet,
 		Client: func(address string) wire.Peer { return wire.NewPeerProtobufClient("http://"+address, forward) },
--- a/controller/responder/operator.go
+++ b/controller/responder/operator.go
@@ -14,7 +14,7 @@
 
 // Apply puts a contract into force.
 func (r *Responder) Apply(ctx context.Context, req *wire.ApplyRequest) (*wire.ApplyResponse, error) {
-	if owner := authenticator.OwnerFrom(ctx); owner != authenticator.Cluster {
+	if owner := authenticator.OwnerFrom(ctx); owner != authenticator.ClusterOwner {
 		req.Operator = owner
 	}
 	return serve(ctx, r, req, r.apply, func(a string) func(context.Context, *wire.ApplyRequest) (*wire.ApplyResponse, error) {
--- a/pkg/authenticator/authenticator.go
+++ b/pkg/authenticator/authenticator.go
@@ -15,8 +15,8 @@
 	"github.com/pkg/errors"
 )
 
-// Cluster is the owner of the key that the system's own processes use.
-const Cluster = "Cluster"
+// ClusterOwner is the owner of the key that the system's own processes use.
+const ClusterOwner = "Cluster"
 
 // Digest is the SHA-256 of a key.
 type Digest [sha256.Size]byte
