--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -53,7 +53,7 @@
 	// met are members that this instance heard of before it belonged to a cluster.
 	met         acquaintances
 	clusterKey  string
-	operators   authenticator.Ring
+	operators   authenticator.Keyring
 	storer      *storer.Storer
 	keeper      *raftdriver.Driver
 	coordinator *coordinator.Coordinator
@@ -183,7 +183,7 @@
 }
 
 func (a *App) handler(forward *connector.Client) http.Handler {
-	cluster := authenticator.Ring{authenticator.DigestOf(a.clusterKey): authenticator.ClusterOwner}
+	cluster := authenticator.Keyring{authenticator.DigestOf(a.clusterKey): authenticator.ClusterOwner}
 	peer := &responder.Peer{
 		Keeper: a.keeper, Cluster: a.clusterID, Leader: a.responder.LeaderAddress, Heard: a.transporter.Heard, Invited: a.met.meet,
 		Client: func(address string) wire.Peer { return wire.NewPeerProtobufClient("http://"+address, forward) },
--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -58,8 +58,8 @@
 
 type keys struct {
 	cluster   string
-	backends  authenticator.Ring
-	operators authenticator.Ring
+	backends  authenticator.Keyring
+	operators authenticator.Keyring
 }
 
 // NewLog returns the log that the settings ask for.
--- a/gateway/receiver/receiver.go
+++ b/gateway/receiver/receiver.go
@@ -61,8 +61,8 @@
 	// Session returns the gateway's present session.
 	Session func() uint64
 	// BackendKeys are the keys of backend servers; OperatorKeys those of operators.
-	BackendKeys  authenticator.Ring
-	OperatorKeys authenticator.Ring
+	BackendKeys  authenticator.Keyring
+	OperatorKeys authenticator.Keyring
 	// Ready reports whether the balancer shall send callers here.
 	Ready func() bool
 	// MaxBody bounds a request's body in bytes.
--- a/pkg/authenticator/authenticator.go
+++ b/pkg/authenticator/authenticator.go
@@ -53,17 +53,17 @@
 	return key, nil
 }
 
-// Ring maps the digests of keys to the names of their owners.
-type Ring map[Digest]string
+// Keyring maps the digests of keys to the names of their owners.
+type Keyring map[Digest]string
 
 // ReadRing reads lines of a name and a digest.
-func ReadRing(file string) (Ring, error) {
+func ReadRing(file string) (Keyring, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "authenticator: read ring")
 	}
 	defer func() { _ = f.Close() }()
-	ring := Ring{}
+	ring := Keyring{}
 	lines := bufio.NewScanner(f)
 	for lines.Scan() {
 		fields := strings.Fields(lines.Text())
@@ -83,7 +83,7 @@
 }
 
 // Owner returns who a key belongs to, or "".
-func (r Ring) Owner(key string) string {
+func (r Keyring) Owner(key string) string {
 	digest := DigestOf(key)
 	owner := ""
 	for known, name := range r {
@@ -107,7 +107,7 @@
 
 // Require lets only requests with a key of the ring through. It says nothing to
 // the others but that they have no key.
-func Require(ring Ring, next http.Handler) http.Handler {
+func Require(ring Keyring, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		owner := ring.Owner(BearerKey(r))
 		if owner == "" {
