--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -115,7 +115,7 @@
 	if a.clusterKey, err = authenticator.ReadKey(a.Settings.Keys.ClusterFile); err != nil {
 		return errors.Wrap(err, "app")
 	}
-	a.operators, err = authenticator.ReadRing(a.Settings.Keys.OperatorFile)
+	a.operators, err = authenticator.ReadKeyring(a.Settings.Keys.OperatorFile)
 	if err != nil {
 		return errors.Wrap(err, "app")
 	}
--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -101,10 +101,10 @@
 	if a.keys.cluster, err = authenticator.ReadKey(a.Settings.Keys.ClusterFile); err != nil {
 		return errors.Wrap(err, "app")
 	}
-	if a.keys.backends, err = authenticator.ReadRing(a.Settings.Keys.BackendFile); err != nil {
+	if a.keys.backends, err = authenticator.ReadKeyring(a.Settings.Keys.BackendFile); err != nil {
 		return errors.Wrap(err, "app")
 	}
-	a.keys.operators, err = authenticator.ReadRing(a.Settings.Keys.OperatorFile)
+	a.keys.operators, err = authenticator.ReadKeyring(a.Settings.Keys.OperatorFile)
 	return errors.Wrap(err, "app")
 }
 
--- a/pkg/authenticator/authenticator.go
+++ b/pkg/authenticator/authenticator.go
@@ -56,8 +56,8 @@
 // Keyring maps the digests of keys to the names of their owners.
 type Keyring map[Digest]string
 
-// ReadRing reads lines of a name and a digest.
-func ReadRing(file string) (Keyring, error) {
+// ReadKeyring reads lines of a name and a digest.
+func ReadKeyring(file string) (Keyring, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "authenticator: read ring")
