--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -16,9 +16,9 @@
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/applier"
-	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/limiter"
 	"bronzelead.example/pkg/planner"
+	"bronzelead.example/pkg/sequencer"
 	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
 )
@@ -63,7 +63,7 @@
 	CountQuarantine func(change string)
 
 	arbiter  arbiter.Arbiter
-	calls    *caller.Sequencer
+	calls    *sequencer.Sequencer
 	admitted atomic.Pointer[raftdriver.Admission]
 	state    *applier.StateMachine
 	snapshot uint64
@@ -95,7 +95,7 @@
 
 // Init prepares the coordinator for calls before Run.
 func (c *Coordinator) Init() {
-	c.calls = caller.New(callRing)
+	c.calls = sequencer.New(callRing)
 	c.state = applier.New()
 	c.initArbiter()
 	if c.SnapshotInterval == 0 {
--- a/controller/responder/responder.go
+++ b/controller/responder/responder.go
@@ -14,8 +14,8 @@
 	"bronzelead.example/controller/coordinator"
 	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/authenticator"
-	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/connector"
+	"bronzelead.example/pkg/sequencer"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -92,7 +92,7 @@
 		return known
 	case errors.Is(err, raftdriver.ErrNotLeader):
 		return twirp.NewError(twirp.Unavailable, "no leader is known here")
-	case errors.Is(err, raftdriver.ErrBusy), errors.Is(err, caller.ErrBusy):
+	case errors.Is(err, raftdriver.ErrBusy), errors.Is(err, sequencer.ErrBusy):
 		return twirp.NewError(twirp.ResourceExhausted, err.Error())
 	case errors.Is(err, raftdriver.ErrOutcomeUnknown):
 		return twirp.NewError(twirp.Aborted, err.Error())
--- a/controller/routecoordinator/curator.go
+++ b/controller/routecoordinator/curator.go
@@ -18,10 +18,10 @@
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/applier"
-	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/disseminator"
 	"bronzelead.example/pkg/placer"
 	"bronzelead.example/pkg/quotaallocator"
+	"bronzelead.example/pkg/sequencer"
 	"bronzelead.example/pkg/throttler"
 	"bronzelead.example/pkg/tracker"
 	"bronzelead.example/pkg/wire"
@@ -90,7 +90,7 @@
 	SnapshotEntries uint64
 	SnapshotBytes   int
 
-	calls      *caller.Sequencer
+	calls      *sequencer.Sequencer
 	epoch      uint64
 	state      *applier.StateMachine
 	snapshot   uint64
@@ -156,7 +156,7 @@
 
 // Init prepares the curator for calls before Run.
 func (c *Coordinator) Init() {
-	c.calls = caller.New(callRing)
+	c.calls = sequencer.New(callRing)
 	c.epoch = rand.Uint64()
 	c.state = applier.New()
 	c.tracker = &tracker.Tracker{SilentAfter: c.SilentAfter, ForgetAfter: forgetAfter}
--- a/pkg/caller/caller.go
+++ b/pkg/sequencer/caller.go
@@ -1,6 +1,6 @@
 // Package caller carries calls into the one goroutine that owns some state, through a
 // bounded ring.
-package caller
+package sequencer
 
 import (
 	"context"
--- a/pkg/caller/caller_test.go
+++ b/pkg/sequencer/caller_test.go
@@ -1,4 +1,4 @@
-package caller
+package sequencer
 
 import (
 	"context"
