--- a/bronzectl/app/story.go
+++ b/bronzectl/app/story.go
@@ -7,7 +7,7 @@
 
 	"github.com/pkg/errors"
 
-	"bronzelead.example/pkg/narrator"
+	"bronzelead.example/pkg/logtracer"
 )
 
 // standardInput is the name of a log that is read from standard input.
@@ -15,7 +15,7 @@
 
 // fromLogs prints the story of a request across the processes whose logs are given.
 func (c *explainCommand) fromLogs(s *session) error {
-	var all []narrator.Line
+	var all []logtracer.Line
 	for _, name := range c.Log {
 		lines, err := readLog(s, name)
 		if err != nil {
@@ -23,7 +23,7 @@
 		}
 		all = append(all, lines...)
 	}
-	story := narrator.Trace(all, c.Request)
+	story := logtracer.Trace(all, c.Request)
 	if len(story) == 0 {
 		return errors.Errorf("no line of the logs names request %s; of answered requests only a sample is logged", c.Request)
 	}
@@ -35,7 +35,7 @@
 	return nil
 }
 
-func readLog(s *session, name string) ([]narrator.Line, error) {
+func readLog(s *session, name string) ([]logtracer.Line, error) {
 	in := s.in
 	if name != standardInput {
 		file, err := os.Open(name)
@@ -45,11 +45,11 @@
 		defer func() { _ = file.Close() }()
 		in = file
 	}
-	lines, _, err := narrator.Read(in)
+	lines, _, err := logtracer.Read(in)
 	return lines, errors.Wrapf(err, "read %s", name)
 }
 
-func printLine(s *session, line narrator.Line) error {
+func printLine(s *session, line logtracer.Line) error {
 	if !s.json {
 		_, err := fmt.Fprintln(s.out, line.String())
 		return errors.Wrap(err, "print")
--- a/pkg/narrator/fault.go
+++ b/pkg/logtracer/fault.go
@@ -1,4 +1,4 @@
-package narrator
+package logtracer
 
 // Kind says what went wrong.
 type Kind int
--- a/pkg/narrator/narrator.go
+++ b/pkg/logtracer/narrator.go
@@ -1,7 +1,7 @@
 // Package narrator tells the story of one request from the log lines of all processes:
 // its own lines, and what its gateway and the leader believed and did meanwhile about
 // the backend servers and the adapter that it needed.
-package narrator
+package logtracer
 
 import (
 	"bufio"
--- a/pkg/narrator/narrator_test.go
+++ b/pkg/logtracer/narrator_test.go
@@ -1,4 +1,4 @@
-package narrator
+package logtracer
 
 import (
 	"strings"
