--- a/bronzectl/app/contract.go
+++ b/bronzectl/app/contract.go
@@ -9,7 +9,7 @@
 
 	"github.com/pkg/errors"
 
-	"bronzelead.example/pkg/drafter"
+	"bronzelead.example/pkg/contractparser"
 	"bronzelead.example/pkg/launcher"
 	"bronzelead.example/pkg/validator"
 	"bronzelead.example/pkg/wire"
@@ -34,7 +34,7 @@
 	if err != nil {
 		return errors.Wrap(err, "bronzectl")
 	}
-	contract, faults := drafter.Parse(data)
+	contract, faults := contractparser.Parse(data)
 	if len(faults) == 0 {
 		faults = validator.Contract(contract)
 	}
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	return s.print(res.GetContract(), strings.TrimRight(drafter.Format(res.GetContract()), "\n"))
+	return s.print(res.GetContract(), strings.TrimRight(contractparser.Format(res.GetContract()), "\n"))
 }
 
 type listCommand struct{}
--- a/pkg/drafter/drafter.go
+++ b/pkg/contractparser/drafter.go
@@ -1,6 +1,6 @@
 // Package drafter reads and writes contracts as operators write them: INI files with
 // a section for the contract and one for each class, adapter, service and key.
-package drafter
+package contractparser
 
 import (
 	"fmt"
--- a/pkg/drafter/drafter_test.go
+++ b/pkg/contractparser/drafter_test.go
@@ -1,4 +1,4 @@
-package drafter_test
+package contractparser_test
 
 import (
 	"testing"
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 	"google.golang.org/protobuf/proto"
 
-	"bronzelead.example/pkg/drafter"
+	"bronzelead.example/pkg/contractparser"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -24,7 +24,7 @@
 
 func TestWriteAndRead(t *testing.T) {
 	c := qt.New(t)
-	got, faults := drafter.Parse([]byte(drafter.Format(contract())))
+	got, faults := contractparser.Parse([]byte(contractparser.Format(contract())))
 	c.Assert(faults, qt.HasLen, 0)
 	c.Assert(proto.Equal(got, contract()), qt.IsTrue, qt.Commentf("%v", got))
 }
@@ -43,7 +43,7 @@
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			_, faults := drafter.Parse([]byte(tc.text))
+			_, faults := contractparser.Parse([]byte(tc.text))
 			c.Assert(faults, qt.HasLen, 1)
 			c.Assert(faults[0], qt.Contains, tc.fault)
 		})
@@ -51,10 +51,10 @@
 }
 
 func FuzzRead(f *testing.F) {
-	f.Add([]byte(drafter.Format(contract())))
+	f.Add([]byte(contractparser.Format(contract())))
 	f.Add([]byte("[Contract]\nDeadline = 1h1\n"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		got, faults := drafter.Parse(data)
+		got, faults := contractparser.Parse(data)
 		if got == nil && len(faults) == 0 {
 			t.Fatal("neither a contract nor a fault")
 		}
