--- a/gateway/doorkeeper/doorkeeper.go
+++ b/gateway/acceptor/doorkeeper.go
@@ -3,7 +3,7 @@
 //
 // One goroutine serves a connection, and one more watches it for the caller's leaving
 // while a request is being answered.
-package doorkeeper
+package acceptor
 
 import (
 	"bufio"
--- a/gateway/doorkeeper/doorkeeper_test.go
+++ b/gateway/acceptor/doorkeeper_test.go
@@ -1,4 +1,4 @@
-package doorkeeper
+package acceptor
 
 import (
 	"bufio"
--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -11,7 +11,7 @@
 	"github.com/jonboulle/clockwork"
 	"github.com/pkg/errors"
 
-	"bronzelead.example/gateway/doorkeeper"
+	"bronzelead.example/gateway/acceptor"
 	"bronzelead.example/gateway/forwarder"
 	"bronzelead.example/gateway/granter"
 	"bronzelead.example/gateway/isolator"
@@ -52,7 +52,7 @@
 
 	seeds     atomic.Pointer[[]string]
 	stopping  atomic.Bool
-	door      *doorkeeper.Acceptor
+	door      *acceptor.Acceptor
 	forwarder *forwarder.Forwarder
 	follower  *synchronizer.Synchronizer
 	relayer   *relayer.Relayer
@@ -143,7 +143,7 @@
 		Relayer: r.relayer, Demand: r.forwarder.Demand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
 		Granter: r.granter,
 	}
-	r.door = &doorkeeper.Acceptor{
+	r.door = &acceptor.Acceptor{
 		Clock: r.Clock, Log: r.Log, Address: s.Instance.Listen, Handle: r.forwarder.Handle,
 		CheckHead: r.forwarder.Screen,
 		Limits:    r.forwarder.Limits, MaxConnections: s.Instance.MaxFiles / callerShare,
--- a/gateway/forwarder/ablation_test.go
+++ b/gateway/forwarder/ablation_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/jonboulle/clockwork"
 
-	"bronzelead.example/gateway/doorkeeper"
+	"bronzelead.example/gateway/acceptor"
 	"bronzelead.example/gateway/regulator"
 	"bronzelead.example/pkg/ablator"
 	"bronzelead.example/pkg/balancer"
@@ -22,7 +22,7 @@
 	f := &Forwarder{Clock: clockwork.NewFakeClock(), Off: ablator.Without(off...)}
 	f.Init()
 	route := prompts(&wire.Route{Priority: 2, Repetition: wire.Repetition_REPETITION_STREAM})
-	j := &job{route: route, service: "s", adapter: "m/x", about: platform.Request{PromptTokens: 100}, req: &doorkeeper.Request{Head: &framer.RequestHead{}}}
+	j := &job{route: route, service: "s", adapter: "m/x", about: platform.Request{PromptTokens: 100}, req: &acceptor.Request{Head: &framer.RequestHead{}}}
 	return f, j
 }
 
--- a/gateway/forwarder/fingerprint_test.go
+++ b/gateway/forwarder/fingerprint_test.go
@@ -5,7 +5,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"bronzelead.example/gateway/doorkeeper"
+	"bronzelead.example/gateway/acceptor"
 	"bronzelead.example/pkg/framer"
 )
 
@@ -14,7 +14,7 @@
 func TestWhatIsSentAgainHasTheSameFingerprints(t *testing.T) {
 	made := func(target, caller, id string) []string {
 		header := framer.Header{{Name: "Host", Value: "h"}, {Name: "Request-Id", Value: id}}
-		j := &job{req: &doorkeeper.Request{
+		j := &job{req: &acceptor.Request{
 			Head: &framer.RequestHead{Method: "POST", Target: target, Header: header}, Body: []byte("body"), Caller: caller,
 		}}
 		return j.prints()
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -12,7 +12,7 @@
 
 	"github.com/jonboulle/clockwork"
 
-	"bronzelead.example/gateway/doorkeeper"
+	"bronzelead.example/gateway/acceptor"
 	"bronzelead.example/gateway/granter"
 	"bronzelead.example/gateway/isolator"
 	"bronzelead.example/gateway/quotaenforcer"
@@ -220,14 +220,14 @@
 }
 
 // Limits returns the table's bounds on what callers send.
-func (f *Forwarder) Limits() doorkeeper.Limits {
+func (f *Forwarder) Limits() acceptor.Limits {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.table == nil {
-		return doorkeeper.Limits{}
+		return acceptor.Limits{}
 	}
 	l := f.table.Table().GetLimits()
-	return doorkeeper.Limits{
+	return acceptor.Limits{
 		HeaderBytes: int(l.GetHeaderBytes()), BodyBytes: int(l.GetBodyBytes()),
 		HeaderTimeout: milliseconds(l.GetHeaderTimeoutMs()), IdleTimeout: milliseconds(l.GetIdleTimeoutMs()),
 	}
--- a/gateway/forwarder/harness_test.go
+++ b/gateway/forwarder/harness_test.go
@@ -14,7 +14,7 @@
 	qt "github.com/frankban/quicktest"
 	"github.com/jonboulle/clockwork"
 
-	"bronzelead.example/gateway/doorkeeper"
+	"bronzelead.example/gateway/acceptor"
 	"bronzelead.example/gateway/regulator"
 	"bronzelead.example/gateway/sender"
 	"bronzelead.example/pkg/framer"
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.Cleanup(cancel)
 	go f.Run(ctx)
-	door := &doorkeeper.Acceptor{Clock: clock, Log: log, Address: "127.0.0.1:0", Handle: f.Handle, CheckHead: f.Screen}
+	door := &acceptor.Acceptor{Clock: clock, Log: log, Address: "127.0.0.1:0", Handle: f.Handle, CheckHead: f.Screen}
 	c.Assert(door.Start(), qt.IsNil)
 	c.Cleanup(func() { _ = door.Stop(ctx) })
 	return door.Addr(), f
@@ -126,8 +126,8 @@
 }
 
 // asked is the request that call sends, as the door reads it.
-func asked(target string) *doorkeeper.Request {
-	return &doorkeeper.Request{
+func asked(target string) *acceptor.Request {
+	return &acceptor.Request{
 		Head: &framer.RequestHead{Method: "POST", Target: target, Header: framer.Header{{Name: "Host", Value: "h"}}},
 		Body: []byte("hi"), Caller: "127.0.0.1:1",
 	}
--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"bronzelead.example/gateway/doorkeeper"
+	"bronzelead.example/gateway/acceptor"
 	"bronzelead.example/gateway/isolator"
 	"bronzelead.example/gateway/sender"
 	"bronzelead.example/pkg/wire"
@@ -32,7 +32,7 @@
 }
 
 // callerOf returns a caller's address without the port, which differs for each connection.
-func callerOf(req *doorkeeper.Request) string {
+func callerOf(req *acceptor.Request) string {
 	caller, _, err := net.SplitHostPort(req.Caller)
 	if err != nil {
 		return req.Caller
--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"bronzelead.example/gateway/doorkeeper"
+	"bronzelead.example/gateway/acceptor"
 	"bronzelead.example/pkg/ablator"
 	"bronzelead.example/pkg/balancer"
 	"bronzelead.example/pkg/matcher"
@@ -16,8 +16,8 @@
 
 // job is one request on its way.
 type job struct {
-	req   *doorkeeper.Request
-	reply *doorkeeper.Reply
+	req   *acceptor.Request
+	reply *acceptor.Reply
 	about platform.Request
 	route *wire.Route
 	// customer holds the request's key, by the table of the last look; nil if none does.
@@ -69,7 +69,7 @@
 }
 
 // Handle answers a request.
-func (f *Forwarder) Handle(ctx context.Context, req *doorkeeper.Request, reply *doorkeeper.Reply) {
+func (f *Forwarder) Handle(ctx context.Context, req *acceptor.Request, reply *acceptor.Reply) {
 	j := &job{req: req, reply: reply, about: platform.DecodeRequest(req.Head.Header)}
 	if !f.awaitTable(ctx, j) || !f.admit(j) {
 		return
--- a/gateway/forwarder/key.go
+++ b/gateway/forwarder/key.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bronzelead.example/gateway/doorkeeper"
+	"bronzelead.example/gateway/acceptor"
 	"bronzelead.example/platform"
 )
 
@@ -31,7 +31,7 @@
 
 // Screen refuses a request by its head alone if its route needs a key and no customer holds
 // its own. It reports whether it did.
-func (f *Forwarder) Screen(req *doorkeeper.Request, reply *doorkeeper.Reply) bool {
+func (f *Forwarder) Screen(req *acceptor.Request, reply *acceptor.Reply) bool {
 	f.mu.Lock()
 	table := f.table
 	f.mu.Unlock()
--- a/gateway/forwarder/slot_test.go
+++ b/gateway/forwarder/slot_test.go
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"bronzelead.example/gateway/doorkeeper"
+	"bronzelead.example/gateway/acceptor"
 	"bronzelead.example/pkg/wire"
 )
 
@@ -26,7 +26,7 @@
 		t.Run(name, func(t *testing.T) {
 			at := func(ms int) time.Time { return received.Add(time.Duration(ms) * time.Millisecond) }
 			j := &job{
-				req: &doorkeeper.Request{ReceivedAt: received}, route: &wire.Route{ObjectiveMs: 150},
+				req: &acceptor.Request{ReceivedAt: received}, route: &wire.Route{ObjectiveMs: 150},
 				askedAt: at(test.asked), sendBy: at(test.sendBy),
 			}
 			qt.New(t).Check(j.slotWait(at(test.now)), qt.Equals, at(test.want).Sub(received))
