--- a/pkg/translator/announcement.go
+++ b/pkg/translator/announcement.go
@@ -116,8 +116,8 @@
 const (
 	// KindMalformed means that something can't be decoded.
 	KindMalformed Kind = iota + 1
-	// KindCrossed means that an answer belongs to another request or adapter.
-	KindCrossed
+	// KindMismatched means that an answer belongs to another request or adapter.
+	KindMismatched
 	// KindTruncated means that an answer ended before it was whole.
 	KindTruncated
 	// KindRefused means that the server refused, and did not run, what it was asked.
--- a/pkg/translator/requests.go
+++ b/pkg/translator/requests.go
@@ -104,7 +104,7 @@
 		return fail("Check", KindTruncated, "the answer is not JSON: %v", err)
 	}
 	if e.ID != x.AnswerID || e.Model != x.Model {
-		return fail("Check", KindCrossed, "the answer is for %q of %q, not %q of %q", e.ID, e.Model, x.AnswerID, x.Model)
+		return fail("Check", KindMismatched, "the answer is for %q of %q, not %q of %q", e.ID, e.Model, x.AnswerID, x.Model)
 	}
 	return nil
 }
--- a/pkg/translator/translator_test.go
+++ b/pkg/translator/translator_test.go
@@ -46,9 +46,9 @@
 		kind translator.Kind
 	}{
 		"its own":                     {body: `{"id":"cmpl-1","model":"a@1"}`},
-		"another request's":           {body: `{"id":"cmpl-2","model":"a@1"}`, kind: translator.KindCrossed},
-		"another version's":           {body: `{"id":"cmpl-1","model":"a@2"}`, kind: translator.KindCrossed},
-		"one without an id":           {body: `{"model":"a@1"}`, kind: translator.KindCrossed},
+		"another request's":           {body: `{"id":"cmpl-2","model":"a@1"}`, kind: translator.KindMismatched},
+		"another version's":           {body: `{"id":"cmpl-1","model":"a@2"}`, kind: translator.KindMismatched},
+		"one without an id":           {body: `{"model":"a@1"}`, kind: translator.KindMismatched},
 		"half of one":                 {body: `{"id":"cmpl-1","mod`, kind: translator.KindTruncated},
 		"an error in an answer's way": {body: `[]`, kind: translator.KindTruncated},
 	}
