--- a/pkg/translator/requests.go
+++ b/pkg/translator/requests.go
@@ -45,8 +45,8 @@
 // that a wrong version can't be served under a right name.
 func ModelName(adapter, version string) string { return adapter + "@" + version }
 
-// SplitModel takes a caller's model name apart.
-func SplitModel(model string) (adapter, version string, ok bool) {
+// SplitModelName takes a caller's model name apart.
+func SplitModelName(model string) (adapter, version string, ok bool) {
 	adapter, version, ok = strings.Cut(model, "@")
 	return adapter, version, ok && adapter != "" && version != ""
 }
