--- a/controller/routecoordinator/routecoordinator.go
+++ b/controller/routecoordinator/routecoordinator.go
@@ -159,7 +159,7 @@
 
 // Init prepares the coordinator for calls before Run.
 func (c *Coordinator) Init() {
-	c.calls = sequencer.New(callRing)
+	c.calls = sequencer.New(callQueueSize)
 	c.epoch = rand.Uint64()
 	c.state = applier.New()
 	c.tracker = &tracker.Tracker{SilentAfter: c.SilentAfter, ForgetAfter: forgetAfter}
