--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -7,69 +7,70 @@
 	"bronzelead.example/pkg/router"
 )
 
-// step is what an attempt led to: a final answer, or the certainty that the request
-// did not run and may be tried elsewhere.
-type step struct {
+// attemptResult is the result of one attempt: a final answer, or the certainty that the request
+// did not run and may be retried on another backend server.
+type attemptResult struct {
 	final   bool
 	problem *Problem
-	// failed blames the backend server; missing says that it lacks the adapter.
-	failed  bool
-	missing bool
-	// unsure is set if the request may have run all the same, and may run again.
-	unsure bool
+	// backendFailed blames the backend server; adapterMissing means that it lacks the adapter.
+	backendFailed  bool
+	adapterMissing bool
+	// mayHaveRun is set if the request may have run despite the failure and may run again.
+	mayHaveRun bool
 }
 
-// carry takes a request through admission, routing and as many attempts as it needs
-// and may have. It returns the problem that is left to be answered, or nil.
-func (r *Receiver) carry(e *entry, attempt func(context.Context, *router.Candidate, int) step) *Problem {
+// runAttempts takes a request through admission, routing and as many attempts as the retry
+// budget and the deadline allow. It returns the problem that is still to be answered, or nil.
+func (r *Receiver) runAttempts(e *activeRequest, attempt func(context.Context, *router.Candidate, int) attemptResult) *Problem {
 	base := e.ctx
-	if e.once {
-		// The retry of a caller that went away finds the answer instead of a doubt.
+	if e.runOnce {
+		// The request runs on after a disconnect, so that a retry finds the answer instead of
+		// an unknown outcome.
 		base = context.WithoutCancel(base)
 	}
 	ctx, cancel := context.WithDeadline(base, e.job.Deadline)
 	defer cancel()
 	e.ctx = ctx
-	if p := r.heldBack(e); p != nil {
+	if p := r.checkQuarantine(e); p != nil {
 		return p
 	}
 	defer r.endTrial(e)
 	r.RetryBudget.Deposit()
-	unsure := false
+	maybeRan := false
 	candidate, refusal := r.Scheduler.Acquire(ctx, e.job)
 	for n := 0; refusal == nil; n++ {
-		r.noteAssigned(e, candidate)
-		if p := r.heldBack(e); p != nil {
-			// What it waited for has shown meanwhile that it ends backend servers.
+		r.recordAssignment(e, candidate)
+		if p := r.checkQuarantine(e); p != nil {
+			// The request was found to crash backend servers while it was queued.
 			r.Scheduler.Complete(e.job, false)
-			return unlessRun(ctx, unsure, p)
+			return refusalOrUnknown(ctx, maybeRan, p)
 		}
 		e.sentAt = r.Clock.Now()
-		s := attempt(ctx, candidate, n)
-		unsure = unsure || s.unsure
-		if s.final {
-			r.Scheduler.Complete(e.job, s.failed)
-			return s.problem
+		result := attempt(ctx, candidate, n)
+		maybeRan = maybeRan || result.mayHaveRun
+		if result.final {
+			r.Scheduler.Complete(e.job, result.backendFailed)
+			return result.problem
 		}
 		if !r.RetryBudget.Withdraw(ctx, n, e.job.Deadline) {
-			r.Scheduler.Complete(e.job, s.failed)
-			return unlessRun(ctx, unsure, refused(&scheduler.Refusal{Reason: scheduler.NoBackend, RetryAfter: retryAfterFault}))
+			r.Scheduler.Complete(e.job, result.backendFailed)
+			return refusalOrUnknown(ctx, maybeRan, refused(&scheduler.Refusal{Reason: scheduler.NoBackend, RetryAfter: retryAfterFault}))
 		}
-		candidate, refusal = r.Scheduler.Reassign(ctx, e.job, s.failed, s.missing)
+		candidate, refusal = r.Scheduler.Reassign(ctx, e.job, result.backendFailed, result.adapterMissing)
 	}
-	return unlessRun(ctx, unsure, refused(refusal))
+	return refusalOrUnknown(ctx, maybeRan, refused(refusal))
 }
 
-// unlessRun returns a refusal, or that the request may have run if a try of it may: only what
-// certainly did not run is refused as such.
-func unlessRun(ctx context.Context, unsure bool, p *Problem) *Problem {
-	if unsure {
+// refusalOrUnknown returns the refusal p, or an unknown outcome if an attempt may have run: a
+// request is refused only if it certainly did not run.
+func refusalOrUnknown(ctx context.Context, maybeRan bool, p *Problem) *Problem {
+	if maybeRan {
 		return mayHaveRun(ctx)
 	}
 	return p
 }
 
-func (r *Receiver) noteAssigned(e *entry, candidate *router.Candidate) {
+func (r *Receiver) recordAssignment(e *activeRequest, candidate *router.Candidate) {
 	series := r.Meter.For(e.terms.Customer(), e.class)
 	series.QueueWait.RecordDuration(e.job.QueueWait())
 	series.LoadStall.RecordDuration(e.job.LoadStall())
--- a/gateway/receiver/attempts_test.go
+++ b/gateway/receiver/attempts_test.go
@@ -10,18 +10,18 @@
 	"bronzelead.example/gateway/scheduler"
 )
 
-// A request that may run again is refused at last, after a try that may have run: the answer
-// must not say that it did not.
-func TestARefusalAfterALostTryPromisesNothing(t *testing.T) {
+// The final refusal of a request after an attempt that may have run must not claim that the
+// request did not run.
+func TestRefusalAfterLostAttemptReportsUnknown(t *testing.T) {
 	for name, test := range map[string]struct {
-		unsure bool
-		want   dispatcher.Ran
+		maybeRan bool
+		want     dispatcher.Ran
 	}{
-		"no try may have run":  {false, dispatcher.RanNo},
-		"one try may have run": {true, dispatcher.RanUnknown},
+		"no attempt may have run":  {false, dispatcher.RanNo},
+		"one attempt may have run": {true, dispatcher.RanUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := unlessRun(context.Background(), test.unsure, refused(&scheduler.Refusal{Reason: scheduler.NoBackend}))
+			p := refusalOrUnknown(context.Background(), test.maybeRan, refused(&scheduler.Refusal{Reason: scheduler.NoBackend}))
 			qt.New(t).Check(p.Ran, qt.Equals, test.want)
 		})
 	}
--- a/gateway/receiver/completions.go
+++ b/gateway/receiver/completions.go
@@ -20,25 +20,25 @@
 )
 
 const (
-	// The beginning of a prompt whose cached part an engine can use again.
+	// The length of the prompt prefix that identifies a reusable cache entry on an engine.
 	prefixBytes     = 512
 	jsonContent     = "application/json"
 	eventContent    = "text/event-stream"
 	retryAfterFault = 2 * time.Second
 )
 
-var errCallerGone = errors.New("receiver: the caller is gone")
+var errCallerLeft = errors.New("receiver: the caller is gone")
 
-// complete answers a request for a completion.
+// complete handles a completion request.
 func (r *Receiver) complete(w http.ResponseWriter, req *http.Request) {
-	e, problem := r.open(req, "")
+	e, problem := r.newRequest(req, "")
 	if problem == nil {
 		problem = r.completion(w, e)
 	}
 	r.finish(w, e, problem)
 }
 
-func (r *Receiver) completion(w http.ResponseWriter, e *entry) *Problem {
+func (r *Receiver) completion(w http.ResponseWriter, e *activeRequest) *Problem {
 	parsed, err := translator.ParseCompletion(e.http.URL.Path, e.body)
 	if err != nil {
 		return malformed(err.Error())
@@ -51,34 +51,34 @@
 		}
 	}
 	e.class = terms.GetClass()
-	e.once = terms.GetNonIdempotent()
-	if problem := e.readKey(); problem != nil {
+	e.runOnce = terms.GetNonIdempotent()
+	if problem := e.readIdempotencyKey(); problem != nil {
 		return problem
 	}
 	job := &scheduler.Job{
 		BaseModel: terms.GetBaseModel(),
 		Want:      router.Want{Adapter: parsed.Model, Prefix: prefixOf(parsed)},
 	}
-	if problem := r.plan(e, job); problem != nil {
+	if problem := r.prepareJob(e, job); problem != nil {
 		return problem
 	}
-	c := &call{receiver: r, entry: e, writer: w, stream: parsed.Stream, model: parsed.Model}
-	return r.carry(e, c.attempt)
+	c := &completionCall{receiver: r, entry: e, writer: w, stream: parsed.Stream, model: parsed.Model}
+	return r.runAttempts(e, c.attempt)
 }
 
-// readKey takes the key that makes a request run at most once.
-func (e *entry) readKey() *Problem {
+// readIdempotencyKey reads the key that makes a request run at most once.
+func (e *activeRequest) readIdempotencyKey() *Problem {
 	e.key = e.http.Header.Get(IdempotencyKeyHeader)
 	if len(e.key) > maxKeyLength {
 		return malformed(IdempotencyKeyHeader + " is longer than " + strconv.Itoa(maxKeyLength) + " bytes")
 	}
 	if e.key != "" {
-		e.once = true
+		e.runOnce = true
 	}
 	return nil
 }
 
-// prefixOf digests the beginning of a prompt together with its adapter.
+// prefixOf hashes the beginning of a prompt together with its adapter.
 func prefixOf(req *translator.CompletionRequest) uint64 {
 	text := req.Prompt
 	if len(req.Messages) > 0 {
@@ -93,80 +93,80 @@
 	return d.Sum64()
 }
 
-// call is one completion on its way to an engine and back.
-type call struct {
+// completionCall is the state of one completion request.
+type completionCall struct {
 	receiver *Receiver
-	entry    *entry
+	entry    *activeRequest
 	writer   http.ResponseWriter
 	stream   bool
 	model    string
 
 	started   bool
 	lastToken time.Time
-	// kept is the streamed answer, as long as it is short enough to be stored.
-	kept      bytes.Buffer
-	keptWhole bool
+	// storedBody is the streamed answer, as long as it is short enough to be stored.
+	storedBody   bytes.Buffer
+	bodyComplete bool
 }
 
-func (c *call) attempt(ctx context.Context, candidate *router.Candidate, attempt int) step {
+func (c *completionCall) attempt(ctx context.Context, candidate *router.Candidate, attempt int) attemptResult {
 	r, e := c.receiver, c.entry
 	requestID := e.id + "-" + strconv.Itoa(attempt)
 	if e.key != "" {
 		claimed, found := r.claim(ctx, e, requestID, candidate)
 		if !claimed {
-			return step{final: true, problem: found.answer(c.writer, e.id)}
+			return attemptResult{final: true, problem: found.respond(c.writer, e.id)}
 		}
 	}
 	x := c.exchange(requestID, candidate)
 	out := r.Dispatcher.Run(ctx, x)
 	if out.Err == nil {
-		r.completedRun(e, candidate)
+		r.recordCompletion(e, candidate)
 		c.deliver(out)
 		r.store(e, requestID, c.outcome(out))
-		return step{final: true}
+		return attemptResult{final: true}
 	}
 	r.Explainer.Record(e.id, e.terms.Customer(), "%s: %v, ran: %s, events passed on: %d, resumed %d times",
 		candidate.Backend.GetName(), out.Err, out.Ran, out.Events, out.Resumed)
 	if out.Ran == dispatcher.RanUnknown {
-		r.lostRun(e, candidate, c.started)
+		r.recordLoss(e, candidate, c.started)
 	}
 	return c.afterFailure(ctx, requestID, out)
 }
 
-func (c *call) exchange(requestID string, candidate *router.Candidate) *dispatcher.Exchange {
+func (c *completionCall) exchange(requestID string, candidate *router.Candidate) *dispatcher.Exchange {
 	x := &dispatcher.Exchange{
 		RequestID: requestID, Address: candidate.Backend.GetAddress(), Incarnation: candidate.Backend.GetIncarnation(),
 		Path: c.entry.http.URL.Path,
 		Body: c.entry.body, Model: c.model, Priority: c.entry.job.Priority, Session: c.receiver.Session(),
 	}
 	if c.stream {
-		c.keptWhole = true
+		c.bodyComplete = true
 		x.Emit = c.emit
 	}
 	return x
 }
 
-// afterFailure decides what follows an attempt that brought no whole answer.
-func (c *call) afterFailure(ctx context.Context, requestID string, out dispatcher.Outcome) step {
+// afterFailure decides how to continue after an attempt without a complete answer.
+func (c *completionCall) afterFailure(ctx context.Context, requestID string, out dispatcher.Outcome) attemptResult {
 	r, e := c.receiver, c.entry
-	gone := e.http.Context().Err() != nil && !e.once
+	callerLeft := e.http.Context().Err() != nil && !e.runOnce
 	switch {
 	case out.Ran == dispatcher.RanNo && e.key != "":
 		r.release(ctx, e, requestID)
-		return step{failed: !out.Missing, missing: out.Missing}
-	case out.Ran == dispatcher.RanNo && !gone:
-		return step{failed: !out.Missing, missing: out.Missing}
-	case e.once:
+		return attemptResult{backendFailed: !out.Missing, adapterMissing: out.Missing}
+	case out.Ran == dispatcher.RanNo && !callerLeft:
+		return attemptResult{backendFailed: !out.Missing, adapterMissing: out.Missing}
+	case e.runOnce:
 		r.store(e, requestID, &wire.Outcome{Unknown: true})
-	case !c.started && !gone && r.mayRunAgain(ctx, e):
-		// Nothing was passed on, and the request may run again.
-		return step{failed: true, unsure: true}
+	case !c.started && !callerLeft && r.mayRetry(ctx, e):
+		// Nothing was sent to the caller, and the request may be retried.
+		return attemptResult{backendFailed: true, mayHaveRun: true}
 	}
 	if c.started {
 		server.Abort(c.writer)
-		return step{final: true, failed: !gone}
+		return attemptResult{final: true, backendFailed: !callerLeft}
 	}
-	return step{final: true, failed: !gone, problem: mayHaveRun(ctx)}
+	return attemptResult{final: true, backendFailed: !callerLeft, problem: mayHaveRun(ctx)}
 }
 
 func mayHaveRun(ctx context.Context) *Problem {
@@ -180,10 +180,10 @@
 	return p
 }
 
-// emit passes one event on to the caller.
-func (c *call) emit(data []byte) error {
-	if c.entry.http.Context().Err() != nil && !c.entry.once {
-		return errCallerGone
+// emit forwards one event to the caller.
+func (c *completionCall) emit(data []byte) error {
+	if c.entry.http.Context().Err() != nil && !c.entry.runOnce {
+		return errCallerLeft
 	}
 	now := c.receiver.Clock.Now()
 	series := c.receiver.Meter.For(c.entry.terms.Customer(), c.entry.class)
@@ -199,7 +199,7 @@
 }
 
 // begin sends the head of a streamed answer.
-func (c *call) begin(contentType string) {
+func (c *completionCall) begin(contentType string) {
 	c.started = true
 	h := c.writer.Header()
 	h.Set("Content-Type", contentType)
@@ -209,7 +209,7 @@
 	c.writer.WriteHeader(http.StatusOK)
 }
 
-func (c *call) write(data []byte) {
+func (c *completionCall) write(data []byte) {
 	event := make([]byte, 0, len(data)+8)
 	event = append(event, "data: "...)
 	event = append(event, data...)
@@ -218,23 +218,23 @@
 	if f, ok := c.writer.(http.Flusher); ok {
 		f.Flush()
 	}
-	c.keep(event)
+	c.storeEvent(event)
 }
 
-func (c *call) keep(event []byte) {
-	if c.entry.key == "" || !c.keptWhole {
+func (c *completionCall) storeEvent(event []byte) {
+	if c.entry.key == "" || !c.bodyComplete {
 		return
 	}
-	if c.kept.Len()+len(event) > c.receiver.MaxStoredAnswer {
-		c.keptWhole = false
-		c.kept.Reset()
+	if c.storedBody.Len()+len(event) > c.receiver.MaxStoredAnswer {
+		c.bodyComplete = false
+		c.storedBody.Reset()
 		return
 	}
-	c.kept.Write(event)
+	c.storedBody.Write(event)
 }
 
 // deliver completes the answer.
-func (c *call) deliver(out dispatcher.Outcome) {
+func (c *completionCall) deliver(out dispatcher.Outcome) {
 	if c.stream {
 		if !c.started {
 			c.begin(eventContent)
@@ -248,18 +248,18 @@
 	_, _ = c.writer.Write(out.Body)
 }
 
-// outcome is what is stored for a retry.
-func (c *call) outcome(out dispatcher.Outcome) *wire.Outcome {
+// outcome is stored for repeats of the request.
+func (c *completionCall) outcome(out dispatcher.Outcome) *wire.Outcome {
 	if c.stream {
 		return &wire.Outcome{
 			Status: http.StatusOK, ContentType: eventContent,
-			Body: c.kept.Bytes(), Truncated: !c.keptWhole,
+			Body: c.storedBody.Bytes(), Truncated: !c.bodyComplete,
 		}
 	}
-	return c.receiver.kept(out.Status, jsonContent, out.Body)
+	return c.receiver.storedAnswer(out.Status, jsonContent, out.Body)
 }
 
-// jsonField reads a field of a JSON body as text.
+// jsonField returns a field of a JSON body as text.
 func jsonField(body []byte, name string) string {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(body, &fields); err != nil {
--- a/gateway/receiver/isolation.go
+++ b/gateway/receiver/isolation.go
@@ -10,63 +10,62 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// prints returns the fingerprints of a request, which are worked out at most once.
-func (e *entry) prints() []string {
+// quarantineFingerprints returns the fingerprints of a request, computed at most once.
+func (e *activeRequest) quarantineFingerprints() []string {
 	if e.fingerprints == nil {
-		asked := isolator.Request{
+		req := isolator.Request{
 			Method: e.http.Method, Target: e.http.URL.RequestURI(), Body: e.body, Caller: e.terms.Customer(),
 		}
-		e.fingerprints = asked.Fingerprints()
+		e.fingerprints = req.Fingerprints()
 	}
 	return e.fingerprints
 }
 
-// heldBack returns what is answered to a request that ends backend servers, or nil if it may
-// be sent.
-func (r *Receiver) heldBack(e *entry) *Problem {
+// checkQuarantine returns the problem for a quarantined request, or nil if it may be sent.
+func (r *Receiver) checkQuarantine(e *activeRequest) *Problem {
 	if e.trial != "" {
 		return nil
 	}
-	verdict := r.Isolator.Check(e.prints)
-	e.trial = verdict.Trial
-	if !verdict.Quarantined {
+	decision := r.Isolator.Check(e.quarantineFingerprints)
+	e.trial = decision.Trial
+	if !decision.Quarantined {
 		return nil
 	}
 	r.Meter.Count("requests_held_back", "customer", e.terms.Customer())
 	return &Problem{
-		Status: http.StatusServiceUnavailable, Kind: kindHeldBack, Ran: dispatcher.RanNo, RetryAfter: verdict.Remaining,
+		Status: http.StatusServiceUnavailable, Kind: kindQuarantined, Ran: dispatcher.RanNo, RetryAfter: decision.Remaining,
 		Message: "backend servers end when they run this request; it is held back",
 	}
 }
 
-// endTrial ends the trial of a request, if it was one.
-func (r *Receiver) endTrial(e *entry) {
+// endTrial reports the result of a trial run, if the request is one.
+func (r *Receiver) endTrial(e *activeRequest) {
 	if e.trial != "" {
 		r.Isolator.EndTrial(e.trial, !e.sentAt.IsZero() && !e.completed)
 	}
 }
 
-// lostRun tells of a run that ended without a whole answer; begun says that a part had come.
-func (r *Receiver) lostRun(e *entry, to *router.Candidate, begun bool) {
-	r.Isolator.RecordLoss(e.prints, &wire.RunReport{
+// recordLoss reports a run without a complete answer; begun means that part of it was received.
+func (r *Receiver) recordLoss(e *activeRequest, to *router.Candidate, begun bool) {
+	r.Isolator.RecordLoss(e.quarantineFingerprints, &wire.RunReport{
 		Service: e.job.Want.Service, Model: e.job.Want.Adapter, Place: e.http.Method + " " + e.http.URL.Path,
-		Caller: e.terms.Customer(), Backend: startOf(to), Begun: begun,
+		Caller: e.terms.Customer(), Backend: incarnationID(to), Begun: begun,
 		RanMs: uint32(r.Clock.Since(e.sentAt).Milliseconds()),
 	}, to.Backend.GetAddress())
 }
 
-// completedRun tells of a run that was answered whole.
-func (r *Receiver) completedRun(e *entry, to *router.Candidate) {
+// recordCompletion reports a run with a complete answer.
+func (r *Receiver) recordCompletion(e *activeRequest, to *router.Candidate) {
 	e.completed = true
-	r.Isolator.RecordCompletion(e.prints, startOf(to))
+	r.Isolator.RecordCompletion(e.quarantineFingerprints, incarnationID(to))
 }
 
-func startOf(to *router.Candidate) string {
+func incarnationID(to *router.Candidate) string {
 	return isolator.IncarnationID(to.Backend.GetName(), to.Backend.GetIncarnation())
 }
 
-// mayRunAgain reports whether the gateway may repeat by itself what may have run: not if more
-// than one backend server has ended under it.
-func (r *Receiver) mayRunAgain(ctx context.Context, e *entry) bool {
-	return ctx.Err() == nil && e.trial == "" && !r.Isolator.Suspected(e.prints)
+// mayRetry reports whether the gateway itself may retry a request that may have run: not if
+// more than one backend server has crashed while running it.
+func (r *Receiver) mayRetry(ctx context.Context, e *activeRequest) bool {
+	return ctx.Err() == nil && e.trial == "" && !r.Isolator.Suspected(e.quarantineFingerprints)
 }
--- a/gateway/receiver/once.go
+++ b/gateway/receiver/once.go
@@ -22,15 +22,15 @@
 	maxRecoveries   = 3
 )
 
-// foundClaim is what a request found in the place of its own claim.
-type foundClaim struct {
+// existingClaim is the result for a request whose key is already claimed.
+type existingClaim struct {
 	// stored is the answer of the request that ran.
 	stored  *wire.Outcome
 	problem *Problem
 }
 
-// answer writes the stored answer, or returns the problem that is left.
-func (f *foundClaim) answer(w http.ResponseWriter, requestID string) *Problem {
+// respond writes the stored answer, or returns the problem.
+func (f *existingClaim) respond(w http.ResponseWriter, requestID string) *Problem {
 	if f.stored != nil {
 		writeStored(w, requestID, f.stored)
 		return nil
@@ -38,8 +38,8 @@
 	return f.problem
 }
 
-// fingerprint tells a repeat from another request under the same key.
-func (e *entry) fingerprint() []byte {
+// fingerprint distinguishes a repeat from another request under the same key.
+func (e *activeRequest) fingerprint() []byte {
 	h := sha256.New()
 	for _, part := range []string{e.http.Method, e.http.URL.RequestURI()} {
 		_, _ = h.Write([]byte(part))
@@ -49,9 +49,9 @@
 	return h.Sum(nil)
 }
 
-// claim claims the right to run a request. When the claim is somebody else's, it
-// returns what to answer instead.
-func (r *Receiver) claim(ctx context.Context, e *entry, requestID string, candidate *router.Candidate) (bool, *foundClaim) {
+// claim acquires the right to run a request. If another request holds the claim, it returns the
+// answer to send instead.
+func (r *Receiver) claim(ctx context.Context, e *activeRequest, requestID string, candidate *router.Candidate) (bool, *existingClaim) {
 	cmd := &wire.ClaimCommand{
 		Customer: e.terms.Customer(), Key: e.key, Fingerprint: e.fingerprint(),
 		Session: r.Session(), Attempt: requestID, RequestId: requestID,
@@ -62,40 +62,40 @@
 	for range maxRecoveries {
 		res, err := r.Claimer.Claim(ctx, cmd)
 		if err != nil {
-			// The claim may be in the log all the same; it is given back there.
+			// The claim may be committed all the same, so it is released later.
 			r.Claimer.ReleaseLater(releaseOf(e, requestID))
 			refusal := &scheduler.Refusal{Reason: scheduler.NoQuorum, RetryAfter: retryAfterFault}
-			return false, &foundClaim{problem: unknownIfKeyed(refused(refusal))}
+			return false, &existingClaim{problem: markRanUnknown(refused(refusal))}
 		}
 		if res.GetGranted() {
 			return true, nil
 		}
-		found, again := r.foundClaim(ctx, e, res.GetClaim())
-		if !again {
+		found, retry := r.resolveClaim(ctx, e, res.GetClaim())
+		if !retry {
 			return false, found
 		}
 	}
-	return false, &foundClaim{problem: inProgress()}
+	return false, &existingClaim{problem: inProgress()}
 }
 
-// foundClaim decides what a claim that is not the request's own means for it. Again
-// is set when the claim is gone and may be tried anew.
-func (r *Receiver) foundClaim(ctx context.Context, e *entry, c *wire.Claim) (found *foundClaim, again bool) {
+// resolveClaim decides how to answer a request whose key another request has claimed. Retry is
+// set when that claim was released and the request may claim again.
+func (r *Receiver) resolveClaim(ctx context.Context, e *activeRequest, c *wire.Claim) (found *existingClaim, retry bool) {
 	switch {
 	case c == nil:
 		refusal := &scheduler.Refusal{Reason: scheduler.NoQuorum, RetryAfter: retryAfterFault}
-		return &foundClaim{problem: unknownIfKeyed(refused(refusal))}, false
+		return &existingClaim{problem: markRanUnknown(refused(refusal))}, false
 	case string(c.GetCommand().GetFingerprint()) != string(e.fingerprint()):
-		return &foundClaim{problem: &Problem{
+		return &existingClaim{problem: &Problem{
 			Status: http.StatusUnprocessableEntity, Kind: kindKeyReused, Ran: dispatcher.RanNo, KeyChecked: true,
 			Message: "the idempotency key was used before for another request",
 		}}, false
 	case c.GetState() == wire.ClaimState_CLAIM_STATE_FINISHED:
-		return foundOutcome(c.GetOutcome()), false
+		return claimOutcome(c.GetOutcome()), false
 	case c.GetOrphaned():
 		return r.recoverClaim(ctx, e, c)
 	}
-	return &foundClaim{problem: inProgress()}, false
+	return &existingClaim{problem: inProgress()}, false
 }
 
 func inProgress() *Problem {
@@ -105,26 +105,26 @@
 	}
 }
 
-func foundOutcome(o *wire.Outcome) *foundClaim {
+func claimOutcome(o *wire.Outcome) *existingClaim {
 	switch {
 	case o.GetUnknown():
-		return &foundClaim{problem: &Problem{
+		return &existingClaim{problem: &Problem{
 			Status: http.StatusConflict, Kind: kindMayHaveRun, Ran: dispatcher.RanUnknown,
 			Message: "the request may have run; it will not be run again under this key",
 		}}
 	case o.GetTruncated():
-		return &foundClaim{problem: &Problem{
+		return &existingClaim{problem: &Problem{
 			Status: http.StatusConflict, Kind: kindAnswerNotKept, Ran: dispatcher.RanYes,
 			Message: "the request ran, but its answer was too large to be kept",
 		}}
 	}
-	return &foundClaim{stored: o}
+	return &existingClaim{stored: o}
 }
 
-// recoverClaim finds out what became of a request whose gateway is gone.
-func (r *Receiver) recoverClaim(ctx context.Context, e *entry, c *wire.Claim) (*foundClaim, bool) {
+// recoverClaim determines the outcome of a request whose gateway has exited.
+func (r *Receiver) recoverClaim(ctx context.Context, e *activeRequest, c *wire.Claim) (*existingClaim, bool) {
 	cmd := c.GetCommand()
-	old := &entry{id: e.id, terms: e.terms, key: e.key}
+	old := &activeRequest{id: e.id, terms: e.terms, key: e.key}
 	if e.job.Want.Service == "" {
 		out := r.Dispatcher.Recover(ctx, &dispatcher.Exchange{
 			RequestID: cmd.GetRequestId(), Address: cmd.GetAddress(), Incarnation: cmd.GetIncarnation(),
@@ -133,45 +133,46 @@
 		r.Explainer.Record(e.id, e.terms.Customer(), "took up request %s of a gateway that is gone: ran: %s, %v", cmd.GetRequestId(), out.Ran, out.Err)
 		switch {
 		case out.Err == nil:
-			return r.finishRecovered(ctx, old, cmd.GetRequestId(), r.kept(out.Status, jsonContent, out.Body)), false
+			return r.finishRecovered(ctx, old, cmd.GetRequestId(), r.storedAnswer(out.Status, jsonContent, out.Body)), false
 		case out.Ran == dispatcher.RanNo:
 			return nil, r.Claimer.Release(ctx, releaseOf(old, cmd.GetRequestId())) == nil
 		}
 	}
-	// The gateway may only have lost its session, and still store the outcome.
+	// The gateway may only have lost its session, and may still store the outcome.
 	age := time.Duration(r.Clock.Now().UnixNano() - c.GetClaimedAtNs())
 	if age < time.Duration(cmd.GetDeadlineNs())+inProgressRetry {
-		return &foundClaim{problem: inProgress()}, false
+		return &existingClaim{problem: inProgress()}, false
 	}
 	return r.finishRecovered(ctx, old, cmd.GetRequestId(), &wire.Outcome{Unknown: true}), false
 }
 
-func (r *Receiver) finishRecovered(ctx context.Context, e *entry, requestID string, o *wire.Outcome) *foundClaim {
-	stands, err := r.Claimer.Finish(ctx, finishOf(e, requestID, o))
-	if err != nil || stands == nil {
-		return &foundClaim{problem: inProgress()}
+func (r *Receiver) finishRecovered(ctx context.Context, e *activeRequest, requestID string, o *wire.Outcome) *existingClaim {
+	stored, err := r.Claimer.Finish(ctx, finishOf(e, requestID, o))
+	if err != nil || stored == nil {
+		return &existingClaim{problem: inProgress()}
 	}
-	return foundOutcome(stands)
+	return claimOutcome(stored)
 }
 
-// kept is an answer as it is stored, or a note that it was too large.
-func (r *Receiver) kept(status int, contentType string, body []byte) *wire.Outcome {
+// storedAnswer returns the outcome to store: the answer, or a truncation mark if it is too
+// large.
+func (r *Receiver) storedAnswer(status int, contentType string, body []byte) *wire.Outcome {
 	if len(body) > r.MaxStoredAnswer {
 		return &wire.Outcome{Status: int32(status), Truncated: true}
 	}
 	return &wire.Outcome{Status: int32(status), ContentType: contentType, Body: body}
 }
 
-// store keeps a request's outcome for its key, if it has one. The caller does not
-// wait for it.
-func (r *Receiver) store(e *entry, requestID string, o *wire.Outcome) {
+// store saves a request's outcome under its key, if it has one. The caller does not wait for
+// it.
+func (r *Receiver) store(e *activeRequest, requestID string, o *wire.Outcome) {
 	if e.key != "" {
 		r.Claimer.FinishLater(finishOf(e, requestID, o))
 	}
 }
 
-// release gives a claim back before the request is tried elsewhere.
-func (r *Receiver) release(ctx context.Context, e *entry, requestID string) {
+// release releases a claim before the request is retried.
+func (r *Receiver) release(ctx context.Context, e *activeRequest, requestID string) {
 	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	if err := r.Claimer.Release(limited, releaseOf(e, requestID)); err != nil {
@@ -179,50 +180,48 @@
 	}
 }
 
-func finishOf(e *entry, requestID string, o *wire.Outcome) *wire.FinishCommand {
+func finishOf(e *activeRequest, requestID string, o *wire.Outcome) *wire.FinishCommand {
 	return &wire.FinishCommand{Customer: e.terms.Customer(), Key: e.key, RequestId: requestID, Outcome: o}
 }
 
-func releaseOf(e *entry, requestID string) *wire.ReleaseCommand {
+func releaseOf(e *activeRequest, requestID string) *wire.ReleaseCommand {
 	return &wire.ReleaseCommand{Customer: e.terms.Customer(), Key: e.key, RequestId: requestID}
 }
 
-// checkKey makes sure of a "not run" that is about to be said of a request which may
-// be the repeat of one that ran: the key is looked up first. A stored answer is given
-// at once in place of the refusal.
-func (r *Receiver) checkKey(e *entry, p *Problem) *foundClaim {
-	refused := &foundClaim{problem: p}
+// checkKey verifies a problem that claims "not run" for a request which may repeat one that
+// ran: the key is looked up first. A stored answer replaces the refusal.
+func (r *Receiver) checkKey(e *activeRequest, p *Problem) *existingClaim {
+	refused := &existingClaim{problem: p}
 	switch {
 	case p.Ran != dispatcher.RanNo || p.KeyChecked:
 		return refused
 	case e.key == "" && !r.mayBeRepeat(e):
 		return refused
 	case e.key == "":
-		return &foundClaim{problem: unknownIfKeyed(p)}
+		return &existingClaim{problem: markRanUnknown(p)}
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(e.ctx), lookupTimeout)
 	defer cancel()
 	c, err := r.Claimer.Lookup(ctx, e.terms.Customer(), e.key)
 	switch {
 	case err != nil:
-		return &foundClaim{problem: unknownIfKeyed(p)}
+		return &existingClaim{problem: markRanUnknown(p)}
 	case c == nil:
 		return refused
 	case string(c.GetCommand().GetFingerprint()) != string(e.fingerprint()):
 		return refused
 	case c.GetState() == wire.ClaimState_CLAIM_STATE_FINISHED:
-		return foundOutcome(c.GetOutcome())
+		return claimOutcome(c.GetOutcome())
 	}
-	return &foundClaim{problem: unknownIfKeyed(p)}
+	return &existingClaim{problem: markRanUnknown(p)}
 }
 
-// mayBeRepeat reports whether a request that was refused before its key was read may
-// have one.
-func (r *Receiver) mayBeRepeat(e *entry) bool {
+// mayBeRepeat reports whether a request that was refused before its key was read may have one.
+func (r *Receiver) mayBeRepeat(e *activeRequest) bool {
 	if e.http.Header.Get(IdempotencyKeyHeader) != "" {
 		return true
 	}
-	if !strings.HasPrefix(e.http.URL.Path, servicesPath) || e.once {
+	if !strings.HasPrefix(e.http.URL.Path, servicesPath) || e.runOnce {
 		return false
 	}
 	terms := r.Registrar.ByKey(authenticator.BearerKey(e.http))
@@ -233,8 +232,8 @@
 	return terms.Service(name).GetKeyFrom() != ""
 }
 
-// unknownIfKeyed takes back a "not run" that nobody could check.
-func unknownIfKeyed(p *Problem) *Problem {
+// markRanUnknown replaces a "not run" that could not be verified.
+func markRanUnknown(p *Problem) *Problem {
 	p.Ran = dispatcher.RanUnknown
 	p.Message += "; this attempt did not run, an earlier one with the same key may have"
 	return p
--- a/gateway/receiver/problem.go
+++ b/gateway/receiver/problem.go
@@ -11,15 +11,15 @@
 	"bronzelead.example/gateway/scheduler"
 )
 
-// Problem is the final answer to a request that got none from a backend server. Its
-// JSON is the error form of the API that callers speak, with four fields more.
+// Problem is the final answer to a request that got none from a backend server. Its JSON is the
+// error format of the callers' API with four additional fields.
 type Problem struct {
 	Status     int
 	Kind       string
 	Message    string
 	Ran        dispatcher.Ran
 	RetryAfter time.Duration
-	// KeyChecked tells that the request's key was looked at before Ran was set.
+	// KeyChecked means that the request's key was looked up before Ran was set.
 	KeyChecked bool
 }
 
@@ -36,7 +36,7 @@
 	kindMayHaveRun      = "MayHaveRun"
 	kindAnswerNotKept   = "AnswerNotKept"
 	kindNoKey           = "IdempotencyKeyRequired"
-	kindHeldBack        = "HeldBack"
+	kindQuarantined     = "HeldBack"
 )
 
 type problemBody struct {
@@ -53,7 +53,7 @@
 	RequestID  string         `json:"RequestId"`
 }
 
-// write sends the problem as the whole answer.
+// write sends the problem as the complete answer.
 func (p *Problem) write(w http.ResponseWriter, requestID string) {
 	fields := problemFields{
 		Message: p.Message, Type: "invalid_request_error", Code: p.Kind, Kind: p.Kind,
@@ -80,7 +80,7 @@
 	return &Problem{Status: http.StatusBadRequest, Kind: kindMalformed, Message: message, Ran: dispatcher.RanNo}
 }
 
-// refused turns a scheduler's refusal into an answer.
+// refused converts a scheduler's refusal into a problem.
 func refused(r *scheduler.Refusal) *Problem {
 	p := &Problem{Kind: string(r.Reason), Ran: dispatcher.RanNo, RetryAfter: r.RetryAfter}
 	switch r.Reason {
--- a/gateway/receiver/problem_test.go
+++ b/gateway/receiver/problem_test.go
@@ -13,7 +13,7 @@
 	"bronzelead.example/gateway/scheduler"
 )
 
-// TestKindsAreDocumented keeps docs/API.md in step with the answers.
+// TestKindsAreDocumented checks that docs/API.md lists every problem kind and header.
 func TestKindsAreDocumented(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../docs/API.md")
--- a/gateway/receiver/receiver.go
+++ b/gateway/receiver/receiver.go
@@ -1,6 +1,6 @@
-// Package receiver takes callers' requests through all their stages: authenticate,
-// contract, admit, route, claim, dispatch, verify, answer. It also takes the
-// announcements of backend servers.
+// Package receiver handles callers' requests: authentication, contract, admission, routing,
+// claim, dispatch, verification and answer. It also receives the announcements of backend
+// servers.
 package receiver
 
 import (
@@ -31,16 +31,16 @@
 const (
 	defaultMaxBody = 4 << 20
 	maxKeyLength   = 256
-	// A longer deadline is that of the contract anyway.
+	// Larger values are rejected; the contract's deadline caps a request's deadline anyway.
 	maxDeadlineSeconds = 1e6
 	servicesPath       = "/services/"
-	// ClassHeader lets a caller choose among its contract's classes.
+	// ClassHeader selects one of the contract's classes.
 	ClassHeader = "X-Priority-Class"
 	// DeadlineHeader shortens a request's deadline; it is a duration or seconds.
 	DeadlineHeader = "X-Deadline"
-	// IdempotencyKeyHeader names a request that must not run twice.
+	// IdempotencyKeyHeader identifies a request that must not run twice.
 	IdempotencyKeyHeader = "Idempotency-Key"
-	// RequestIDHeader tells the caller the request's id.
+	// RequestIDHeader returns the request's id to the caller.
 	RequestIDHeader = "X-Request-Id"
 )
 
@@ -56,18 +56,18 @@
 	Explainer   *explainer.Explainer
 	Meter       *meter.Meter
 	RetryBudget *RetryBudget
-	// Isolator knows the requests that end backend servers.
+	// Isolator tracks the requests that crash backend servers.
 	Isolator *isolator.Isolator
-	// Session returns the gateway's present session.
+	// Session returns the gateway's current session.
 	Session func() uint64
 	// BackendKeys are the keys of backend servers; OperatorKeys those of operators.
 	BackendKeys  authenticator.Keyring
 	OperatorKeys authenticator.Keyring
-	// Ready reports whether the balancer shall send callers here.
+	// Ready reports whether the load balancer should send callers to this instance.
 	Ready func() bool
-	// MaxBody bounds a request's body in bytes.
+	// MaxBody limits a request's body, in bytes.
 	MaxBody int
-	// MaxStoredAnswer bounds the answer that is kept for an idempotency key, in bytes.
+	// MaxStoredAnswer limits the answer that is stored for an idempotency key, in bytes.
 	MaxStoredAnswer int
 }
 
@@ -116,7 +116,8 @@
 		return
 	}
 	if !r.Scheduler.HasLiveSession() {
-		// The server shall tell another instance, which can pass it on.
+		// The server shall announce itself to another instance, which can forward the
+		// announcement.
 		writeText(w, http.StatusServiceUnavailable, "no live session")
 		return
 	}
@@ -148,8 +149,8 @@
 	return r.Instance + "-" + hex.EncodeToString(raw[:])
 }
 
-// entry is one caller's request on its way.
-type entry struct {
+// activeRequest is one caller's request in progress.
+type activeRequest struct {
 	id    string
 	terms *registrar.Terms
 	start time.Time
@@ -158,20 +159,20 @@
 	ctx   context.Context
 	body  []byte
 	http  *http.Request
-	// key makes the request run at most once; empty when it may run again.
+	// key makes the request run at most once; empty if it may be retried.
 	key string
-	// once marks a request that may not be repeated.
-	once bool
-	// fingerprints name it whichever attempt it is, once that was asked for.
+	// runOnce marks a request that must not be retried after it may have run.
+	runOnce bool
+	// fingerprints identify the request across its attempts; computed on first use.
 	fingerprints []string
-	// sentAt is when it was sent last, and completed is set once its answer was whole.
+	// sentAt is when it was last sent; completed is set once its answer was complete.
 	sentAt    time.Time
 	completed bool
-	// trial is the fingerprint by which it is held back, if it runs once all the same.
+	// trial is the fingerprint by which it is quarantined, if it may run once as a trial.
 	trial string
 }
 
-// identify finds out who calls.
+// identify authenticates the caller.
 func (r *Receiver) identify(req *http.Request) (*registrar.Terms, *Problem) {
 	if !r.Scheduler.HasLiveSession() {
 		// Without a live session the contracts here may be out of date.
@@ -187,9 +188,9 @@
 	return terms, nil
 }
 
-// open reads what all requests have in common.
-func (r *Receiver) open(req *http.Request, class string) (*entry, *Problem) {
-	e := &entry{id: r.newID(), start: r.Clock.Now(), http: req, class: class, ctx: req.Context()}
+// newRequest authenticates the caller and reads the body, as all kinds of requests need.
+func (r *Receiver) newRequest(req *http.Request, class string) (*activeRequest, *Problem) {
+	e := &activeRequest{id: r.newID(), start: r.Clock.Now(), http: req, class: class, ctx: req.Context()}
 	terms, problem := r.identify(req)
 	if problem != nil {
 		return e, problem
@@ -220,8 +221,8 @@
 	}
 }
 
-// plan fills in the job: class, priority and deadline.
-func (r *Receiver) plan(e *entry, job *scheduler.Job) *Problem {
+// prepareJob selects the class and sets the job's customer, priority and deadline.
+func (r *Receiver) prepareJob(e *activeRequest, job *scheduler.Job) *Problem {
 	if class := e.http.Header.Get(ClassHeader); class != "" {
 		if !e.terms.HasClass(class) {
 			return malformed(ClassHeader + ": the contract has no class " + strconv.Quote(class))
@@ -230,11 +231,11 @@
 	}
 	limit := time.Duration(e.terms.Contract.GetDeadlineNs())
 	if text := e.http.Header.Get(DeadlineHeader); text != "" {
-		asked, ok := parseDeadline(text)
+		requested, ok := parseDeadline(text)
 		if !ok {
 			return malformed(DeadlineHeader + ": want a duration such as 2s, or seconds")
 		}
-		limit = min(limit, asked)
+		limit = min(limit, requested)
 	}
 	job.Customer = e.terms.Customer()
 	job.Priority = e.terms.Priority(e.class)
@@ -250,13 +251,13 @@
 	seconds, err := strconv.ParseFloat(text, 64)
 	inRange := seconds >= 0 && seconds <= maxDeadlineSeconds
 	if err != nil || !inRange {
-		// NaN is in no range.
+		// NaN fails both comparisons.
 		return 0, false
 	}
 	return time.Duration(seconds * float64(time.Second)), true
 }
 
-// models lists what the customer may call.
+// models lists the models that the customer may call.
 func (r *Receiver) models(w http.ResponseWriter, req *http.Request) {
 	terms, problem := r.identify(req)
 	if problem != nil {
@@ -287,15 +288,15 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// finish writes the problem, if there is one, and the request's line in the log.
-func (r *Receiver) finish(w http.ResponseWriter, e *entry, p *Problem) {
+// finish writes the problem, if there is one, and logs the request.
+func (r *Receiver) finish(w http.ResponseWriter, e *activeRequest, p *Problem) {
 	customer := ""
 	if e.terms != nil {
 		customer = e.terms.Customer()
 	}
 	kind := "Answered"
 	if p != nil {
-		p = r.checkKey(e, p).answer(w, e.id)
+		p = r.checkKey(e, p).respond(w, e.id)
 	}
 	if p != nil {
 		kind = p.Kind
--- a/gateway/receiver/retry.go
+++ b/gateway/receiver/retry.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	firstBackOff = 10 * time.Millisecond
-	maxBackOff   = time.Second
-	maxAttempts  = 5
+	initialBackoff = 10 * time.Millisecond
+	maxBackoff     = time.Second
+	maxAttempts    = 5
 )
 
-// RetryBudget bounds a gateway's retries to a share of its requests, so that retries
-// can't make an overload worse. Set the exported fields before use.
+// RetryBudget limits a gateway's retries to a share of its requests, so that retries can't
+// amplify an overload. Set the exported fields before use.
 type RetryBudget struct {
 	Clock clockwork.Clock
-	// RetryRatio is how many retries each request earns.
+	// RetryRatio is how many retries each request adds to the budget.
 	RetryRatio float64
-	// Burst is how many retries may be saved up.
+	// Burst is how many retries may accumulate.
 	Burst float64
 
 	mu     sync.Mutex
@@ -29,7 +29,7 @@
 	filled bool
 }
 
-// Deposit notes a request.
+// Deposit adds the share of one request to the budget.
 func (b *RetryBudget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,13 +43,13 @@
 	}
 }
 
-// Withdraw asks for one retry and waits, with full jitter, before it. It reports false
-// when there is none to be had or the deadline would pass.
+// Withdraw takes one retry from the budget and then waits with full jitter. It returns false if
+// the budget or the attempts are used up, the deadline would pass, or ctx ends.
 func (b *RetryBudget) Withdraw(ctx context.Context, attempt int, deadline time.Time) bool {
-	if attempt >= maxAttempts || !b.take() {
+	if attempt >= maxAttempts || !b.takeToken() {
 		return false
 	}
-	wait := rand.N(min(firstBackOff<<attempt, maxBackOff))
+	wait := rand.N(min(initialBackoff<<attempt, maxBackoff))
 	if !b.Clock.Now().Add(wait).Before(deadline) {
 		return false
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-func (b *RetryBudget) take() bool {
+func (b *RetryBudget) takeToken() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fill()
--- a/gateway/receiver/services.go
+++ b/gateway/receiver/services.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	// Answers up to this size are known to be whole before they are passed on.
-	serviceBuffer = 256 << 10
-	copyBuffer    = 32 << 10
-	derivedPrefix = "derived:"
+	// Answers up to this size are read completely before they are forwarded.
+	maxBufferedAnswer = 256 << 10
+	copyBufferBytes   = 32 << 10
+	derivedPrefix     = "derived:"
 )
 
-// service passes a request on to a plain service.
+// service forwards a request to a plain service.
 func (r *Receiver) service(w http.ResponseWriter, req *http.Request) {
-	e, problem := r.open(req, "")
+	e, problem := r.newRequest(req, "")
 	if problem == nil {
 		problem = r.callService(w, e)
 	}
 	r.finish(w, e, problem)
 }
 
-func (r *Receiver) callService(w http.ResponseWriter, e *entry) *Problem {
+func (r *Receiver) callService(w http.ResponseWriter, e *activeRequest) *Problem {
 	name, rest := splitService(e.http.URL.Path)
 	terms := e.terms.Service(name)
 	if terms == nil {
@@ -45,26 +45,26 @@
 	if problem := e.readServiceKey(terms); problem != nil {
 		return problem
 	}
-	if problem := r.plan(e, &scheduler.Job{Want: router.Want{Service: name}}); problem != nil {
+	if problem := r.prepareJob(e, &scheduler.Job{Want: router.Want{Service: name}}); problem != nil {
 		return problem
 	}
 	if e.http.URL.RawQuery != "" {
 		rest += "?" + e.http.URL.RawQuery
 	}
 	c := &serviceCall{receiver: r, entry: e, writer: w, path: rest}
-	return r.carry(e, c.attempt)
+	return r.runAttempts(e, c.attempt)
 }
 
-// readServiceKey finds out whether a call may be repeated, and under which key it
-// runs at most once.
-func (e *entry) readServiceKey(terms *wire.ServiceTerms) *Problem {
-	if problem := e.readKey(); problem != nil {
+// readServiceKey determines whether a call may be retried, and the key under which it runs at
+// most once.
+func (e *activeRequest) readServiceKey(terms *wire.ServiceTerms) *Problem {
+	if problem := e.readIdempotencyKey(); problem != nil {
 		return problem
 	}
 	if !slices.Contains(terms.GetNonIdempotentMethods(), e.http.Method) {
 		return nil
 	}
-	e.once = true
+	e.runOnce = true
 	if e.key == "" && terms.GetKeyFrom() != "" {
 		e.key = e.deriveKey(terms.GetKeyFrom())
 		if e.key == "" {
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// deriveKey makes a key for callers that send none, by the contract's rule.
-func (e *entry) deriveKey(rule string) string {
+// deriveKey derives a key by the contract's rule for callers that send none.
+func (e *activeRequest) deriveKey(rule string) string {
 	source, name, _ := strings.Cut(rule, ":")
 	value := ""
 	switch source {
@@ -95,57 +95,57 @@
 	return derivedPrefix + e.http.Method + ":" + e.http.URL.Path + ":" + value
 }
 
-// serviceCall is one request to a plain service on its way there and back.
+// serviceCall is the state of one request to a plain service.
 type serviceCall struct {
 	receiver *Receiver
-	entry    *entry
+	entry    *activeRequest
 	writer   http.ResponseWriter
 	path     string
 }
 
-func (c *serviceCall) attempt(ctx context.Context, candidate *router.Candidate, attempt int) step {
+func (c *serviceCall) attempt(ctx context.Context, candidate *router.Candidate, attempt int) attemptResult {
 	r, e := c.receiver, c.entry
 	requestID := e.id + "-" + strconv.Itoa(attempt)
 	if e.key != "" {
 		claimed, found := r.claim(ctx, e, requestID, candidate)
 		if !claimed {
-			return step{final: true, problem: found.answer(c.writer, e.id)}
+			return attemptResult{final: true, problem: found.respond(c.writer, e.id)}
 		}
 	}
 	answer := r.Dispatcher.Call(ctx, &dispatcher.ServiceCall{
 		RequestID: requestID, Address: candidate.Backend.GetAddress(), Method: e.http.Method,
 		Path: c.path, Header: e.http.Header, Body: e.body, Priority: e.job.Priority,
-		Session: r.Session(), Once: e.once, Buffer: serviceBuffer,
+		Session: r.Session(), Once: e.runOnce, Buffer: maxBufferedAnswer,
 	})
 	if answer.Err == nil && answer.Ran != dispatcher.RanNo {
-		r.completedRun(e, candidate)
+		r.recordCompletion(e, candidate)
 		return c.deliver(requestID, answer)
 	}
 	if answer.Ran == dispatcher.RanUnknown {
-		r.lostRun(e, candidate, false)
+		r.recordLoss(e, candidate, false)
 	}
 	r.Explainer.Record(e.id, e.terms.Customer(), "%s: status %d, %v, ran: %s", candidate.Backend.GetName(), answer.Status, answer.Err, answer.Ran)
 	return c.afterFailure(ctx, requestID, answer)
 }
 
-func (c *serviceCall) afterFailure(ctx context.Context, requestID string, answer *dispatcher.ServiceAnswer) step {
+func (c *serviceCall) afterFailure(ctx context.Context, requestID string, answer *dispatcher.ServiceAnswer) attemptResult {
 	r, e := c.receiver, c.entry
 	switch {
 	case answer.Ran == dispatcher.RanNo:
 		if e.key != "" {
 			r.release(ctx, e, requestID)
 		}
-		return step{failed: true}
-	case e.once:
+		return attemptResult{backendFailed: true}
+	case e.runOnce:
 		r.store(e, requestID, &wire.Outcome{Unknown: true})
-	case r.mayRunAgain(ctx, e):
-		return step{failed: true, unsure: true}
+	case r.mayRetry(ctx, e):
+		return attemptResult{backendFailed: true, mayHaveRun: true}
 	}
-	return step{final: true, failed: e.http.Context().Err() == nil, problem: mayHaveRun(ctx)}
+	return attemptResult{final: true, backendFailed: e.http.Context().Err() == nil, problem: mayHaveRun(ctx)}
 }
 
-// deliver passes the service's answer on, and stores it for the key.
-func (c *serviceCall) deliver(requestID string, a *dispatcher.ServiceAnswer) step {
+// deliver forwards the service's answer and stores it for the key.
+func (c *serviceCall) deliver(requestID string, a *dispatcher.ServiceAnswer) attemptResult {
 	r, e := c.receiver, c.entry
 	h := c.writer.Header()
 	for name, values := range a.Header {
@@ -156,21 +156,22 @@
 		h.Set("Content-Length", strconv.Itoa(len(a.Body)))
 		c.writer.WriteHeader(a.Status)
 		_, _ = c.writer.Write(a.Body)
-		r.store(e, requestID, r.kept(a.Status, a.Header.Get("Content-Type"), a.Body))
-		return step{final: true}
+		r.store(e, requestID, r.storedAnswer(a.Status, a.Header.Get("Content-Type"), a.Body))
+		return attemptResult{final: true}
 	}
 	r.store(e, requestID, &wire.Outcome{Status: int32(a.Status), Truncated: true})
-	return c.pipe(a)
+	return c.streamBody(a)
 }
 
-// pipe passes a long answer on piece by piece. One that is cut shows as cut.
-func (c *serviceCall) pipe(a *dispatcher.ServiceAnswer) step {
+// streamBody forwards a long answer in pieces. A truncated answer is aborted, so that the
+// caller sees it as incomplete.
+func (c *serviceCall) streamBody(a *dispatcher.ServiceAnswer) attemptResult {
 	defer func() { _ = a.Rest.Close() }()
 	c.writer.Header().Del("Content-Length")
 	c.writer.Header().Set("Transfer-Encoding", "chunked")
 	c.writer.WriteHeader(a.Status)
 	_, _ = c.writer.Write(a.Body)
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := a.Rest.Read(buf)
 		if n > 0 {
@@ -179,13 +180,13 @@
 		if f, ok := c.writer.(http.Flusher); ok && n > 0 {
 			f.Flush()
 		}
-		gone := c.entry.http.Context().Err() != nil
+		callerLeft := c.entry.http.Context().Err() != nil
 		switch {
 		case err == io.EOF:
-			return step{final: true}
-		case err != nil || gone:
+			return attemptResult{final: true}
+		case err != nil || callerLeft:
 			server.Abort(c.writer)
-			return step{final: true, failed: !gone}
+			return attemptResult{final: true, backendFailed: !callerLeft}
 		}
 	}
 }
