--- /dev/null
+++ b/gateway/acceptor/acceptor.go
@@ -0,0 +1,397 @@
+// Package acceptor serves callers over HTTP/1.1. It parses requests strictly, passes their
+// content on byte for byte, and aborts answers that could not be completed.
+//
+// One goroutine serves a connection; a second one watches for a disconnect of the caller while
+// a request is being answered.
+package acceptor
+
+import (
+	"bufio"
+	"context"
+	"io"
+	"log/slog"
+	"net"
+	"runtime/debug"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/jonboulle/clockwork"
+	"github.com/pkg/errors"
+
+	"bronzelead.example/pkg/framer"
+)
+
+const (
+	readBufferBytes = 4 << 10
+	// defaultHeaderBytes and the other defaults apply until a table sets its own.
+	defaultHeaderBytes   = 16 << 10
+	defaultBodyBytes     = 4 << 20
+	defaultHeaderTimeout = 3 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
+	// bodyTimeout limits the time between two reads of a body.
+	bodyTimeout = 5 * time.Second
+	// writeTimeout limits how long a caller that does not read may block an answer.
+	writeTimeout = 5 * time.Second
+	// lingerTimeout is how long bytes after a refused request are read and discarded, so that
+	// closing does not reset the connection before the caller has read the answer.
+	lingerTimeout = 500 * time.Millisecond
+)
+
+// Limits limit what callers may send.
+type Limits struct {
+	HeaderBytes   int
+	BodyBytes     int
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
+}
+
+// Request is a complete request.
+type Request struct {
+	Head *framer.RequestHead
+	Body []byte
+	// ReceivedAt is when its head was received.
+	ReceivedAt time.Time
+	// Caller is the caller's address.
+	Caller string
+	// Reused is set if it is not the first request on its connection.
+	Reused bool
+}
+
+// Acceptor serves one address. Set the exported fields, then call Start.
+type Acceptor struct {
+	Clock   clockwork.Clock
+	Log     *slog.Logger
+	Address string
+	// Handle answers a request. Its context is cancelled when the caller disconnects.
+	Handle func(ctx context.Context, req *Request, reply *Reply)
+	// CheckHead inspects a request's head before its body is read. If it refuses the request,
+	// it answers it and returns true; nil accepts all requests.
+	CheckHead func(req *Request, reply *Reply) bool
+	// Limits returns the current limits; zero values mean the defaults.
+	Limits func() Limits
+	// MaxConnections limits the open connections; further ones are closed immediately.
+	MaxConnections int
+
+	listener net.Listener
+	stopping atomic.Bool
+	mu       sync.Mutex
+	conns    map[*conn]struct{}
+	active   sync.WaitGroup
+}
+
+// Start listens and serves in the background.
+func (a *Acceptor) Start() error {
+	listen := net.ListenConfig{KeepAlive: -1}
+	listener, err := listen.Listen(context.Background(), "tcp", a.Address)
+	if err != nil {
+		return errors.Wrapf(err, "acceptor: listen on %s", a.Address)
+	}
+	a.listener = listener
+	a.conns = map[*conn]struct{}{}
+	go a.accept()
+	return nil
+}
+
+// Addr returns the listening address.
+func (a *Acceptor) Addr() string { return a.listener.Addr().String() }
+
+// acceptRetryDelay is the delay after a failed accept, such as when file descriptors run out.
+const acceptRetryDelay = 20 * time.Millisecond
+
+func (a *Acceptor) accept() {
+	for {
+		c, err := a.listener.Accept()
+		switch {
+		case errors.Is(err, net.ErrClosed):
+			return
+		case err != nil:
+			a.Log.Warn("failed to accept a connection", "Error", err.Error())
+			<-a.Clock.After(acceptRetryDelay)
+			continue
+		}
+		a.add(c)
+	}
+}
+
+func (a *Acceptor) add(c net.Conn) {
+	served := &conn{Conn: c, acceptor: a, reader: bufio.NewReaderSize(c, readBufferBytes)}
+	a.mu.Lock()
+	if a.MaxConnections > 0 && len(a.conns) >= a.MaxConnections {
+		a.mu.Unlock()
+		_ = c.Close()
+		return
+	}
+	a.conns[served] = struct{}{}
+	a.active.Add(1)
+	a.mu.Unlock()
+	go served.serve()
+}
+
+func (a *Acceptor) remove(c *conn) {
+	a.mu.Lock()
+	delete(a.conns, c)
+	a.mu.Unlock()
+	a.active.Done()
+}
+
+// Quiesce closes each connection after its next answer. New connections are still accepted,
+// since the load balancer needs time to switch to other instances.
+func (a *Acceptor) Quiesce() { a.stopping.Store(true) }
+
+// Stop stops accepting connections, closes those without a request, and waits for the others
+// until ctx ends.
+func (a *Acceptor) Stop(ctx context.Context) error {
+	a.Quiesce()
+	_ = a.listener.Close()
+	a.mu.Lock()
+	for c := range a.conns {
+		c.closeIfIdle()
+	}
+	a.mu.Unlock()
+	done := make(chan struct{})
+	go func() {
+		a.active.Wait()
+		close(done)
+	}()
+	select {
+	case <-done:
+		return nil
+	case <-ctx.Done():
+		return errors.Wrap(ctx.Err(), "acceptor: requests still run")
+	}
+}
+
+func (a *Acceptor) limits() Limits {
+	l := Limits{}
+	if a.Limits != nil {
+		l = a.Limits()
+	}
+	if l.HeaderBytes == 0 {
+		l.HeaderBytes = defaultHeaderBytes
+	}
+	if l.BodyBytes == 0 {
+		l.BodyBytes = defaultBodyBytes
+	}
+	if l.HeaderTimeout == 0 {
+		l.HeaderTimeout = defaultHeaderTimeout
+	}
+	if l.IdleTimeout == 0 {
+		l.IdleTimeout = defaultIdleTimeout
+	}
+	return l
+}
+
+// conn is a caller's connection.
+type conn struct {
+	net.Conn
+	acceptor *Acceptor
+	reader   *bufio.Reader
+	// used is set once a request was read.
+	used bool
+
+	mu sync.Mutex
+	// idle is set while no byte of a request has been received.
+	idle   bool
+	closed bool
+}
+
+func (c *conn) serve() {
+	defer c.acceptor.remove(c)
+	defer func() { _ = c.Close() }()
+	defer c.recoverPanic()
+	for c.serveRequest() {
+	}
+}
+
+func (c *conn) recoverPanic() {
+	if fault := recover(); fault != nil {
+		c.acceptor.Log.Error("panic while serving a connection", "Fault", fault, "Stack", string(debug.Stack()))
+	}
+}
+
+// closeIfIdle closes a connection on which no request has begun.
+func (c *conn) closeIfIdle() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.idle {
+		c.closed = true
+		_ = c.Close()
+	}
+}
+
+// setIdle records whether a request has begun. It returns false if the connection was closed
+// before: a request whose bytes had arrived by then is not accepted, so that its caller can
+// tell that it did not run.
+func (c *conn) setIdle(idle bool) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.idle = idle
+	return !c.closed
+}
+
+// serveRequest serves one request and reports whether the connection may be reused.
+func (c *conn) serveRequest() bool {
+	limits := c.acceptor.limits()
+	if !c.awaitRequest(limits) {
+		return false
+	}
+	_ = c.SetReadDeadline(time.Now().Add(limits.HeaderTimeout))
+	raw, err := framer.ReadHead(c.reader, limits.HeaderBytes)
+	if err != nil {
+		c.refuse(err, statusHeaderTooLarge)
+		return false
+	}
+	head, err := framer.ParseRequest(raw)
+	if err != nil {
+		c.refuse(err, statusHeaderTooLarge)
+		return false
+	}
+	req := &Request{Head: head, ReceivedAt: c.acceptor.Clock.Now(), Caller: c.RemoteAddr().String(), Reused: c.used}
+	c.used = true
+	if refused, keep := c.checkHead(req, limits); refused {
+		return keep
+	}
+	if !c.readBody(req, limits) {
+		return false
+	}
+	return c.answer(req)
+}
+
+// checkHead lets CheckHead refuse a request by its head. It reports whether the request was
+// refused, and whether the connection may be reused: its body is then read and discarded.
+func (c *conn) checkHead(req *Request, limits Limits) (refused, keep bool) {
+	if c.acceptor.CheckHead == nil {
+		return false, false
+	}
+	reply := c.newReply(req)
+	// A caller that waits for "100 Continue" may or may not send its body after a refusal.
+	reply.keep = reply.keep && !req.Head.Header.Has("Expect")
+	if !c.acceptor.CheckHead(req, reply) {
+		return false, false
+	}
+	if !reply.keep || !reply.complete {
+		c.linger()
+		return true, false
+	}
+	return true, c.discardBody(req, limits)
+}
+
+// discardBody reads the body of a request that was already answered, and reports whether the
+// next request starts after it.
+func (c *conn) discardBody(req *Request, limits Limits) bool {
+	body, err := framer.RequestBody(c.reader, req.Head)
+	if err != nil || body.Length > int64(limits.BodyBytes) {
+		return false
+	}
+	_ = c.SetReadDeadline(time.Now().Add(bodyTimeout))
+	_, err = io.Copy(io.Discard, io.LimitReader(body, int64(limits.BodyBytes)))
+	return err == nil && body.Complete()
+}
+
+// newReply returns the reply for a request.
+func (c *conn) newReply(req *Request) *Reply {
+	keep := req.Head.KeepAlive() && !c.acceptor.stopping.Load()
+	return &Reply{
+		conn: c.Conn, log: c.acceptor.Log, keep: keep, method: req.Head.Method, minor: req.Head.Minor, stopping: &c.acceptor.stopping,
+	}
+}
+
+// awaitRequest waits for the first byte of a request.
+func (c *conn) awaitRequest(limits Limits) bool {
+	c.setIdle(true)
+	_ = c.SetReadDeadline(time.Now().Add(limits.IdleTimeout))
+	_, err := c.reader.Peek(1)
+	open := c.setIdle(false)
+	return err == nil && open
+}
+
+func (c *conn) readBody(req *Request, limits Limits) bool {
+	body, err := framer.RequestBody(c.reader, req.Head)
+	if err != nil {
+		c.refuse(err, statusBodyTooLarge)
+		return false
+	}
+	if body.Length > int64(limits.BodyBytes) {
+		c.refuse(errBodyTooLarge, statusBodyTooLarge)
+		return false
+	}
+	if req.Head.Header.HasToken("Expect", "100-continue") && !body.Complete() {
+		if _, err := io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n"); err != nil {
+			return false
+		}
+	}
+	buf := make([]byte, 0, min(max(body.Length, 512), 64<<10))
+	for {
+		if len(buf) == cap(buf) {
+			buf = append(buf, 0)[:len(buf)]
+		}
+		_ = c.SetReadDeadline(time.Now().Add(bodyTimeout))
+		n, err := body.Read(buf[len(buf):cap(buf)])
+		buf = buf[:len(buf)+n]
+		switch {
+		case err == io.EOF:
+			req.Body = buf
+			return true
+		case err != nil:
+			c.refuse(err, statusBodyTooLarge)
+			return false
+		case len(buf) > limits.BodyBytes:
+			c.refuse(errBodyTooLarge, statusBodyTooLarge)
+			return false
+		}
+	}
+}
+
+// answer runs the handler while watching the connection for a disconnect.
+func (c *conn) answer(req *Request) bool {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	_ = c.SetReadDeadline(time.Time{})
+	watched := make(chan struct{})
+	go func() {
+		defer close(watched)
+		// Bytes of the next request stay in the buffer; an error means that the caller
+		// disconnected.
+		if _, err := c.reader.Peek(1); err != nil {
+			cancel()
+		}
+	}()
+	reply := c.newReply(req)
+	c.acceptor.Handle(ctx, req, reply)
+	reply.finish()
+	_ = c.SetReadDeadline(time.Unix(1, 0))
+	<-watched
+	return reply.keep && reply.complete
+}
+
+// refuse answers a request that is malformed or too large, and one that timed out with 408. A
+// truncated request gets no answer.
+func (c *conn) refuse(err error, tooLarge int) {
+	status := 0
+	var timeout net.Error
+	switch {
+	case framer.Is(err, framer.KindMalformed):
+		status = statusBadRequest
+	case framer.Is(err, framer.KindTooLarge):
+		status = tooLarge
+	case errors.As(err, &timeout) && timeout.Timeout():
+		status = statusTimeout
+	}
+	if status == 0 {
+		return
+	}
+	c.acceptor.Log.Info("rejected a request that could not be read", "Caller", c.RemoteAddr().String(), "Status", status, "Reason", err.Error())
+	reply := &Reply{conn: c.Conn, log: c.acceptor.Log, minor: 1}
+	reply.Send(status, nil, nil)
+	c.linger()
+}
+
+// linger reads and discards what the caller still sends, for at most lingerTimeout.
+func (c *conn) linger() {
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		_ = tcp.CloseWrite()
+	}
+	_ = c.SetReadDeadline(time.Now().Add(lingerTimeout))
+	_, _ = io.Copy(io.Discard, io.LimitReader(c.Conn, defaultBodyBytes))
+}
--- a/gateway/acceptor/doorkeeper_test.go
+++ b/gateway/acceptor/acceptor_test.go
@@ -18,11 +18,11 @@
 	"bronzelead.example/pkg/framer"
 )
 
-// start serves a door on loopback whose handler answers 200 with what it was sent, and
-// counts the requests.
+// start runs an acceptor on loopback whose handler answers 200 with the received request, and
+// returns the channel of received requests.
 func start(c *qt.C, limits Limits) (*Acceptor, chan *Request) {
 	seen := make(chan *Request, 16)
-	door := &Acceptor{
+	server := &Acceptor{
 		Clock: clockwork.NewRealClock(), Log: slog.New(slog.DiscardHandler), Address: "127.0.0.1:0",
 		Limits: func() Limits { return limits },
 		Handle: func(_ context.Context, req *Request, reply *Reply) {
@@ -30,16 +30,16 @@
 			reply.Send(http.StatusOK, nil, []byte(req.Head.Method+" "+req.Head.Target+" "+string(req.Body)))
 		},
 	}
-	c.Assert(door.Start(), qt.IsNil)
+	c.Assert(server.Start(), qt.IsNil)
 	c.Cleanup(func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
-		_ = door.Stop(ctx)
+		_ = server.Stop(ctx)
 	})
-	return door, seen
+	return server, seen
 }
 
-// exchange sends bytes on one connection and returns the answers up to its end.
+// exchange sends bytes on one connection and returns all answers received on it.
 func exchange(c *qt.C, address, sent string) []*http.Response {
 	conn, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestValidRequestsAreTaken(t *testing.T) {
+func TestValidRequestsAreAccepted(t *testing.T) {
 	for name, test := range map[string]struct{ sent, body string }{
 		"no body":                   {"GET /a/b?x=1 HTTP/1.1\r\nHost: h\r\n\r\n", "GET /a/b?x=1 "},
 		"a body with a length":      {"POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc", "POST /a/ abc"},
@@ -73,8 +73,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			door, _ := start(c, Limits{})
-			answers := exchange(c, door.Addr(), test.sent)
+			server, _ := start(c, Limits{})
+			answers := exchange(c, server.Addr(), test.sent)
 			c.Assert(answers, qt.HasLen, 1)
 			body, err := io.ReadAll(answers[0].Body)
 			c.Assert(err, qt.IsNil)
@@ -84,8 +84,8 @@
 	}
 }
 
-// What two readers could understand differently must reach no backend server, and
-// nothing that follows on the connection may be taken for a request.
+// Requests that two parsers could read differently must not reach a backend server, and nothing
+// that follows on the connection may be parsed as a request.
 func TestAmbiguousRequestsAreRefused(t *testing.T) {
 	const next = "GET /smuggled/ HTTP/1.1\r\nHost: h\r\n\r\n"
 	for name, sent := range map[string]string{
@@ -119,8 +119,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			door, seen := start(c, Limits{})
-			answers := exchange(c, door.Addr(), sent+next)
+			server, seen := start(c, Limits{})
+			answers := exchange(c, server.Addr(), sent+next)
 			c.Assert(answers, qt.HasLen, 1)
 			c.Check(answers[0].StatusCode, qt.Equals, http.StatusBadRequest)
 			c.Check(answers[0].Close, qt.IsTrue)
@@ -141,39 +141,40 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			door, _ := start(c, Limits{HeaderBytes: 512, BodyBytes: 64})
-			answers := exchange(c, door.Addr(), test.sent)
+			server, _ := start(c, Limits{HeaderBytes: 512, BodyBytes: 64})
+			answers := exchange(c, server.Addr(), test.sent)
 			c.Assert(answers, qt.HasLen, 1)
 			c.Check(answers[0].StatusCode, qt.Equals, test.status)
 		})
 	}
 }
 
-// A request whose bytes come while its idle connection is being closed must not be
-// passed on: its caller sees a closed connection and takes it for not having run.
+// A request whose bytes arrive while its idle connection is being closed must not be passed on:
+// its caller sees a closed connection and assumes that it did not run.
 func TestClosedConnectionTakesNoRequest(t *testing.T) {
 	c := qt.New(t)
 	ours, theirs := net.Pipe()
 	defer func() { _ = theirs.Close() }()
 	served := &conn{Conn: ours}
 	served.reader = bufio.NewReader(readerFunc(func(b []byte) (int, error) {
-		// The stop comes between the arrival of the bytes and their being looked at.
+		// The stop happens after the bytes arrive and before they are parsed.
 		served.closeIfIdle()
 		return copy(b, "GET / HTTP/1.1\r\n\r\n"), nil
 	}))
 	c.Check(served.awaitRequest(Limits{IdleTimeout: time.Minute}), qt.IsFalse)
 }
 
-// readerFunc is a reader made of its function.
+// readerFunc implements io.Reader by a function.
 type readerFunc func(b []byte) (int, error)
 
 func (f readerFunc) Read(b []byte) (int, error) { return f(b) }
 
-// A stop lets a request in progress end, and its answer says that the connection closes.
+// A stop lets a request in progress finish, and its answer announces the close of the
+// connection.
 func TestStopWaitsForRequests(t *testing.T) {
 	c := qt.New(t)
 	entered, release := make(chan struct{}), make(chan struct{})
-	door := &Acceptor{
+	server := &Acceptor{
 		Clock: clockwork.NewRealClock(), Log: slog.New(slog.DiscardHandler), Address: "127.0.0.1:0",
 		Handle: func(_ context.Context, _ *Request, reply *Reply) {
 			close(entered)
@@ -181,16 +182,16 @@
 			reply.Send(http.StatusOK, framer.Header{{Name: "X", Value: "y"}}, []byte("done"))
 		},
 	}
-	c.Assert(door.Start(), qt.IsNil)
-	conn, err := net.Dial("tcp", door.Addr())
+	c.Assert(server.Start(), qt.IsNil)
+	conn, err := net.Dial("tcp", server.Addr())
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
 	_, err = io.WriteString(conn, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
 	c.Assert(err, qt.IsNil)
 	<-entered
 	stopped := make(chan error, 1)
-	door.Quiesce()
-	go func() { stopped <- door.Stop(context.Background()) }()
+	server.Quiesce()
+	go func() { stopped <- server.Stop(context.Background()) }()
 	close(release)
 	res, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	c.Assert(err, qt.IsNil)
@@ -202,11 +203,11 @@
 	c.Assert(<-stopped, qt.IsNil)
 }
 
-// A caller that leaves ends the context of its request.
-func TestLeavingCallerEndsItsRequest(t *testing.T) {
+// A disconnect of the caller cancels the context of its request.
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
 	c := qt.New(t)
 	entered, ended := make(chan struct{}), make(chan struct{})
-	door := &Acceptor{
+	server := &Acceptor{
 		Clock: clockwork.NewRealClock(), Log: slog.New(slog.DiscardHandler), Address: "127.0.0.1:0",
 		Handle: func(ctx context.Context, _ *Request, reply *Reply) {
 			close(entered)
@@ -215,20 +216,20 @@
 			close(ended)
 		},
 	}
-	c.Assert(door.Start(), qt.IsNil)
-	conn, err := net.Dial("tcp", door.Addr())
+	c.Assert(server.Start(), qt.IsNil)
+	conn, err := net.Dial("tcp", server.Addr())
 	c.Assert(err, qt.IsNil)
 	_, err = io.WriteString(conn, "GET /a/ HTTP/1.1\r\nHost: h\r\n\r\n")
 	c.Assert(err, qt.IsNil)
 	<-entered
 	c.Assert(conn.Close(), qt.IsNil)
 	<-ended
-	c.Assert(door.Stop(context.Background()), qt.IsNil)
+	c.Assert(server.Stop(context.Background()), qt.IsNil)
 }
 
-// Whatever the handler does, a caller never gets a second head into an answer that has
-// begun: the answer ends incomplete.
-func TestOneHeadForARequest(t *testing.T) {
+// Whatever the handler does, no second head is sent after an answer has begun; the answer stays
+// incomplete.
+func TestOneHeadPerRequest(t *testing.T) {
 	for name, again := range map[string]func(*Reply){
 		"a whole answer": func(r *Reply) { r.Send(http.StatusBadGateway, nil, []byte("no")) },
 		"a head alone":   func(r *Reply) { r.SendHead(http.StatusNoContent, nil) },
@@ -240,18 +241,18 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			door, _ := start(c, Limits{})
-			door.Handle = func(_ context.Context, _ *Request, reply *Reply) {
+			server, _ := start(c, Limits{})
+			server.Handle = func(_ context.Context, _ *Request, reply *Reply) {
 				c.Check(reply.Begin(http.StatusOK, nil), qt.IsNil)
 				c.Check(reply.Write([]byte("begun")), qt.IsNil)
 				again(reply)
 			}
-			conn, err := net.Dial("tcp", door.Addr())
+			conn, err := net.Dial("tcp", server.Addr())
 			c.Assert(err, qt.IsNil)
 			defer func() { _ = conn.Close() }()
 			_, err = io.WriteString(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 			c.Assert(err, qt.IsNil)
-			// A reset may take the first bytes with it.
+			// A reset may discard the first bytes.
 			received, _ := io.ReadAll(conn)
 			c.Check(strings.Count(string(received), "HTTP/1.1 ") <= 1, qt.IsTrue)
 			c.Check(strings.HasSuffix(string(received), "0\r\n\r\n"), qt.IsFalse)
@@ -259,27 +260,27 @@
 	}
 }
 
-// A request that is refused by its head alone leaves its connection usable where its body
-// can be told apart from the next request.
-func TestRequestsThatAreScreened(t *testing.T) {
+// The connection of a request that is refused by its head stays usable if the end of its body
+// can be determined.
+func TestRequestsRefusedByHead(t *testing.T) {
 	const next = "GET /b/ HTTP/1.1\r\nHost: h\r\n\r\n"
 	for name, test := range map[string]struct {
 		sent string
 		want []int
 	}{
-		"no body":               {"GET /no/ HTTP/1.1\r\nHost: h\r\n\r\n" + next, []int{401, 200}},
-		"a body":                {"POST /no/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc" + next, []int{401, 200}},
-		"a body in chunks":      {"POST /no/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n" + next, []int{401, 200}},
-		"a body that is asked":  {"POST /no/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n" + next, []int{401}},
-		"a body that is long":   {"POST /no/ HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\n" + next, []int{401}},
-		"a body that is cut":    {"POST /no/ HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc", []int{401}},
-		"chunks that are wrong": {"POST /no/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nxy\r\n" + next, []int{401}},
-		"two":                   {"GET /no/ HTTP/1.1\r\nHost: h\r\n\r\nGET /no/ HTTP/1.1\r\nHost: h\r\n\r\n" + next, []int{401, 401, 200}},
+		"no body":             {"GET /no/ HTTP/1.1\r\nHost: h\r\n\r\n" + next, []int{401, 200}},
+		"a body":              {"POST /no/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc" + next, []int{401, 200}},
+		"a body in chunks":    {"POST /no/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n" + next, []int{401, 200}},
+		"a body awaiting 100": {"POST /no/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nExpect: 100-continue\r\n\r\n" + next, []int{401}},
+		"a body that is long": {"POST /no/ HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\n" + next, []int{401}},
+		"a truncated body":    {"POST /no/ HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nabc", []int{401}},
+		"malformed chunks":    {"POST /no/ HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nxy\r\n" + next, []int{401}},
+		"two":                 {"GET /no/ HTTP/1.1\r\nHost: h\r\n\r\nGET /no/ HTTP/1.1\r\nHost: h\r\n\r\n" + next, []int{401, 401, 200}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			door, seen := start(c, Limits{BodyBytes: 20})
-			door.CheckHead = func(req *Request, reply *Reply) bool {
+			server, seen := start(c, Limits{BodyBytes: 20})
+			server.CheckHead = func(req *Request, reply *Reply) bool {
 				if !strings.HasPrefix(req.Head.Target, "/no/") {
 					return false
 				}
@@ -287,7 +288,7 @@
 				return true
 			}
 			var statuses []int
-			for _, res := range exchange(c, door.Addr(), test.sent) {
+			for _, res := range exchange(c, server.Addr(), test.sent) {
 				statuses = append(statuses, res.StatusCode)
 			}
 			c.Check(statuses, qt.DeepEquals, test.want)
--- a/gateway/acceptor/reply.go
+++ b/gateway/acceptor/reply.go
@@ -21,13 +21,13 @@
 )
 
 var (
-	errTooLong = framer.TooLarge("the body is too long")
-	errBegun   = errors.New("doorkeeper: the answer has begun already")
+	errBodyTooLarge = framer.TooLarge("the body is too long")
+	errHeadSent     = errors.New("acceptor: the answer has begun already")
 )
 
-// Reply answers one request. Either Send is called, or Begin, then Write for each part,
-// and End or Abort. A second head is never written: a caller whose answer has begun would
-// take it for a part of that answer. The answer is aborted instead.
+// Reply answers one request. Call either Send, or Begin, then Write for each part, and End or
+// Abort. A second head is never written, since the caller would take it for a part of the first
+// answer; the answer is aborted instead.
 type Reply struct {
 	conn     net.Conn
 	log      *slog.Logger
@@ -36,17 +36,17 @@
 	keep     bool
 	stopping *atomic.Bool
 
-	begun   bool
-	done    bool
-	aborted bool
-	chunked bool
-	buf     []byte
+	headSent bool
+	complete bool
+	aborted  bool
+	chunked  bool
+	buf      []byte
 }
 
 // Begun reports whether the answer's head has been sent.
-func (r *Reply) Begun() bool { return r.begun }
+func (r *Reply) Begun() bool { return r.headSent }
 
-// Send sends a whole answer.
+// Send sends a complete answer.
 func (r *Reply) Send(status int, header framer.Header, body []byte) {
 	if r.head(status, header) != nil {
 		return
@@ -56,22 +56,22 @@
 	if r.method != http.MethodHead {
 		r.buf = append(r.buf, body...)
 	}
-	r.done = r.flush() == nil
+	r.complete = r.flush() == nil
 }
 
-// SendHead sends an answer that by its status or method has no body, with the header as
-// it is.
+// SendHead sends an answer that has no body because of its status or method; the header is sent
+// unchanged.
 func (r *Reply) SendHead(status int, header framer.Header) {
 	if r.head(status, header) != nil {
 		return
 	}
 	r.buf = append(r.buf, "\r\n"...)
-	r.done = r.flush() == nil
+	r.complete = r.flush() == nil
 }
 
-// Begin sends the head of an answer whose length is not known.
+// Begin sends the head of an answer of unknown length.
 func (r *Reply) Begin(status int, header framer.Header) error {
-	if !r.begun {
+	if !r.headSent {
 		r.chunked = r.minor == 1
 		r.keep = r.keep && r.chunked
 	}
@@ -105,14 +105,14 @@
 func (r *Reply) End() {
 	if r.chunked {
 		r.buf = append(r.buf, "0\r\n\r\n"...)
-		r.done = r.flush() == nil
+		r.complete = r.flush() == nil
 		return
 	}
-	r.done = true
+	r.complete = true
 }
 
-// Abort leaves the answer incomplete: the connection is reset, so that also an answer
-// that ends with its connection does not look whole.
+// Abort leaves the answer incomplete. The connection is reset, so that an answer that ends with
+// its connection does not look complete either.
 func (r *Reply) Abort() {
 	r.aborted, r.keep = true, false
 	if tcp, ok := r.conn.(*net.TCPConn); ok {
@@ -121,21 +121,21 @@
 	_ = r.conn.Close()
 }
 
-// finish closes the connection of an answer that never came to its end.
+// finish aborts an answer that was not completed.
 func (r *Reply) finish() {
-	if !r.done && !r.aborted {
+	if !r.complete && !r.aborted {
 		r.Abort()
 	}
 }
 
-// head prepares the head of the answer, or aborts an answer that has one.
+// head writes the head of the answer into the buffer, or aborts an answer that already has one.
 func (r *Reply) head(status int, header framer.Header) error {
-	if r.begun {
-		r.log.Error("a second answer to one request was held back", "Caller", r.conn.RemoteAddr().String(), "Status", status)
+	if r.headSent {
+		r.log.Error("suppressed a second response to a request", "Caller", r.conn.RemoteAddr().String(), "Status", status)
 		r.Abort()
-		return errBegun
+		return errHeadSent
 	}
-	r.begun = true
+	r.headSent = true
 	if r.stopping != nil && r.stopping.Load() {
 		r.keep = false
 	}
@@ -167,5 +167,5 @@
 	_ = r.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := r.conn.Write(r.buf)
 	r.buf = r.buf[:0]
-	return errors.Wrap(err, "doorkeeper: write")
+	return errors.Wrap(err, "acceptor: write")
 }
