--- a/gateway/explainer/explainer.go
+++ b/gateway/explainer/explainer.go
@@ -1,5 +1,5 @@
-// Package explainer remembers what was decided for recent requests and why, for
-// operators. It holds a bounded number of requests and no prompts or keys.
+// Package explainer records the decisions on recent requests and their reasons for operators.
+// The number of requests is bounded; no prompts or keys are recorded.
 package explainer
 
 import (
@@ -21,57 +21,57 @@
 	What string
 }
 
-// Trace is all that was decided for one request.
+// Trace is the list of decisions on one request.
 type Trace struct {
 	RequestID string
 	Customer  string
 	Steps     []Step
 }
 
-// Explainer keeps the latest accounts. Set Clock before use.
+// Explainer stores the most recent traces. Set Clock before use.
 type Explainer struct {
 	Clock clockwork.Clock
 
-	mu       sync.Mutex
-	accounts map[string]*Trace
-	order    []string
-	next     int
+	mu     sync.Mutex
+	traces map[string]*Trace
+	order  []string
+	next   int
 }
 
-// Record adds a decision to a request's account.
+// Record appends a decision to a request's trace.
 func (e *Explainer) Record(requestID, customer, format string, args ...any) {
 	step := Step{At: e.Clock.Now(), What: fmt.Sprintf(format, args...)}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	a := e.accounts[requestID]
+	a := e.traces[requestID]
 	if a == nil {
 		a = &Trace{RequestID: requestID, Customer: customer}
-		e.remember(requestID, a)
+		e.insert(requestID, a)
 	}
 	if len(a.Steps) < maxSteps {
 		a.Steps = append(a.Steps, step)
 	}
 }
 
-func (e *Explainer) remember(requestID string, a *Trace) {
-	if e.accounts == nil {
-		e.accounts = map[string]*Trace{}
+func (e *Explainer) insert(requestID string, a *Trace) {
+	if e.traces == nil {
+		e.traces = map[string]*Trace{}
 	}
-	e.accounts[requestID] = a
+	e.traces[requestID] = a
 	if len(e.order) < maxRequests {
 		e.order = append(e.order, requestID)
 		return
 	}
-	delete(e.accounts, e.order[e.next])
+	delete(e.traces, e.order[e.next])
 	e.order[e.next] = requestID
 	e.next = (e.next + 1) % maxRequests
 }
 
-// Get returns a copy of a request's account.
+// Get returns a copy of a request's trace.
 func (e *Explainer) Get(requestID string) (Trace, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	a := e.accounts[requestID]
+	a := e.traces[requestID]
 	if a == nil {
 		return Trace{}, false
 	}
