--- a/pkg/framer/body.go
+++ b/pkg/framer/body.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Framing says where a body ends.
+// Framing is how the end of a body is determined.
 type Framing int
 
 // The framings of bodies.
@@ -18,7 +18,7 @@
 	FramingLength
 	// FramingChunked is for chunked bodies.
 	FramingChunked
-	// FramingClose is for answers that end with their connection.
+	// FramingClose is for answers that end when the connection closes.
 	FramingClose
 )
 
@@ -28,16 +28,16 @@
 	maxLength    = 1 << 40
 )
 
-// Body reads a message's body. It returns io.EOF only at the body's proper end.
+// Body reads a message's body. It returns io.EOF only at the proper end of the body.
 type Body struct {
 	Framing Framing
 	// Length is the length of a body with FramingLength.
 	Length int64
 
-	reader *bufio.Reader
-	left   int64
-	ended  bool
-	begun  bool
+	reader    *bufio.Reader
+	remaining int64
+	ended     bool
+	started   bool
 }
 
 // RequestBody returns the body of a request whose head was read from r.
@@ -52,7 +52,7 @@
 	return b, nil
 }
 
-// ResponseBody returns the body of an answer to a request with a method.
+// ResponseBody returns the body of an answer to a request with the given method.
 func ResponseBody(r *bufio.Reader, head *ResponseHead, method string) (*Body, error) {
 	if method == "HEAD" || head.Status < 200 || head.Status == 204 || head.Status == 304 {
 		return &Body{Framing: FramingNone, ended: true}, nil
@@ -60,9 +60,9 @@
 	return newBody(r, head.Header, head.Minor)
 }
 
-// newBody decides on the framing. Two lengths, a length beside an encoding, and any
-// encoding but chunked are refused: RFC 9112 section 6 leaves them open to different
-// readings by different recipients.
+// newBody determines the framing. Two lengths, a length beside an encoding, and any encoding
+// but chunked are refused, since recipients may interpret them differently (RFC 9112 section
+// 6).
 func newBody(r *bufio.Reader, header Header, minor int) (*Body, error) {
 	lengths, encodings := header.count("Content-Length"), header.count("Transfer-Encoding")
 	switch {
@@ -78,7 +78,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &Body{Framing: FramingLength, Length: n, reader: r, left: n, ended: n == 0}, nil
+		return &Body{Framing: FramingLength, Length: n, reader: r, remaining: n, ended: n == 0}, nil
 	}
 	return &Body{Framing: FramingClose, reader: r}, nil
 }
@@ -86,12 +86,12 @@
 func parseLength(s string) (int64, error) {
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
-			return 0, fail("Body", KindMalformed, "%q is no length", clip(s))
+			return 0, fail("Body", KindMalformed, "%q is no length", truncate(s))
 		}
 	}
 	n, err := strconv.ParseInt(s, 10, 64)
 	if err != nil || n > maxLength {
-		return 0, fail("Body", KindMalformed, "%q is no length", clip(s))
+		return 0, fail("Body", KindMalformed, "%q is no length", truncate(s))
 	}
 	return n, nil
 }
@@ -108,7 +108,7 @@
 	case FramingClose:
 		return b.readToClose(p)
 	case FramingChunked:
-		if b.left == 0 {
+		if b.remaining == 0 {
 			if err := b.nextChunk(); err != nil {
 				return 0, err
 			}
@@ -118,7 +118,7 @@
 		}
 	case FramingNone, FramingLength:
 	}
-	return b.readPart(p)
+	return b.readRemaining(p)
 }
 
 func (b *Body) readToClose(p []byte) (int, error) {
@@ -133,29 +133,29 @@
 	return n, nil
 }
 
-func (b *Body) readPart(p []byte) (int, error) {
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+func (b *Body) readRemaining(p []byte) (int, error) {
+	if int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.reader.Read(p)
-	b.left -= int64(n)
-	if b.left == 0 && b.Framing == FramingLength {
+	b.remaining -= int64(n)
+	if b.remaining == 0 && b.Framing == FramingLength {
 		b.ended = true
 	}
-	if err != nil && b.left > 0 || err != nil && b.Framing == FramingChunked {
+	if err != nil && b.remaining > 0 || err != nil && b.Framing == FramingChunked {
 		return n, wrap("Body", KindTruncated, err)
 	}
 	return n, nil
 }
 
-// nextChunk reads the line before a chunk, and after the last one the trailers.
+// nextChunk reads the size line of a chunk, and the trailers after the last chunk.
 func (b *Body) nextChunk() error {
-	if b.begun {
+	if b.started {
 		if line, err := b.line(maxChunkLine); err != nil || line != "" {
 			return orMalformed(err, "a chunk is longer than its size")
 		}
 	}
-	b.begun = true
+	b.started = true
 	line, err := b.line(maxChunkLine)
 	if err != nil {
 		return err
@@ -164,9 +164,9 @@
 	size = strings.TrimRight(size, " \t")
 	n, convErr := strconv.ParseUint(size, 16, 40)
 	if convErr != nil || size[0] == '+' || strings.Contains(size, "_") {
-		return fail("Body", KindMalformed, "%q is no size of a chunk", clip(size))
+		return fail("Body", KindMalformed, "%q is no size of a chunk", truncate(size))
 	}
-	b.left = int64(n)
+	b.remaining = int64(n)
 	if n > 0 {
 		return nil
 	}
@@ -174,9 +174,9 @@
 }
 
 func (b *Body) trailers() error {
-	left := maxTrailers
+	remaining := maxTrailers
 	for {
-		line, err := b.line(left)
+		line, err := b.line(remaining)
 		if err != nil {
 			return err
 		}
@@ -187,7 +187,7 @@
 		if _, err := parseField(line); err != nil {
 			return err
 		}
-		left -= len(line)
+		remaining -= len(line)
 	}
 }
 
--- a/pkg/framer/fault.go
+++ b/pkg/framer/fault.go
@@ -2,18 +2,18 @@
 
 import "github.com/pkg/errors"
 
-// Kind tells errors of this package apart.
+// Kind is the kind of an error of this package.
 type Kind int
 
 // The kinds of errors.
 const (
-	// KindClosed means that the connection ended between two messages.
+	// KindClosed means that the connection closed between two messages.
 	KindClosed Kind = iota + 1
-	// KindTruncated means that the connection ended inside a message.
+	// KindTruncated means that the connection closed inside a message.
 	KindTruncated
-	// KindMalformed means that the bytes are no valid message.
+	// KindMalformed means that the bytes are not a valid message.
 	KindMalformed
-	// KindTooLarge means that a bound was exceeded.
+	// KindTooLarge means that a limit was exceeded.
 	KindTooLarge
 )
 
--- a/pkg/framer/framer.go
+++ b/pkg/framer/framer.go
@@ -1,9 +1,9 @@
-// Package framer reads and writes HTTP/1.1 messages strictly. Where two readings of
-// the same bytes are possible, as in request smuggling, a message is refused.
+// Package framer reads and writes HTTP/1.1 messages strictly. A message that could be read in
+// two ways, as in request smuggling, is refused.
 //
-// The package exists because a gateway has to pass on targets and header fields as
-// they came, must see bytes that belong to no answer, and decides itself whether a
-// request may be sent again; HTTP libraries hide all three.
+// HTTP libraries do not suffice: a gateway has to forward targets and header fields unchanged,
+// must detect bytes that belong to no answer, and decides itself whether a request may be sent
+// again.
 package framer
 
 import (
@@ -13,7 +13,7 @@
 	"strings"
 )
 
-// Field is one header field, as it came.
+// Field is one header field; its name is unchanged.
 type Field struct {
 	Name  string
 	Value string
@@ -32,7 +32,7 @@
 	return ""
 }
 
-// Has reports whether a field is there.
+// Has reports whether a field is present.
 func (h Header) Has(name string) bool { return h.count(name) > 0 }
 
 func (h Header) count(name string) int {
@@ -63,14 +63,14 @@
 // RequestHead is a request without its body.
 type RequestHead struct {
 	Method string
-	// Target is the request's target, byte for byte.
+	// Target is the request target, byte for byte.
 	Target string
 	// Minor is the minor version: 0 or 1.
 	Minor  int
 	Header Header
 }
 
-// KeepAlive reports whether the caller wants to use the connection again.
+// KeepAlive reports whether the caller wants to reuse the connection.
 func (r *RequestHead) KeepAlive() bool {
 	if r.Minor == 0 {
 		return r.Header.HasToken("Connection", "keep-alive")
@@ -86,7 +86,7 @@
 	Header Header
 }
 
-// KeepAlive reports whether the server lets the connection be used again.
+// KeepAlive reports whether the server allows the connection to be reused.
 func (r *ResponseHead) KeepAlive() bool {
 	return r.Minor == 1 && !r.Header.HasToken("Connection", "close")
 }
@@ -97,9 +97,8 @@
 	versionPrefix = "HTTP/1."
 )
 
-// ReadHead reads up to and with the empty line that ends a message's head. Empty
-// lines before a request are skipped, as RFC 9112 section 2.2 allows. Limit bounds
-// the bytes.
+// ReadHead reads a message's head including the empty line that ends it. Empty lines before a
+// request are skipped, as RFC 9112 section 2.2 allows. At most limit bytes are read.
 func ReadHead(r *bufio.Reader, limit int) ([]byte, error) {
 	head := make([]byte, 0, 1024)
 	for {
@@ -126,15 +125,15 @@
 	}
 }
 
-// ParseRequest reads a request's head.
+// ParseRequest parses a request's head.
 func ParseRequest(raw []byte) (*RequestHead, error) {
-	first, header, err := split(raw)
+	first, header, err := splitHead(raw)
 	if err != nil {
 		return nil, err
 	}
 	parts := strings.Split(first, " ")
 	if len(parts) != 3 || !isToken(parts[0]) || !isTarget(parts[1]) {
-		return nil, fail("ParseRequest", KindMalformed, "no request line: %q", clip(first))
+		return nil, fail("ParseRequest", KindMalformed, "no request line: %q", truncate(first))
 	}
 	minor, err := parseVersion(parts[2])
 	if err != nil {
@@ -147,9 +146,9 @@
 	return head, nil
 }
 
-// ParseResponse reads an answer's head.
+// ParseResponse parses an answer's head.
 func ParseResponse(raw []byte) (*ResponseHead, error) {
-	first, header, err := split(raw)
+	first, header, err := splitHead(raw)
 	if err != nil {
 		return nil, err
 	}
@@ -161,13 +160,13 @@
 	code, reason, _ := strings.Cut(rest, " ")
 	status, convErr := strconv.Atoi(code)
 	if convErr != nil || len(code) != 3 || status < 100 {
-		return nil, fail("ParseResponse", KindMalformed, "no status line: %q", clip(first))
+		return nil, fail("ParseResponse", KindMalformed, "no status line: %q", truncate(first))
 	}
 	return &ResponseHead{Status: status, Reason: reason, Minor: minor, Header: header}, nil
 }
 
-// split returns the first line and the fields of a head.
-func split(raw []byte) (string, Header, error) {
+// splitHead returns the first line and the header fields of a head.
+func splitHead(raw []byte) (string, Header, error) {
 	if !bytes.HasSuffix(raw, []byte(headEnd)) {
 		return "", nil, fail("Parse", KindMalformed, "the head has no end")
 	}
@@ -192,8 +191,8 @@
 func parseField(line string) (Field, error) {
 	name, value, ok := strings.Cut(line, ":")
 	if !ok || !isToken(name) {
-		// This refuses folded lines and a space before the colon too. The line is not shown:
-		// it may hold a key.
+		// This also refuses folded lines and a space before the colon. The line is not shown,
+		// since it may contain a key.
 		return Field{}, fail("Parse", KindMalformed, "a line of %d bytes is no header field", len(line))
 	}
 	value = strings.Trim(value, " \t")
@@ -212,7 +211,7 @@
 	case versionPrefix + "1":
 		return 1, nil
 	}
-	return 0, fail("Parse", KindMalformed, "no HTTP/1 version: %q", clip(s))
+	return 0, fail("Parse", KindMalformed, "no HTTP/1 version: %q", truncate(s))
 }
 
 func isToken(s string) bool {
@@ -243,4 +242,4 @@
 	return s != "" && !strings.ContainsAny(s, " \t,/\\@?#")
 }
 
-func clip(s string) string { return s[:min(len(s), 60)] }
+func truncate(s string) string { return s[:min(len(s), 60)] }
--- a/pkg/framer/framer_test.go
+++ b/pkg/framer/framer_test.go
@@ -17,7 +17,7 @@
 	}{
 		"whole":                {"GET / HTTP/1.1\r\nHost: h\r\n\r\nrest", 0},
 		"nothing":              {"", KindClosed},
-		"cut":                  {"GET / HTTP/1.1\r\nHo", KindTruncated},
+		"truncated":            {"GET / HTTP/1.1\r\nHo", KindTruncated},
 		"too long":             {"GET / HTTP/1.1\r\nX: " + strings.Repeat("a", 9000) + "\r\n\r\n", KindTooLarge},
 		"ended by bare LFs":    {"GET / HTTP/1.1\r\nHost: h\n\n", KindMalformed},
 		"longer than a buffer": {"GET / HTTP/1.1\r\nX: " + strings.Repeat("a", 5000) + "\r\n\r\n", 0},
@@ -39,13 +39,13 @@
 		framing            Framing
 		whole              bool
 	}{
-		"a length":             {"GET", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "abc", FramingLength, true},
-		"cut before it":        {"GET", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc", "abc", FramingLength, false},
-		"chunks":               {"GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "abc", FramingChunked, true},
-		"no last chunk":        {"GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", "abc", FramingChunked, false},
-		"the connection's end": {"GET", "HTTP/1.1 200 OK\r\n\r\nabc", "abc", FramingClose, true},
-		"to HEAD":              {"HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", "", FramingNone, true},
-		"no content":           {"GET", "HTTP/1.1 204 No Content\r\n\r\n", "", FramingNone, true},
+		"a length":       {"GET", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nabc", "abc", FramingLength, true},
+		"truncated body": {"GET", "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nabc", "abc", FramingLength, false},
+		"chunks":         {"GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", "abc", FramingChunked, true},
+		"no last chunk":  {"GET", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", "abc", FramingChunked, false},
+		"until close":    {"GET", "HTTP/1.1 200 OK\r\n\r\nabc", "abc", FramingClose, true},
+		"to HEAD":        {"HEAD", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n", "", FramingNone, true},
+		"no content":     {"GET", "HTTP/1.1 204 No Content\r\n\r\n", "", FramingNone, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -64,8 +64,8 @@
 	}
 }
 
-// Whatever is sent: nothing panics, and a request that is taken is the same when it is
-// read again byte by byte, so that no other reader could have seen another one.
+// No input causes a panic, and a request that is accepted parses the same when it is read byte
+// by byte, so that no other reader could have read a different one.
 func FuzzRequests(f *testing.F) {
 	f.Add([]byte("GET /a?b HTTP/1.1\r\nHost: h\r\n\r\n"))
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabcGET"))
@@ -73,8 +73,8 @@
 	f.Add([]byte("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, sent []byte) {
 		c := qt.New(t)
-		whole, wholeLeft, wholeErr := read(bytes.NewReader(sent))
-		split, splitLeft, splitErr := read(iotestOneByte{bytes.NewReader(sent)})
+		whole, wholeLeft, wholeErr := readRequest(bytes.NewReader(sent))
+		split, splitLeft, splitErr := readRequest(oneByteReader{bytes.NewReader(sent)})
 		c.Assert(wholeErr == nil, qt.Equals, splitErr == nil)
 		if wholeErr == nil {
 			c.Assert(split, qt.DeepEquals, whole)
@@ -83,39 +83,39 @@
 	})
 }
 
-// iotestOneByte hands out one byte at a time.
-type iotestOneByte struct{ r io.Reader }
+// oneByteReader returns one byte at a time.
+type oneByteReader struct{ r io.Reader }
 
-func (o iotestOneByte) Read(p []byte) (int, error) {
+func (o oneByteReader) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
 	return o.r.Read(p[:1])
 }
 
-type taken struct {
+type parsedRequest struct {
 	Head *RequestHead
 	Body string
 }
 
-func read(r io.Reader) (taken, int, error) {
+func readRequest(r io.Reader) (parsedRequest, int, error) {
 	reader := bufio.NewReader(r)
 	raw, err := ReadHead(reader, 4096)
 	if err != nil {
-		return taken{}, 0, err
+		return parsedRequest{}, 0, err
 	}
 	head, err := ParseRequest(raw)
 	if err != nil {
-		return taken{}, 0, err
+		return parsedRequest{}, 0, err
 	}
 	body, err := RequestBody(reader, head)
 	if err != nil {
-		return taken{}, 0, err
+		return parsedRequest{}, 0, err
 	}
 	content, err := io.ReadAll(body)
 	if err != nil {
-		return taken{}, 0, err
+		return parsedRequest{}, 0, err
 	}
 	rest, err := io.ReadAll(reader)
-	return taken{Head: head, Body: string(content)}, len(rest), err
+	return parsedRequest{Head: head, Body: string(content)}, len(rest), err
 }
