--- a/gateway/acceptor/acceptor.go
+++ b/gateway/acceptor/acceptor.go
@@ -38,7 +38,7 @@
 	lingerTimeout = 500 * time.Millisecond
 )
 
-// Limits limit what callers may send.
+// Limits are the bounds on what callers may send.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
--- a/pkg/framer/framer.go
+++ b/pkg/framer/framer.go
@@ -1,9 +1,9 @@
 // Package framer reads and writes HTTP/1.1 messages strictly. A message that could be read in
 // two ways, as in request smuggling, is refused.
 //
-// HTTP libraries do not suffice: a gateway has to forward targets and header fields unchanged,
-// must detect bytes that belong to no answer, and decides itself whether a request may be sent
-// again.
+// A gateway has to forward targets and header fields unchanged, must detect bytes that belong
+// to no answer, and decides itself whether a request may be sent again; HTTP libraries hide all
+// three.
 package framer
 
 import (
@@ -13,7 +13,7 @@
 	"strings"
 )
 
-// Field is one header field; its name is unchanged.
+// Field is one header field as received, with its value trimmed.
 type Field struct {
 	Name  string
 	Value string
@@ -98,7 +98,7 @@
 )
 
 // ReadHead reads a message's head including the empty line that ends it. Empty lines before a
-// request are skipped, as RFC 9112 section 2.2 allows. At most limit bytes are read.
+// request are skipped, as RFC 9112 section 2.2 allows. A head longer than limit bytes is an error.
 func ReadHead(r *bufio.Reader, limit int) ([]byte, error) {
 	head := make([]byte, 0, 1024)
 	for {
--- a/pkg/framer/framer_test.go
+++ b/pkg/framer/framer_test.go
@@ -17,7 +17,7 @@
 	}{
 		"whole":                {"GET / HTTP/1.1\r\nHost: h\r\n\r\nrest", 0},
 		"nothing":              {"", KindClosed},
-		"truncated":            {"GET / HTTP/1.1\r\nHo", KindTruncated},
+		"cut":                  {"GET / HTTP/1.1\r\nHo", KindTruncated},
 		"too long":             {"GET / HTTP/1.1\r\nX: " + strings.Repeat("a", 9000) + "\r\n\r\n", KindTooLarge},
 		"ended by bare LFs":    {"GET / HTTP/1.1\r\nHost: h\n\n", KindMalformed},
 		"longer than a buffer": {"GET / HTTP/1.1\r\nX: " + strings.Repeat("a", 5000) + "\r\n\r\n", 0},
