--- a/pkg/translator/announcement.go
+++ b/pkg/translator/announcement.go
@@ -1,6 +1,6 @@
-// Package translator speaks the protocol of backend servers: announcements, orders
-// to load and unload adapters, requests with their echoes, resuming and cancelling.
-// Another published protocol changes this package alone.
+// Package translator implements the protocol of backend servers: announcements, orders to load
+// and unload adapters, requests with their echoes, resuming and cancelling. Support for another
+// published protocol changes only this package.
 package translator
 
 import (
@@ -14,10 +14,10 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// AnnouncePath is where a gateway takes announcements.
+// AnnouncePath is the path at which a gateway receives announcements.
 const AnnouncePath = "/backends/announce"
 
-// The kinds of backend servers, as they announce themselves.
+// The kinds of backend servers in announcements.
 const (
 	KindEngine  = "Engine"
 	KindService = "Service"
@@ -29,7 +29,7 @@
 	namePattern = `^[A-Za-z0-9][A-Za-z0-9._@-]{0,255}$`
 )
 
-// Announcement is what a backend server says of itself, about once a second.
+// Announcement is the state that a backend server announces about once a second.
 type Announcement struct {
 	// Name is the instance's name; Incarnation changes with each start.
 	Name        string
@@ -40,23 +40,24 @@
 	Address string
 	// Zone is the availability zone.
 	Zone string
-	// BaseModel, Slots, Batch and Loaded belong to engines.
+	// BaseModel, Slots, Batch and Loaded are set for engines.
 	BaseModel string   `json:",omitempty"`
 	Slots     uint32   `json:",omitempty"`
 	Batch     uint32   `json:",omitempty"`
 	Loaded    []string `json:",omitempty"`
 	// Service is the name of a plain service.
 	Service string `json:",omitempty"`
-	// ChecksFencing tells that orders with an old fencing number are refused.
+	// ChecksFencing means that orders with an old fencing number are refused.
 	ChecksFencing bool
-	// Leaving tells that no new work is wanted.
+	// Leaving means that the server wants no new work.
 	Leaving bool
-	// Running and Waiting are the requests at the server, as of a while ago.
+	// Running and Waiting count the requests at the server; the numbers may be slightly out of
+	// date.
 	Running uint32
 	Waiting uint32
 }
 
-// ParseAnnouncement decodes and checks an announcement.
+// ParseAnnouncement decodes and validates an announcement.
 func ParseAnnouncement(body []byte) (*wire.Backend, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -109,18 +110,18 @@
 	}
 }
 
-// Kind tells errors of this package apart.
+// Kind is the kind of an error of this package.
 type Kind int
 
 // The kinds of errors.
 const (
-	// KindMalformed means that something can't be decoded.
+	// KindMalformed means that the input can't be decoded.
 	KindMalformed Kind = iota + 1
 	// KindMismatched means that an answer belongs to another request or adapter.
 	KindMismatched
-	// KindTruncated means that an answer ended before it was whole.
+	// KindTruncated means that an answer is incomplete.
 	KindTruncated
-	// KindRefused means that the server refused, and did not run, what it was asked.
+	// KindRefused means that the server refused the order or request and did not run it.
 	KindRefused
 )
 
@@ -141,7 +142,7 @@
 	return &Error{Operation: operation, Kind: kind, cause: errors.Errorf(format, args...)}
 }
 
-// IsKind reports whether an error is of a kind of this package.
+// IsKind reports whether an error of this package is of a kind.
 func IsKind(err error, kind Kind) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Kind == kind
--- a/pkg/translator/requests.go
+++ b/pkg/translator/requests.go
@@ -9,7 +9,7 @@
 	"strings"
 )
 
-// Paths of the published protocol that callers and engines speak.
+// Paths of the published protocol between callers and engines.
 const (
 	CompletionsPath = "/v1/completions"
 	ChatPath        = "/v1/chat/completions"
@@ -19,15 +19,15 @@
 	RequestsPath    = "/v1/requests/"
 )
 
-// Headers towards backend servers.
+// Headers of requests to backend servers.
 const (
-	// RequestIDHeader names a request; the answer echoes it.
+	// RequestIDHeader identifies a request; the answer echoes it.
 	RequestIDHeader = "X-Request-Id"
-	// PriorityHeader carries the class's priority; higher goes first.
+	// PriorityHeader carries the class's priority; requests with a higher one are served first.
 	PriorityHeader = "X-Priority"
 	// FencingHeader carries an order's term and sequence.
 	FencingHeader = "X-Fencing-Number"
-	// RanHeader tells in a refusal whether the request ran: no or unknown.
+	// RanHeader states in a refusal whether the request ran: no or unknown.
 	RanHeader = "X-Ran"
 	// SessionHeader carries the session of the gateway that sent a request.
 	SessionHeader = "X-Session"
@@ -37,15 +37,15 @@
 	completionPrefix = "cmpl-"
 	chatPrefix       = "chatcmpl-"
 	dataPrefix       = "data:"
-	doneMark         = "[DONE]"
+	doneMarker       = "[DONE]"
 	maxEventBytes    = 4 << 20
 )
 
-// ModelName joins an adapter and a version to the name under which engines load it, so
-// that a wrong version can't be served under a right name.
+// ModelName joins an adapter and a version to the name under which engines load it, so that a
+// wrong version can't be served under the right name.
 func ModelName(adapter, version string) string { return adapter + "@" + version }
 
-// SplitModelName takes a caller's model name apart.
+// SplitModelName splits a caller's model name into adapter and version.
 func SplitModelName(model string) (adapter, version string, ok bool) {
 	adapter, version, ok = strings.Cut(model, "@")
 	return adapter, version, ok && adapter != "" && version != ""
@@ -64,11 +64,11 @@
 	Model  string          `json:"model"`
 	Stream bool            `json:"stream"`
 	Prompt json.RawMessage `json:"prompt"`
-	// Messages take the prompt's place in chat requests.
+	// Messages replace the prompt in chat requests.
 	Messages []json.RawMessage `json:"messages"`
 }
 
-// ParseCompletion decodes and checks a caller's request.
+// ParseCompletion decodes and validates a caller's request.
 func ParseCompletion(path string, body []byte) (*CompletionRequest, error) {
 	req := &CompletionRequest{}
 	if err := json.Unmarshal(body, req); err != nil {
@@ -91,13 +91,13 @@
 	Model string `json:"model"`
 }
 
-// Expectation is what an answer must echo to be delivered.
+// Expectation is what an answer must echo before it may be delivered.
 type Expectation struct {
 	AnswerID string
 	Model    string
 }
 
-// Check tells whether an answer, or an event of one, belongs to the request.
+// Check returns an error if an answer, or an event of one, does not belong to the request.
 func (x Expectation) Check(body []byte) error {
 	e := &echo{}
 	if err := json.Unmarshal(body, e); err != nil {
@@ -119,13 +119,13 @@
 	return &EventReader{lines: bufio.NewReader(r)}
 }
 
-// Next returns the data of the next event. Done is set for the closing [DONE]. An
-// end before it is an error of kind cut.
+// Next returns the data of the next event. Done is set for the closing [DONE]. A stream that
+// ends before it returns an error of KindTruncated.
 func (r *EventReader) Next() (data []byte, done bool, err error) {
 	for {
 		line, err := r.lines.ReadSlice('\n')
 		if err == bufio.ErrBufferFull {
-			line, err = r.long(line)
+			line, err = r.readLongLine(line)
 		}
 		if err != nil {
 			return nil, false, fail("Next", KindTruncated, "the stream ended early: %v", err)
@@ -136,12 +136,12 @@
 			continue
 		}
 		data = bytes.TrimSpace(data)
-		return data, string(data) == doneMark, nil
+		return data, string(data) == doneMarker, nil
 	}
 }
 
-// long reads the rest of a line that is longer than the reader's buffer.
-func (r *EventReader) long(head []byte) ([]byte, error) {
+// readLongLine reads the rest of a line that exceeds the reader's buffer.
+func (r *EventReader) readLongLine(head []byte) ([]byte, error) {
 	line := bytes.Clone(head)
 	for len(line) < maxEventBytes {
 		more, err := r.lines.ReadSlice('\n')
@@ -153,23 +153,23 @@
 	return nil, fail("Next", KindMalformed, "an event is longer than %d bytes", maxEventBytes)
 }
 
-// ResumePath is where an engine sends what it has of a request, from an event on.
+// ResumePath is the path at which an engine sends a request's events after the given one.
 func ResumePath(requestID string, after int) string {
 	return RequestsPath + requestID + "?after=" + strconv.Itoa(after)
 }
 
-// CancelPath is where an engine is told to end a request. The answer is a
-// Cancellation; a request with this id that arrives later is refused.
+// CancelPath is the path at which a request is cancelled. The answer is a Cancellation; the
+// engine refuses a request with this id that arrives later.
 func CancelPath(requestID string) string { return RequestsPath + requestID + "/cancel" }
 
-// Cancellation is an engine's answer to a cancel.
+// Cancellation is an engine's answer to a cancellation.
 type Cancellation struct {
-	// Ran is no when the request never started and never will.
+	// Ran is RanNo if the request never started and never will.
 	Ran string
-	// Incarnation is the start that answers: another one than the request went to can't know
-	// whether it ran.
+	// Incarnation is the one that answers: if it is not the one that received the request, it
+	// can't know whether the request ran.
 	Incarnation string `json:",omitempty"`
 }
 
-// RanNo says that a request did not run.
+// RanNo means that a request did not run.
 const RanNo = "no"
--- a/pkg/translator/translator_test.go
+++ b/pkg/translator/translator_test.go
@@ -45,12 +45,12 @@
 		body string
 		kind translator.Kind
 	}{
-		"its own":                     {body: `{"id":"cmpl-1","model":"a@1"}`},
-		"another request's":           {body: `{"id":"cmpl-2","model":"a@1"}`, kind: translator.KindMismatched},
-		"another version's":           {body: `{"id":"cmpl-1","model":"a@2"}`, kind: translator.KindMismatched},
-		"one without an id":           {body: `{"model":"a@1"}`, kind: translator.KindMismatched},
-		"half of one":                 {body: `{"id":"cmpl-1","mod`, kind: translator.KindTruncated},
-		"an error in an answer's way": {body: `[]`, kind: translator.KindTruncated},
+		"its own":                       {body: `{"id":"cmpl-1","model":"a@1"}`},
+		"another request's":             {body: `{"id":"cmpl-2","model":"a@1"}`, kind: translator.KindMismatched},
+		"another version's":             {body: `{"id":"cmpl-1","model":"a@2"}`, kind: translator.KindMismatched},
+		"one without an id":             {body: `{"model":"a@1"}`, kind: translator.KindMismatched},
+		"half of one":                   {body: `{"id":"cmpl-1","mod`, kind: translator.KindTruncated},
+		"an error instead of an answer": {body: `[]`, kind: translator.KindTruncated},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -72,13 +72,13 @@
 		events int
 		done   bool
 	}{
-		"a whole stream":               {stream: "data: a\n\ndata: b\r\n\r\ndata: [DONE]\n\n", events: 2, done: true},
-		"comments and other fields":    {stream: ": ping\nevent: x\ndata: a\n\ndata: [DONE]\n\n", events: 1, done: true},
-		"a long event":                 {stream: "data: " + long + "\n\ndata: [DONE]\n\n", events: 1, done: true},
-		"cut between events":           {stream: "data: a\n\n", events: 1},
-		"cut inside an event":          {stream: "data: a\n\ndata: b", events: 1},
-		"cut inside the closing event": {stream: "data: a\n\ndata: [DO", events: 1},
-		"an endless event":             {stream: "data: " + strings.Repeat(long, 50) + "\n\n"},
+		"a whole stream":                     {stream: "data: a\n\ndata: b\r\n\r\ndata: [DONE]\n\n", events: 2, done: true},
+		"comments and other fields":          {stream: ": ping\nevent: x\ndata: a\n\ndata: [DONE]\n\n", events: 1, done: true},
+		"a long event":                       {stream: "data: " + long + "\n\ndata: [DONE]\n\n", events: 1, done: true},
+		"truncated between events":           {stream: "data: a\n\n", events: 1},
+		"truncated inside an event":          {stream: "data: a\n\ndata: b", events: 1},
+		"truncated inside the closing event": {stream: "data: a\n\ndata: [DO", events: 1},
+		"an endless event":                   {stream: "data: " + strings.Repeat(long, 50) + "\n\n"},
 	}
 	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
