--- a/pkg/contractparser/drafter.go
+++ b/pkg/contractparser/contractparser.go
@@ -1,5 +1,5 @@
-// Package drafter reads and writes contracts as operators write them: INI files with
-// a section for the contract and one for each class, adapter, service and key.
+// Package contractparser parses and formats contracts as operators write them: INI files with a
+// section for the contract and one for each class, adapter, service and key.
 package contractparser
 
 import (
@@ -22,89 +22,89 @@
 	sectionKey      = "Key"
 )
 
-// Parse decodes a contract. Every fault is reported, a line each.
+// Parse decodes a contract. It reports all faults, one line each.
 func Parse(data []byte) (*wire.Contract, []string) {
 	file, err := ini.LoadSources(ini.LoadOptions{KeyValueDelimiters: "=", AllowNonUniqueSections: true}, data)
 	if err != nil {
 		return nil, []string{"the document can't be read: " + err.Error()}
 	}
-	r := &reader{contract: &wire.Contract{}}
+	p := &parser{contract: &wire.Contract{}}
 	for _, section := range file.Sections() {
-		r.section(section)
+		p.readSection(section)
 	}
-	return r.contract, r.faults
+	return p.contract, p.faults
 }
 
-type reader struct {
-	contract *wire.Contract
-	faults   []string
-	where    string
+type parser struct {
+	contract    *wire.Contract
+	faults      []string
+	sectionName string
 }
 
-func (r *reader) fault(key, format string, args ...any) {
-	r.faults = append(r.faults, fmt.Sprintf("[%s] %s: ", r.where, key)+fmt.Sprintf(format, args...))
+func (p *parser) fault(key, format string, args ...any) {
+	p.faults = append(p.faults, fmt.Sprintf("[%s] %s: ", p.sectionName, key)+fmt.Sprintf(format, args...))
 }
 
-func (r *reader) section(section *ini.Section) {
+func (p *parser) readSection(section *ini.Section) {
 	if section.Name() == ini.DefaultSection {
 		for _, key := range section.Keys() {
-			r.where = ""
-			r.fault(key.Name(), "stands before the first section")
+			p.sectionName = ""
+			p.fault(key.Name(), "stands before the first section")
 		}
 		return
 	}
-	r.where = section.Name()
+	p.sectionName = section.Name()
 	kind, name, _ := strings.Cut(section.Name(), " ")
 	name = strings.TrimSpace(name)
 	switch kind {
 	case sectionContract:
-		r.readContract(section)
+		p.readContract(section)
 	case sectionClass:
 		class := &wire.ClassTerms{Name: name}
-		r.keys(section, fields{"Priority": r.integer(&class.Priority)})
-		r.contract.Classes = append(r.contract.Classes, class)
+		p.readKeys(section, fields{"Priority": p.integer(&class.Priority)})
+		p.contract.Classes = append(p.contract.Classes, class)
 	case sectionAdapter:
 		a := &wire.AdapterTerms{Name: name}
-		r.keys(section, fields{
+		p.readKeys(section, fields{
 			"BaseModel": text(&a.BaseModel), "Versions": list(&a.Versions),
-			"Class": text(&a.Class), "NonIdempotent": r.boolean(&a.NonIdempotent),
+			"Class": text(&a.Class), "NonIdempotent": p.boolean(&a.NonIdempotent),
 		})
-		r.contract.Adapters = append(r.contract.Adapters, a)
+		p.contract.Adapters = append(p.contract.Adapters, a)
 	case sectionService:
 		s := &wire.ServiceTerms{Name: name}
-		r.keys(section, fields{
+		p.readKeys(section, fields{
 			"Class": text(&s.Class), "NonIdempotentMethods": list(&s.NonIdempotentMethods), "KeyFrom": text(&s.KeyFrom),
 		})
-		r.contract.Services = append(r.contract.Services, s)
+		p.contract.Services = append(p.contract.Services, s)
 	case sectionKey:
 		k := &wire.KeyTerms{Name: name}
-		r.keys(section, fields{"Digest": text(&k.Digest)})
-		r.contract.Keys = append(r.contract.Keys, k)
+		p.readKeys(section, fields{"Digest": text(&k.Digest)})
+		p.contract.Keys = append(p.contract.Keys, k)
 	default:
-		r.fault("", "unknown section; known are Contract, Class NAME, Adapter NAME, Service NAME, Key NAME")
+		p.fault("", "unknown section; known are Contract, Class NAME, Adapter NAME, Service NAME, Key NAME")
 	}
 }
 
-func (r *reader) readContract(section *ini.Section) {
-	c := r.contract
-	r.keys(section, fields{
-		"Customer": text(&c.Customer), "Version": r.version(&c.Version),
-		"RequestsAtOnce": r.count(&c.RequestsAtOnce), "QueueLength": r.count(&c.QueueLength),
-		"Deadline": r.duration(&c.DeadlineNs), "KeepKeys": r.duration(&c.KeepKeysNs),
+func (p *parser) readContract(section *ini.Section) {
+	c := p.contract
+	p.readKeys(section, fields{
+		"Customer": text(&c.Customer), "Version": p.version(&c.Version),
+		"RequestsAtOnce": p.count(&c.RequestsAtOnce), "QueueLength": p.count(&c.QueueLength),
+		"Deadline": p.duration(&c.DeadlineNs), "KeepKeys": p.duration(&c.KeepKeysNs),
 	})
 }
 
-// fields maps the keys of a section to what takes their values.
+// fields maps the keys of a section to the setters of their values.
 type fields map[string]func(key, value string)
 
-func (r *reader) keys(section *ini.Section, known fields) {
+func (p *parser) readKeys(section *ini.Section, known fields) {
 	for _, key := range section.Keys() {
-		take := known[key.Name()]
-		if take == nil {
-			r.fault(key.Name(), "unknown key")
+		set := known[key.Name()]
+		if set == nil {
+			p.fault(key.Name(), "unknown key")
 			continue
 		}
-		take(key.Name(), strings.TrimSpace(key.String()))
+		set(key.Name(), strings.TrimSpace(key.String()))
 	}
 }
 
@@ -122,57 +122,57 @@
 	}
 }
 
-func (r *reader) boolean(target *bool) func(key, value string) {
+func (p *parser) boolean(target *bool) func(key, value string) {
 	return func(key, value string) {
 		b, err := strconv.ParseBool(value)
 		if err != nil {
-			r.fault(key, "%q is not true or false", value)
+			p.fault(key, "%q is not true or false", value)
 		}
 		*target = b
 	}
 }
 
-func (r *reader) integer(target *int32) func(key, value string) {
+func (p *parser) integer(target *int32) func(key, value string) {
 	return func(key, value string) {
 		n, err := strconv.ParseInt(value, 10, 32)
 		if err != nil {
-			r.fault(key, "%q is no whole number", value)
+			p.fault(key, "%q is no whole number", value)
 		}
 		*target = int32(n)
 	}
 }
 
-func (r *reader) count(target *uint32) func(key, value string) {
+func (p *parser) count(target *uint32) func(key, value string) {
 	return func(key, value string) {
 		n, err := strconv.ParseUint(value, 10, 32)
 		if err != nil {
-			r.fault(key, "%q is no whole number from 0 up", value)
+			p.fault(key, "%q is no whole number from 0 up", value)
 		}
 		*target = uint32(n)
 	}
 }
 
-func (r *reader) version(target *uint64) func(key, value string) {
+func (p *parser) version(target *uint64) func(key, value string) {
 	return func(key, value string) {
 		n, err := strconv.ParseUint(value, 10, 64)
 		if err != nil {
-			r.fault(key, "%q is no whole number from 0 up", value)
+			p.fault(key, "%q is no whole number from 0 up", value)
 		}
 		*target = n
 	}
 }
 
-func (r *reader) duration(target *int64) func(key, value string) {
+func (p *parser) duration(target *int64) func(key, value string) {
 	return func(key, value string) {
 		d, err := time.ParseDuration(value)
 		if err != nil {
-			r.fault(key, "%q is no duration such as 30s or 24h", value)
+			p.fault(key, "%q is no duration such as 30s or 24h", value)
 		}
 		*target = int64(d)
 	}
 }
 
-// Format encodes a contract so that Read gives it back.
+// Format encodes a contract so that Parse returns it unchanged.
 func Format(c *wire.Contract) string {
 	b := &strings.Builder{}
 	_, _ = fmt.Fprintf(b, "[Contract]\nCustomer = %s\nVersion = %d\nRequestsAtOnce = %d\nQueueLength = %d\nDeadline = %s\nKeepKeys = %s\n",
