--- a/pkg/logtracer/fault.go
+++ b/pkg/logtracer/fault.go
@@ -1,12 +1,12 @@
 package logtracer
 
-// Kind says what went wrong.
+// Kind is the kind of an error of this package.
 type Kind int
 
-// KindUnreadable means that a log could not be read to its end.
+// KindUnreadable means that a log could not be read completely.
 const KindUnreadable Kind = iota
 
-// Error is a fault of this package.
+// Error is the error type of this package.
 type Error struct {
 	Operation string
 	Kind      Kind
@@ -14,7 +14,7 @@
 }
 
 // Error returns the operation and its cause.
-func (e *Error) Error() string { return "narrator: " + e.Operation + ": " + e.cause.Error() }
+func (e *Error) Error() string { return "logtracer: " + e.Operation + ": " + e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
--- a/pkg/logtracer/narrator.go
+++ b/pkg/logtracer/logtracer.go
@@ -1,6 +1,6 @@
-// Package narrator tells the story of one request from the log lines of all processes:
-// its own lines, and what its gateway and the leader believed and did meanwhile about
-// the backend servers and the adapter that it needed.
+// Package logtracer collects the trace of one request from the logs of all processes: the
+// request's own lines, and the lines of its gateway and the leader about the backend servers
+// and the adapter that it needed.
 package logtracer
 
 import (
@@ -19,25 +19,25 @@
 	At       time.Time
 	Message  string
 	Instance string
-	// Fields are the others, by name.
+	// Fields are the remaining fields, by name.
 	Fields map[string]any
 }
 
 const (
-	// before is how long before a request's start other lines may matter: a little longer
-	// than a backend server's announcements are apart.
-	before = 1500 * time.Millisecond
-	// maxLine bounds a line; longer ones are skipped.
+	// leadTime is how long before a request's start other lines may be relevant: slightly more
+	// than the interval of a backend server's announcements.
+	leadTime = 1500 * time.Millisecond
+	// maxLine limits the length of a line; a longer one is an error.
 	maxLine = 1 << 20
 )
 
-// Read reads the JSON lines of a log. Whatever stands before the first brace of a line,
-// such as a collector's stamp, and lines that are no JSON are passed over and counted.
+// Read reads the JSON lines of a log. Text before the first brace of a line, such as a
+// collector's timestamp, is ignored; lines that are not JSON are skipped and counted.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(make([]byte, 0, bufio.MaxScanTokenSize), maxLine)
 	for scanner.Scan() {
-		line, ok := parse(scanner.Bytes())
+		line, ok := parseLine(scanner.Bytes())
 		if !ok {
 			skipped++
 			continue
@@ -50,14 +50,14 @@
 	return lines, skipped, nil
 }
 
-func parse(text []byte) (Line, bool) {
+func parseLine(text []byte) (Line, bool) {
 	fields := map[string]any{}
 	at := strings.IndexByte(string(text), '{')
 	if at < 0 || json.Unmarshal(text[at:], &fields) != nil {
 		return Line{}, false
 	}
-	l := Line{Fields: fields, Message: take(fields, "msg"), Instance: take(fields, "Instance")}
-	stamp, err := time.Parse(time.RFC3339Nano, take(fields, "time"))
+	l := Line{Fields: fields, Message: takeText(fields, "msg"), Instance: takeText(fields, "Instance")}
+	stamp, err := time.Parse(time.RFC3339Nano, takeText(fields, "time"))
 	if err != nil {
 		return Line{}, false
 	}
@@ -68,8 +68,8 @@
 	return l, true
 }
 
-// take removes a field of text and returns it.
-func take(fields map[string]any, name string) string {
+// takeText removes a text field and returns it.
+func takeText(fields map[string]any, name string) string {
 	text, _ := fields[name].(string)
 	delete(fields, name)
 	return text
@@ -80,7 +80,7 @@
 	return text
 }
 
-// String returns the line as a person reads it.
+// String formats the line for display.
 func (l Line) String() string {
 	b := &strings.Builder{}
 	_, _ = fmt.Fprintf(b, "%s %s: %s", l.At.UTC().Format("15:04:05.000"), l.Instance, l.Message)
@@ -92,8 +92,8 @@
 	return b.String()
 }
 
-// subject is what a story is about.
-type subject struct {
+// scope selects the lines of one request's trace.
+type scope struct {
 	request   string
 	from, to  time.Time
 	instances map[string]bool
@@ -101,25 +101,24 @@
 	adapters  map[string]bool
 }
 
-// Trace returns the lines that tell what became of a request, in the order of time;
-// none if no line names it.
+// Trace returns the lines relevant to a request in order of time; none if no line names it.
 func Trace(lines []Line, request string) []Line {
-	s := about(lines, request)
+	s := findScope(lines, request)
 	if s.to.IsZero() {
 		return nil
 	}
-	var story []Line
+	var trace []Line
 	for _, l := range lines {
-		if s.concerns(l) {
-			story = append(story, l)
+		if s.includes(l) {
+			trace = append(trace, l)
 		}
 	}
-	slices.SortStableFunc(story, func(a, b Line) int { return a.At.Compare(b.At) })
-	return story
+	slices.SortStableFunc(trace, func(a, b Line) int { return a.At.Compare(b.At) })
+	return trace
 }
 
-func about(lines []Line, request string) subject {
-	s := subject{request: request, instances: map[string]bool{}, backends: map[string]bool{}, adapters: map[string]bool{}}
+func findScope(lines []Line, request string) scope {
+	s := scope{request: request, instances: map[string]bool{}, backends: map[string]bool{}, adapters: map[string]bool{}}
 	for _, l := range lines {
 		if l.text("RequestID") != request {
 			continue
@@ -142,14 +141,14 @@
 	return s
 }
 
-// concerns reports whether a line belongs to the story: the request's own, and of the time
-// around it those on its backend servers and adapter, on who leads, and those of its
+// includes reports whether a line belongs to the trace: the request's own lines, and within the
+// time range those about its backend servers and adapter, about the leader, and those of its
 // gateway that are not about other requests.
-func (s subject) concerns(l Line) bool {
+func (s scope) includes(l Line) bool {
 	if id := l.text("RequestID"); id != "" {
 		return id == s.request
 	}
-	if l.At.Before(s.from.Add(-before)) || l.At.After(s.to) {
+	if l.At.Before(s.from.Add(-leadTime)) || l.At.After(s.to) {
 		return false
 	}
 	if adapter := l.text("Adapter"); adapter != "" {
--- a/pkg/logtracer/narrator_test.go
+++ b/pkg/logtracer/logtracer_test.go
@@ -7,9 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// day is what the processes of a bench day wrote, shortened, with a collector's stamp
-// before one of the lines, and one that is no JSON.
-const day = `{"time":"2026-07-26T17:34:00Z","level":"INFO","msg":"this instance leads","Program":"controller","Instance":"core-1","Zone":"z","Term":2}
+// logLines are shortened lines of several processes, one of them with a collector's timestamp
+// in front and one that is not JSON.
+const logLines = `{"time":"2026-07-26T17:34:00Z","level":"INFO","msg":"this instance leads","Program":"controller","Instance":"core-1","Zone":"z","Term":2}
 {"time":"2026-07-26T17:34:10.900Z","msg":"order","Instance":"core-1","Kind":"Load","Backend":"i-2","Adapter":"m/a7","Outcome":0}
   36.0395 edge-1 {"time":"2026-07-26T17:34:11Z","msg":"this instance leads","Instance":"core-2","Term":3}
 {"time":"2026-07-26T17:34:11.100Z","msg":"order","Instance":"core-2","Kind":"Load","Backend":"i-2","Adapter":"m/a8","Outcome":2}
@@ -24,12 +24,12 @@
 {"time":"2026-07-26T17:35:00.300Z","msg":"request","Instance":"edge-1","RequestID":"r5","Took":20,"Denials":2,"DeniedBackend":"i-3","Status":503}
 `
 
-func TestStory(t *testing.T) {
+func TestTrace(t *testing.T) {
 	for name, test := range map[string]struct {
 		request string
 		want    []string
 	}{
-		"what was known and done meanwhile": {"r1", []string{
+		"lines of other processes": {"r1", []string{
 			"17:34:10.900 core-1: order Adapter=m/a7 Backend=i-2 Kind=Load Outcome=0",
 			"17:34:11.000 core-2: this instance leads Term=3",
 			"17:34:11.200 edge-1: a controller does not answer Controller=core-1",
@@ -41,11 +41,11 @@
 			"17:35:00.100 edge-3: backend server limits its request rate AnswerTo=r4 Backend=i-3 Limit=5",
 			"17:35:00.300 edge-1: request Denials=2 DeniedBackend=i-3 RequestID=r5 Status=503 Took=20",
 		}},
-		"nobody knows it": {"r3", nil},
+		"an unknown request": {"r3", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			lines, skipped, err := Read(strings.NewReader(day))
+			lines, skipped, err := Read(strings.NewReader(logLines))
 			c.Assert(err, qt.IsNil)
 			c.Check(skipped, qt.Equals, 1)
 			var got []string
@@ -57,13 +57,13 @@
 	}
 }
 
-// What is not a log is passed over, and a line without an end is an error.
-func TestReadOfOtherThings(t *testing.T) {
+// Lines that are not log lines are skipped, and a line without an end is an error.
+func TestReadSkipsOtherLines(t *testing.T) {
 	c := qt.New(t)
 	lines, skipped, err := Read(strings.NewReader("{\n{}\n[1]\n{\"time\":\"yesterday\",\"msg\":\"x\"}\n"))
 	c.Check(err, qt.IsNil)
 	c.Check(lines, qt.HasLen, 0)
 	c.Check(skipped, qt.Equals, 4)
 	_, _, err = Read(strings.NewReader(strings.Repeat("x", maxLine+1)))
-	c.Check(err, qt.ErrorMatches, "narrator: Read: .*token too long")
+	c.Check(err, qt.ErrorMatches, "logtracer: Read: .*token too long")
 }
