--- a/pkg/sequencer/caller_test.go
+++ b/pkg/sequencer/sequencer_test.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-func TestCallsAreCarriedOutInTheirOrder(t *testing.T) {
+func TestCallsRunInOrder(t *testing.T) {
 	c := qt.New(t)
 	calls := New(4)
 	var order []int
@@ -27,8 +27,8 @@
 	c.Check(order, qt.DeepEquals, []int{1, 2})
 }
 
-// Nobody waits for a state that is too busy, or beyond the end of the own call.
-func TestCallsThatDoNotWait(t *testing.T) {
+// Call does not block when the queue is full, nor after its context has ended.
+func TestCallReturnsWhenFullOrCancelled(t *testing.T) {
 	c := qt.New(t)
 	calls := New(1)
 	ctx, cancel := context.WithCancel(context.Background())
