--- a/pkg/server/server_test.go
+++ b/pkg/server/server_test.go
@@ -16,7 +16,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// echoDigest answers with the digest of the body, and with a body of its own of some size.
+// echoDigest answers with the digest of the body, and with a body of the same size.
 func echoDigest(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -27,8 +27,8 @@
 	_, _ = w.Write(bytes.Repeat([]byte("x"), len(body)))
 }
 
-// Many calls at once on kept connections, small and of hundreds of kilobytes: each gets
-// the answer to its own body, whole.
+// Many concurrent calls on reused connections, with bodies from a few bytes to hundreds of
+// kilobytes: each gets the complete answer to its own body.
 func TestCallsOfAllSizes(t *testing.T) {
 	c := qt.New(t)
 	p := &Server{Address: "127.0.0.1:0", Handler: http.HandlerFunc(echoDigest), Log: slog.New(slog.DiscardHandler)}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// A stop waits for the calls that run.
+// Stop waits for active calls.
 func TestStopWaitsForCalls(t *testing.T) {
 	c := qt.New(t)
 	entered, release := make(chan struct{}), make(chan struct{})
@@ -110,9 +110,9 @@
 	c.Check(<-stopped, qt.IsNil)
 }
 
-// An answer that its handler gives up after some bytes does not look complete, with a
-// length or without one.
-func TestAbortedAnswersAreCut(t *testing.T) {
+// An answer that its handler aborts after some bytes does not look complete, whether chunked or
+// with a length.
+func TestAbortedAnswersAreIncomplete(t *testing.T) {
 	for name, length := range map[string]string{"chunked": "", "with a length": "100"} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -137,7 +137,7 @@
 	}
 }
 
-// A handler that panics costs its caller the connection, and nobody else anything.
+// A handler that panics aborts its caller's connection and affects no other caller.
 func TestPanickingHandlers(t *testing.T) {
 	c := qt.New(t)
 	s := &Server{Address: "127.0.0.1:0", Log: slog.New(slog.DiscardHandler), Handler: http.HandlerFunc(
--- a/pkg/server/stop_test.go
+++ b/pkg/server/stop_test.go
@@ -11,8 +11,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// lateListener notices that it was closed only when it is closed again, as one whose
-// goroutine has no turn on a busy machine.
+// lateListener notices its closing only at the second Close, like one whose goroutine is not
+// scheduled on a busy machine.
 type lateListener struct {
 	net.Listener
 	accepting chan struct{}
@@ -33,9 +33,9 @@
 	return l.Listener.Accept()
 }
 
-// A stop closes the listener before it waits for requests. That the server closes it once
-// more, since it has not noticed yet, is no failure of the stop.
-func TestStopOfAServerThatHasNotNoticed(t *testing.T) {
+// Stop closes the listener before it waits for requests. That the HTTP server closes it again,
+// since Serve has not noticed yet, must not make Stop fail.
+func TestStopBeforeServeSeesClosedListener(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
