--- a/pkg/authenticator/authenticator.go
+++ b/pkg/authenticator/authenticator.go
@@ -1,5 +1,5 @@
-// Package authenticator checks the bearer keys of operators, backend servers and
-// bronzelead's own processes. Keys are compared by their digests, in constant time.
+// Package authenticator checks the bearer keys of operators, backend servers and bronzelead's
+// own processes. Keys are compared by their digests, in constant time.
 package authenticator
 
 import (
@@ -24,14 +24,14 @@
 // DigestOf returns the digest of a key.
 func DigestOf(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// String returns the digest in hexadecimal digits, as contracts and files keep it.
+// String returns the digest in hexadecimal digits, as in contracts and files.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads a digest in hexadecimal digits.
+// ParseDigest parses a digest in hexadecimal digits.
 func ParseDigest(text string) (Digest, error) {
 	raw, err := hex.DecodeString(strings.ToLower(text))
 	if err != nil || len(raw) != sha256.Size {
-		// The text is not shown: somebody may have written the key itself.
+		// The text is not shown: it may be the key itself, entered by mistake.
 		return Digest{}, errors.New("authenticator: a digest is a SHA-256 in 64 hexadecimal digits")
 	}
 	return Digest(raw), nil
@@ -56,14 +56,14 @@
 // Keyring maps the digests of keys to the names of their owners.
 type Keyring map[Digest]string
 
-// ReadKeyring reads lines of a name and a digest.
+// ReadKeyring reads a file with a name and a digest on each line.
 func ReadKeyring(file string) (Keyring, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "authenticator: read ring")
 	}
 	defer func() { _ = f.Close() }()
-	ring := Keyring{}
+	keyring := Keyring{}
 	lines := bufio.NewScanner(f)
 	for lines.Scan() {
 		fields := strings.Fields(lines.Text())
@@ -77,12 +77,12 @@
 		if err != nil {
 			return nil, errors.Wrap(err, file)
 		}
-		ring[digest] = fields[0]
+		keyring[digest] = fields[0]
 	}
-	return ring, errors.Wrap(lines.Err(), "authenticator: read ring")
+	return keyring, errors.Wrap(lines.Err(), "authenticator: read ring")
 }
 
-// Owner returns who a key belongs to, or "".
+// Owner returns the owner of a key, or "".
 func (r Keyring) Owner(key string) string {
 	digest := DigestOf(key)
 	owner := ""
@@ -105,11 +105,11 @@
 
 type ownerKey struct{}
 
-// Require lets only requests with a key of the ring through. It says nothing to
-// the others but that they have no key.
-func Require(ring Keyring, next http.Handler) http.Handler {
+// Require passes on only requests with a key of the keyring. The refusal does not reveal why
+// the key is invalid.
+func Require(keyring Keyring, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		owner := ring.Owner(BearerKey(r))
+		owner := keyring.Owner(BearerKey(r))
 		if owner == "" {
 			w.Header().Set("Content-Type", "application/json")
 			w.WriteHeader(http.StatusUnauthorized)
@@ -120,7 +120,7 @@
 	})
 }
 
-// OwnerFrom returns the owner of the key with which a call came, or "".
+// OwnerFrom returns the owner of the key of a request, or "".
 func OwnerFrom(ctx context.Context) string {
 	owner, _ := ctx.Value(ownerKey{}).(string)
 	return owner
