--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -63,11 +63,11 @@
 	// counts nothing.
 	CountQuarantine func(change string)
 
-	arbiter  arbiter.Arbiter
-	calls    *sequencer.Sequencer
-	admitted atomic.Pointer[raftdriver.Admission]
-	state    *applier.StateMachine
-	snapshot uint64
+	arbiter       arbiter.Arbiter
+	calls         *sequencer.Sequencer
+	admitted      atomic.Pointer[raftdriver.Admission]
+	state         *applier.StateMachine
+	snapshotIndex uint64
 	// compacting is set while a snapshot is being made.
 	compacting atomic.Bool
 
@@ -96,7 +96,7 @@
 
 // Init prepares the coordinator for calls before Run.
 func (c *Coordinator) Init() {
-	c.calls = sequencer.New(callRing)
+	c.calls = sequencer.New(callQueueSize)
 	c.state = applier.New()
 	c.initArbiter()
 	if c.SnapshotInterval == 0 {
