--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -53,7 +53,7 @@
 	// met are members that this instance heard of before it belonged to a cluster.
 	met         acquaintances
 	clusterKey  string
-	operators   authenticator.Ring
+	operators   authenticator.Keyring
 	storer      *storer.Storer
 	keeper      *raftdriver.Driver
 	coordinator *coordinator.Coordinator
@@ -115,11 +115,11 @@
 	if a.clusterKey, err = authenticator.ReadKey(a.Settings.Keys.ClusterFile); err != nil {
 		return errors.Wrap(err, "app")
 	}
-	a.operators, err = authenticator.ReadRing(a.Settings.Keys.OperatorFile)
+	a.operators, err = authenticator.ReadKeyring(a.Settings.Keys.OperatorFile)
 	if err != nil {
 		return errors.Wrap(err, "app")
 	}
-	a.operators[authenticator.DigestOf(a.clusterKey)] = authenticator.Cluster
+	a.operators[authenticator.DigestOf(a.clusterKey)] = authenticator.ClusterOwner
 	return nil
 }
 
@@ -157,7 +157,7 @@
 	a.responder = &responder.Responder{
 		Log: a.Log, Keeper: a.keeper, Coordinator: a.coordinator, Peer: forward, LeaseNs: int64(s.Timing.SessionLease),
 	}
-	a.server = &server.Server{Address: s.Instance.Listen, Handler: a.handler(forward), Log: a.Log, MaxBody: maxMessage}
+	a.server = &server.Server{Address: s.Instance.Listen, Handler: a.handler(forward), Log: a.Log, MaxBodyBytes: maxMessage}
 }
 
 // bulk returns the client that sends snapshots.
@@ -178,12 +178,12 @@
 	client := &connector.Client{Timeout: a.Settings.Engines.LongestOrder, Transport: connector.NewTransport(nil)}
 	return &orderer.Orderer{
 		Log: a.Log, LongestOrder: a.Settings.Engines.LongestOrder, Leads: a.keeper.Leads,
-		Orders: &translator.Orders{Client: client, WeightsURL: a.Settings.Engines.WeightsURL},
+		Orders: &translator.OrderClient{Client: client, WeightsURL: a.Settings.Engines.WeightsURL},
 	}
 }
 
 func (a *App) handler(forward *connector.Client) http.Handler {
-	cluster := authenticator.Ring{authenticator.DigestOf(a.clusterKey): authenticator.Cluster}
+	cluster := authenticator.Keyring{authenticator.DigestOf(a.clusterKey): authenticator.ClusterOwner}
 	peer := &responder.Peer{
 		Keeper: a.keeper, Cluster: a.clusterID, Leader: a.responder.LeaderAddress, Heard: a.transporter.Heard, Invited: a.met.meet,
 		Client: func(address string) wire.Peer { return wire.NewPeerProtobufClient("http://"+address, forward) },
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -16,9 +16,9 @@
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/applier"
-	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/limiter"
 	"bronzelead.example/pkg/planner"
+	"bronzelead.example/pkg/sequencer"
 	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
 )
@@ -64,7 +64,7 @@
 	CountQuarantine func(change string)
 
 	arbiter       arbiter.Arbiter
-	calls         *caller.Caller
+	calls         *sequencer.Sequencer
 	admitted      atomic.Pointer[raftdriver.Admission]
 	state         *applier.StateMachine
 	snapshotIndex uint64
@@ -96,7 +96,7 @@
 
 // Init prepares the coordinator for calls before Run.
 func (c *Coordinator) Init() {
-	c.calls = caller.New(callQueueSize)
+	c.calls = sequencer.New(callQueueSize)
 	c.state = applier.New()
 	c.initArbiter()
 	if c.SnapshotInterval == 0 {
--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -58,8 +58,8 @@
 
 type keys struct {
 	cluster   string
-	backends  authenticator.Ring
-	operators authenticator.Ring
+	backends  authenticator.Keyring
+	operators authenticator.Keyring
 }
 
 // NewLog returns the log that the settings ask for.
@@ -101,10 +101,10 @@
 	if a.keys.cluster, err = authenticator.ReadKey(a.Settings.Keys.ClusterFile); err != nil {
 		return errors.Wrap(err, "app")
 	}
-	if a.keys.backends, err = authenticator.ReadRing(a.Settings.Keys.BackendFile); err != nil {
+	if a.keys.backends, err = authenticator.ReadKeyring(a.Settings.Keys.BackendFile); err != nil {
 		return errors.Wrap(err, "app")
 	}
-	a.keys.operators, err = authenticator.ReadRing(a.Settings.Keys.OperatorFile)
+	a.keys.operators, err = authenticator.ReadKeyring(a.Settings.Keys.OperatorFile)
 	return errors.Wrap(err, "app")
 }
 
@@ -162,10 +162,10 @@
 		Clock: a.Clock, Log: a.Log, Instance: s.Instance.Name,
 		Registrar: a.registrar, Scheduler: a.scheduler, Claimer: a.claimer, Isolator: a.isolator,
 		Dispatcher: a.dispatcher(), Explainer: &explainer.Explainer{Clock: a.Clock},
-		Meter:   meter.New("gateway", s.Instance.Name, s.Instance.Zone),
-		Retries: &receiver.RetryBudget{Clock: a.Clock, Share: s.Requests.RetryShare, Burst: s.Requests.RetryBurst},
-		Session: a.scheduler.SessionID, BackendKeys: a.keys.backends, OperatorKeys: a.keys.operators,
-		Ready: a.ready, MaxBody: s.Requests.MaxBody, KeepAnswer: s.Requests.KeepAnswer,
+		Meter:       meter.New("gateway", s.Instance.Name, s.Instance.Zone),
+		RetryBudget: &receiver.RetryBudget{Clock: a.Clock, RetryRatio: s.Requests.RetryShare, Burst: s.Requests.RetryBurst},
+		Session:     a.scheduler.SessionID, BackendKeys: a.keys.backends, OperatorKeys: a.keys.operators,
+		Ready: a.ready, MaxBody: s.Requests.MaxBody, MaxStoredAnswer: s.Requests.KeepAnswer,
 	}
 	return r.Handler()
 }
