--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -254,10 +254,10 @@
 			}
 			return err
 		},
-		ReadTable:  r.mesh.Document,
-		PutVersion: r.mesh.PutVersion,
-		Announce:   r.mesh.ReceiveAnnouncement,
-		Unreadable: (&complainer{clock: r.Clock, log: r.Log}).unreadable,
+		ReadTable:           r.mesh.Document,
+		PutVersion:          r.mesh.PutVersion,
+		ReceiveAnnouncement: r.mesh.ReceiveAnnouncement,
+		Unreadable:          (&complainer{clock: r.Clock, log: r.Log}).unreadable,
 	}
 }
 
