--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -257,7 +257,7 @@
 		ReadTable:           r.mesh.Document,
 		PutVersion:          r.mesh.PutVersion,
 		ReceiveAnnouncement: r.mesh.ReceiveAnnouncement,
-		Unreadable:          (&complainer{clock: r.Clock, log: r.Log}).unreadable,
+		OnUnreadable:        (&complainer{clock: r.Clock, log: r.Log}).unreadable,
 	}
 }
 
