--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -132,7 +132,7 @@
 	if patience := milliseconds(j.route.GetPatienceMs()); patience > 0 {
 		j.leaves = j.req.ReceivedAt.Add(patience)
 	}
-	j.resume = j.about.Resumes
+	j.resume = j.about.ResumeAfter
 	return true
 }
 
