--- a/gateway/forwarder/limit.go
+++ b/gateway/forwarder/limit.go
@@ -34,7 +34,7 @@
 	switch {
 	case limit.GetUnit() != wire.LimitUnit_LIMIT_UNIT_TOKENS:
 		return 1
-	case !j.about.Sized:
+	case !j.about.HasSize:
 		return uint64(limit.GetPlainTokens())
 	}
 	return uint64(j.about.PromptTokens) + uint64(j.about.OutputTokens)
