--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -109,7 +109,7 @@
 		Name: d.Backend.GetName(), AdapterVersion: d.Version, Urgency: -1, Resumes: j.resume, Customer: j.customer.GetName(),
 	}
 	if !j.patience.IsZero() {
-		dispatch.Left = j.until.Sub(f.Clock.Now())
+		dispatch.Remaining = j.until.Sub(f.Clock.Now())
 	}
 	if j.adapter != "" && !f.Off.Has(ablator.PriorityOrder) {
 		dispatch.Urgency = min(int(j.urgency()), leastUrgent)
--- a/gateway/forwarder/forwarder_test.go
+++ b/gateway/forwarder/forwarder_test.go
@@ -33,7 +33,7 @@
 	c.Check(sent.Header.Get("X-Hop"), qt.Equals, "")
 	dispatch := platform.DecodeDispatch(fields(sent.Header))
 	c.Check(dispatch.Name, qt.Equals, "b1")
-	c.Check(dispatch.Left > 0 && dispatch.Left <= patience, qt.IsTrue)
+	c.Check(dispatch.Remaining > 0 && dispatch.Remaining <= patience, qt.IsTrue)
 }
 
 // How often a request may run follows from its route and from what the failure proves.
