--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -106,7 +106,7 @@
 
 func (f *Forwarder) outgoing(j *job, d balancer.Decision) *sender.Outgoing {
 	dispatch := platform.Dispatch{
-		Name: d.Backend.GetName(), AdapterVersion: d.Version, Urgency: -1, Resumes: j.resume, Customer: j.customer.GetName(),
+		Name: d.Backend.GetName(), AdapterVersion: d.Version, Urgency: -1, ResumeAfter: j.resume, Customer: j.customer.GetName(),
 	}
 	if !j.patience.IsZero() {
 		dispatch.Remaining = j.until.Sub(f.Clock.Now())
--- a/gateway/forwarder/stream_test.go
+++ b/gateway/forwarder/stream_test.go
@@ -42,7 +42,7 @@
 			either := func(b *backendFake, req *http.Request, conn net.Conn) bool {
 				written := test.written
 				if calls.Add(1) == 2 {
-					c.Check(platform.DecodeDispatch(fields(req.Header)).Resumes, qt.Equals, test.resumed)
+					c.Check(platform.DecodeDispatch(fields(req.Header)).ResumeAfter, qt.Equals, test.resumed)
 					written = streamHead() + chunk(two) + "0\r\n\r\n"
 				}
 				return runsAndBreaks(written)(b, req, conn)
