--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -82,7 +82,7 @@
 // observeLimit takes the request limit that an answer to the job's last try names. Only a
 // signed answer without a limit lifts one: a rejection may come from another start at the
 // same address.
-func (f *Forwarder) observeLimit(j *job, status int, answer platform.Answer) {
+func (f *Forwarder) observeLimit(j *job, status int, answer platform.Response) {
 	if answer.LimitFault != "" {
 		f.limitFault(j, answer.LimitFault)
 		return
--- a/gateway/forwarder/throttle_test.go
+++ b/gateway/forwarder/throttle_test.go
@@ -73,16 +73,16 @@
 func TestWhichAnswersNameALimit(t *testing.T) {
 	for name, test := range map[string]struct {
 		status int
-		answer platform.Answer
+		answer platform.Response
 		want   throttler.Limit
 	}{
-		"signed, another value": {200, platform.Answer{Signed: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(7)},
-		"signed, none":          {200, platform.Answer{Signed: true}, throttler.Limit{}},
-		"signed, unreadable":    {200, platform.Answer{Signed: true, LimitFault: "NotDecimal"}, throttler.LimitOf(5)},
-		"a refusal with one":    {503, platform.Answer{NotRun: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(7)},
-		"a refusal without":     {503, platform.Answer{NotRun: true}, throttler.LimitOf(5)},
-		"of another start":      {421, platform.Answer{NotRun: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(5)},
-		"not signed":            {200, platform.Answer{RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(5)},
+		"signed, another value": {200, platform.Response{Signed: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(7)},
+		"signed, none":          {200, platform.Response{Signed: true}, throttler.Limit{}},
+		"signed, unreadable":    {200, platform.Response{Signed: true, LimitFault: "NotDecimal"}, throttler.LimitOf(5)},
+		"a refusal with one":    {503, platform.Response{NotRun: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(7)},
+		"a refusal without":     {503, platform.Response{NotRun: true}, throttler.LimitOf(5)},
+		"of another start":      {421, platform.Response{NotRun: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(5)},
+		"not signed":            {200, platform.Response{RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(5)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
