--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -164,7 +164,7 @@
 func (r *Routed) wordAge() time.Duration { return r.relayer.LeaderAge() }
 
 func ownAnswer(head *framer.ResponseHead, requestID string) (bool, time.Duration) {
-	answer := platform.DecodeAnswer(head)
+	answer := platform.DecodeResponse(head)
 	// An answer without an id may be this request's; whether it is valid is checked later.
 	return answer.RequestID == requestID || answer.RequestID == "", answer.IdleTimeout
 }
--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -69,7 +69,7 @@
 
 // take handles the answer to a try, and reports whether the request is to be tried again.
 func (f *Forwarder) take(ctx context.Context, j *job, d balancer.Decision, in *sender.Incoming) bool {
-	answer := platform.DecodeAnswer(in.Head)
+	answer := platform.DecodeResponse(in.Head)
 	f.observeLimit(j, in.Head.Status, answer)
 	switch {
 	case answer.NotRun:
--- a/gateway/forwarder/forwarder_test.go
+++ b/gateway/forwarder/forwarder_test.go
@@ -23,7 +23,7 @@
 	g := call(c, gateway(c, b), "/once/x%2Fy?q=1", "X-Own: kept", "Connection: X-Hop", "X-Hop: dropped")
 	c.Check(g.status, qt.Equals, http.StatusOK)
 	c.Check(g.body, qt.Equals, "the body")
-	received := platform.DecodeAnswer(&framer.ResponseHead{Status: g.status, Header: fields(g.header)})
+	received := platform.DecodeResponse(&framer.ResponseHead{Status: g.status, Header: fields(g.header)})
 	c.Check(received.Signed, qt.IsTrue)
 	c.Check(received.RequestID, qt.Equals, "r1")
 	sent := b.requests()[0]
--- a/gateway/forwarder/harness_test.go
+++ b/gateway/forwarder/harness_test.go
@@ -68,7 +68,7 @@
 		Sender: &sender.Sender{
 			Clock: clock, DialTimeout: time.Second, MaxIdle: time.Second,
 			OwnAnswer: func(head *framer.ResponseHead, id string) (bool, time.Duration) {
-				answer := platform.DecodeAnswer(head)
+				answer := platform.DecodeResponse(head)
 				return answer.RequestID == id || answer.RequestID == "", answer.IdleTimeout
 			},
 		},
