--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -279,7 +279,7 @@
 
 // relayWhole passes on an answer that is not a stream.
 func (f *Forwarder) relayWhole(ctx context.Context, j *job, backend *wire.Announcement, in *sender.Incoming) bool {
-	header := platform.EncodeAnswer(in.Head.Header)
+	header := platform.EncodeResponse(in.Head.Header)
 	body, err := io.ReadAll(io.LimitReader(in.Body, maxWhole))
 	if err == nil && !in.Body.Ended() {
 		return f.relayLong(j, backend, in, header, body)
--- a/gateway/forwarder/stream.go
+++ b/gateway/forwarder/stream.go
@@ -53,7 +53,7 @@
 }
 
 func (f *Forwarder) copyEvents(j *job, in *sender.Incoming) error {
-	header := platform.EncodeAnswer(in.Head.Header)
+	header := platform.EncodeResponse(in.Head.Header)
 	var pending []byte
 	buf := make([]byte, readSize)
 	for {
