--- a/gateway/forwarder/backend_fake_test.go
+++ b/gateway/forwarder/backend_fake_test.go
@@ -99,7 +99,9 @@
 }
 
 // signed begins an answer of a backend server; ID stands for the request's.
-func signed(id string) string { return "HTTP/1.1 200 OK\r\n" + lines(platform.StandInAnswer(id, "x")) }
+func signed(id string) string {
+	return "HTTP/1.1 200 OK\r\n" + lines(platform.StandInResponse(id, "x"))
+}
 
 // answer writes a whole answer of a backend server.
 func answer(conn net.Conn, status int, body string, header framer.Header) {
@@ -110,7 +112,7 @@
 func runsAndAnswers(status int, body string) handler {
 	return func(b *backendFake, req *http.Request, conn net.Conn) bool {
 		b.runs.Add(1)
-		answer(conn, status, body, platform.StandInAnswer(requestID(req), b.id))
+		answer(conn, status, body, platform.StandInResponse(requestID(req), b.id))
 		return true
 	}
 }
--- a/gateway/forwarder/continued_test.go
+++ b/gateway/forwarder/continued_test.go
@@ -34,7 +34,7 @@
 func TestNothingButItsEventsIntoABegunStream(t *testing.T) {
 	const one, two = "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
 	cut := streamHead() + chunk(one)
-	own := lines(platform.StandInAnswer("ID", "x"))
+	own := lines(platform.StandInResponse("ID", "x"))
 	for name, second := range map[string]handler{
 		"a failure of its own":          writes(whole("500 X", own, "no"), true),
 		"a refusal of its own":          writes(whole("404 X", own, "no"), true),
--- a/gateway/forwarder/forwarder_test.go
+++ b/gateway/forwarder/forwarder_test.go
@@ -98,7 +98,7 @@
 	b := newBackend(c, "b1", func(b *backendFake, req *http.Request, conn net.Conn) bool {
 		b.runs.Add(1)
 		_, _ = io.WriteString(conn, signed("another")+"Content-Length: 5\r\n\r\nother")
-		answer(conn, http.StatusOK, "own", platform.StandInAnswer(requestID(req), b.id))
+		answer(conn, http.StatusOK, "own", platform.StandInResponse(requestID(req), b.id))
 		return true
 	})
 	g := call(c, gateway(c, b), "/once/")
@@ -113,7 +113,7 @@
 	b := newBackend(c, "b1", func(b *backendFake, req *http.Request, conn net.Conn) bool {
 		close(began)
 		<-release
-		answer(conn, http.StatusOK, "done", platform.StandInAnswer(requestID(req), b.id))
+		answer(conn, http.StatusOK, "done", platform.StandInResponse(requestID(req), b.id))
 		return true
 	})
 	address, f := gatewayAndForwarder(c, b)
--- a/gateway/forwarder/prompt_test.go
+++ b/gateway/forwarder/prompt_test.go
@@ -20,7 +20,7 @@
 	large := strings.TrimSuffix(lines(platform.StandInPrompt(4000)), "\r\n")
 	for name, first := range map[string]string{
 		"its first event":     streamHead() + chunk(event),
-		"a failure":           whole("500 X", lines(platform.StandInAnswer("ID", "x")), "no"),
+		"a failure":           whole("500 X", lines(platform.StandInResponse("ID", "x")), "no"),
 		"a refusal":           whole("503 X", lines(platform.StandInRefusal("ID")), ""),
 		"a closed connection": "",
 	} {
--- a/gateway/forwarder/retried_test.go
+++ b/gateway/forwarder/retried_test.go
@@ -61,7 +61,7 @@
 		if held := release[req.URL.Path]; held != nil {
 			<-held
 		}
-		answer(conn, 200, "x", platform.StandInAnswer(requestID(req), b.id))
+		answer(conn, 200, "x", platform.StandInResponse(requestID(req), b.id))
 		return true
 	}), release
 }
--- a/gateway/forwarder/throttle_test.go
+++ b/gateway/forwarder/throttle_test.go
@@ -18,7 +18,7 @@
 func limits(status int, field framer.Field) handler {
 	return func(b *backendFake, req *http.Request, conn net.Conn) bool {
 		b.runs.Add(1)
-		answer(conn, status, "x", append(platform.StandInAnswer(requestID(req), b.id), field))
+		answer(conn, status, "x", append(platform.StandInResponse(requestID(req), b.id), field))
 		return true
 	}
 }
--- a/proof/routed_backends_test.go
+++ b/proof/routed_backends_test.go
@@ -154,7 +154,7 @@
 	case <-r.Context().Done():
 	case <-time.After(workTime):
 	}
-	set(w, platform.StandInAnswer(id, b.id))
+	set(w, platform.StandInResponse(id, b.id))
 	if kindOfPath(r.URL.Path) != stream {
 		_, _ = io.WriteString(w, answerTo(id))
 		return
--- a/proof/routed_callers_test.go
+++ b/proof/routed_callers_test.go
@@ -147,7 +147,7 @@
 	if body != want {
 		ledger.fault("%s got %q", s.id, body)
 	}
-	for _, field := range platform.StandInAnswer(s.id, "") {
+	for _, field := range platform.StandInResponse(s.id, "") {
 		if field.Value != "" && header.Get(field.Name) != field.Value {
 			ledger.fault("%s got the answer to %s", s.id, header.Get(field.Name))
 		}
