--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -65,7 +65,7 @@
 	}
 	outcome, err := c.orders.Give(context.Background(), platform.Order{
 		Address: order.Address, Name: order.Name, Kind: kind, Model: model, Adapter: adapter,
-		Version: order.Version, After: order.After, Holder: c.holder, Fence: term,
+		Version: order.Version, After: order.After, Holder: c.holder, Term: term,
 	})
 	reason := ""
 	if err != nil {
