--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -76,7 +76,7 @@
 	switch outcome {
 	case platform.OrderAccepted:
 		return placer.Accepted
-	case platform.OrderHolds:
+	case platform.OrderCompleted:
 		return placer.Completed
 	case platform.OrderConflict:
 		return placer.Conflict
