--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -84,7 +84,7 @@
 		return placer.Refused
 	case platform.OrderUnsent:
 		return placer.Unreachable
-	case platform.OrderElsewhere:
+	case platform.OrderWrongIncarnation:
 		return placer.WrongIncarnation
 	case platform.OrderUnknown:
 	}
