--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -18,7 +18,7 @@
 	log    *slog.Logger
 	holder string
 	leads  func() bool
-	orders *platform.Orders
+	orders *platform.OrderClient
 }
 
 func (c *orderCarrier) carry(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState)) {
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -221,7 +221,7 @@
 	client := &connector.Client{Timeout: r.Settings.Timing.OrderTimeout, Transport: connector.NewTransport(nil)}
 	return &orderCarrier{
 		log: r.Log, holder: r.Settings.Instance.Name, leads: r.keeper.Leads,
-		orders: &platform.Orders{Do: client.Do, Timeout: r.Settings.Timing.OrderTimeout},
+		orders: &platform.OrderClient{Do: client.Do, Timeout: r.Settings.Timing.OrderTimeout},
 	}
 }
 
