--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -63,7 +63,7 @@
 	if order.Kind == placer.Unload {
 		kind = platform.OrderUnload
 	}
-	outcome, err := c.orders.Give(context.Background(), platform.Order{
+	outcome, err := c.orders.Send(context.Background(), platform.Order{
 		Address: order.Address, Name: order.Name, Kind: kind, Model: model, Adapter: adapter,
 		Version: order.Version, After: order.After, Holder: c.holder, Term: term,
 	})
