--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -36,7 +36,7 @@
 }
 
 func (c *orderCarrier) report(order placer.Order) (placer.Outcome, *placer.EngineState) {
-	report, err := c.orders.Report(context.Background(), order.Address, order.Name)
+	report, err := c.orders.FetchReport(context.Background(), order.Address, order.Name)
 	if errors.Is(err, platform.ErrWrongIncarnation) {
 		return placer.WrongIncarnation, nil
 	}
