--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -53,7 +53,7 @@
 		return placer.WrongIncarnation, nil
 	}
 	return placer.Completed, &placer.EngineState{
-		Accepted: report.Accepted, Models: report.Models, Adapters: report.Adapters, Loading: report.Coming,
+		Accepted: report.Accepted, Models: report.Models, Adapters: report.Adapters, Loading: report.Loading,
 	}
 }
 
