--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -58,9 +58,9 @@
 // toldBy reports whether the list is that of the leader of a term, which may be told.
 func (a *Arbiter) toldBy(term uint64) bool { return term != 0 && a.revision/revisionsPerTerm == term }
 
-// HasNews reports whether a gateway must be told soon that knows a list. That there is none
+// HasUpdate reports whether a gateway must be told soon that knows a list. That there is none
 // is no news to one that knows none.
-func (a *Arbiter) HasNews(term, known uint64) bool {
+func (a *Arbiter) HasUpdate(term, known uint64) bool {
 	return a.toldBy(term) && known < a.revision && (known != 0 || len(a.list) > 0)
 }
 
--- a/controller/routecoordinator/sync.go
+++ b/controller/routecoordinator/sync.go
@@ -159,7 +159,7 @@
 		req.GetVersionRevision() != c.versions ||
 		req.GetTableVersion() < c.table().GetVersion() ||
 		req.GetRequestLimitsRevision() != c.requestLimits.Revision() ||
-		c.arbiter.HasNews(c.term, req.GetSuspectsRevision())
+		c.arbiter.HasUpdate(c.term, req.GetSuspectsRevision())
 }
 
 // table returns the table that gateways may be told of, or nil.
