--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -64,9 +64,9 @@
 	return a.toldBy(term) && known < a.revision && (known != 0 || len(a.list) > 0)
 }
 
-// Tell returns the list for a gateway that knows another one, and its number; 0 if there is
+// SuspectsFor returns the list for a gateway that knows another one, and its number; 0 if there is
 // none of the leader of a term.
-func (a *Arbiter) Tell(term, known uint64) ([]*wire.Suspect, uint64) {
+func (a *Arbiter) SuspectsFor(term, known uint64) ([]*wire.Suspect, uint64) {
 	switch {
 	case !a.toldBy(term):
 		return nil, 0
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -91,6 +91,6 @@
 // servers.
 func (c *Coordinator) addNews(now time.Time, req *wire.RenewRequest, res *wire.RenewResponse) {
 	res.Contracts = c.state.ChangedSince(req.GetRevision())
-	res.Suspects, res.SuspectsRevision = c.arbiter.Tell(c.term, req.GetSuspectsRevision())
+	res.Suspects, res.SuspectsRevision = c.arbiter.SuspectsFor(c.term, req.GetSuspectsRevision())
 	c.backends.addTo(res, req.GetBackendsVersion(), now.Before(c.warm))
 }
--- a/controller/routecoordinator/sync.go
+++ b/controller/routecoordinator/sync.go
@@ -202,7 +202,7 @@
 	}
 	c.tellLimits(now, req, res)
 	if res.GetLeads() {
-		res.Suspects, res.SuspectsRevision = c.arbiter.Tell(c.term, req.GetSuspectsRevision())
+		res.Suspects, res.SuspectsRevision = c.arbiter.SuspectsFor(c.term, req.GetSuspectsRevision())
 	}
 	g := c.gateways[req.GetGateway()]
 	if g != nil {
