--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -76,8 +76,8 @@
 	return a.list, a.revision
 }
 
-// Hear takes the reports of a gateway, and those that it passes on.
-func (a *Arbiter) Hear(now time.Time, reports []*wire.RunReport) {
+// ReceiveReports takes the reports of a gateway, and those that it passes on.
+func (a *Arbiter) ReceiveReports(now time.Time, reports []*wire.RunReport) {
 	if len(reports) == 0 {
 		return
 	}
--- a/controller/arbiter/arbiter_test.go
+++ b/controller/arbiter/arbiter_test.go
@@ -50,7 +50,7 @@
 func (t *court) ends(fingerprint string) {
 	for i := range quarantiner.QuarantineThreshold {
 		t.now = t.now.Add(time.Second)
-		t.Hear(t.now, []*wire.RunReport{{Fingerprint: fingerprint, Backend: fmt.Sprint(fingerprint, i), Model: "m/a", Place: "POST h/x"}})
+		t.ReceiveReports(t.now, []*wire.RunReport{{Fingerprint: fingerprint, Backend: fmt.Sprint(fingerprint, i), Model: "m/a", Place: "POST h/x"}})
 	}
 	t.lead(1)
 }
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -47,7 +47,7 @@
 		}
 		c.report(now, id, req, res)
 	}
-	c.arbiter.Hear(now, req.GetRunReports())
+	c.arbiter.ReceiveReports(now, req.GetRunReports())
 	c.announce(now, req.GetAnnounced())
 	c.addNews(now, req, res)
 	return res
--- a/controller/routecoordinator/sync.go
+++ b/controller/routecoordinator/sync.go
@@ -65,7 +65,7 @@
 		g.members, g.membersRevision = req.GetMembers(), req.GetMembersRevision()
 	}
 	c.hearLimits(now, req.GetRequestLimits())
-	c.arbiter.Hear(now, req.GetRunReports())
+	c.arbiter.ReceiveReports(now, req.GetRunReports())
 	for _, d := range req.GetDemand() {
 		c.knowledge.RecordRequests(now, d.GetAdapter(), int(d.GetRequests()))
 	}
