--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -87,8 +87,8 @@
 	a.stale = true
 }
 
-// TakeState lets the judge know what is held in the replicated state.
-func (a *Arbiter) TakeState(now time.Time) {
+// SyncState lets the judge know what is held in the replicated state.
+func (a *Arbiter) SyncState(now time.Time) {
 	state := a.State()
 	if state == a.known && state.QuarantineRevision() == a.heldRevision {
 		return
--- a/controller/arbiter/arbiter_test.go
+++ b/controller/arbiter/arbiter_test.go
@@ -43,7 +43,7 @@
 		panic(err)
 	}
 	t.state.Apply(&wire.Entry{Index: t.index, Term: 1, Data: data})
-	t.TakeState(t.now)
+	t.SyncState(t.now)
 }
 
 // ends lets enough starts end under a request, one after the other, and the leader judge.
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -139,7 +139,7 @@
 			a.Reply(result)
 		}
 	}
-	c.arbiter.TakeState(c.Clock.Now())
+	c.arbiter.SyncState(c.Clock.Now())
 	c.admitted.Store(&raftdriver.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
 	if c.state.Applied() >= c.snapshot+c.SnapshotInterval {
 		c.compact()
--- a/controller/routecoordinator/curator.go
+++ b/controller/routecoordinator/curator.go
@@ -208,7 +208,7 @@
 		}
 	}
 	c.versionsChanged()
-	c.arbiter.TakeState(c.Clock.Now())
+	c.arbiter.SyncState(c.Clock.Now())
 	if c.state.Applied() >= c.snapshot+c.SnapshotEntries || c.logBytes > c.SnapshotBytes {
 		c.compact()
 	}
