--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -52,8 +52,8 @@
 // Init prepares the arbiter for use.
 func (a *Arbiter) Init() { a.judge = quarantiner.New() }
 
-// Begin lets the list be made anew soon, by a leader that has just begun.
-func (a *Arbiter) Begin() { a.stale = true }
+// Invalidate lets the list be made anew soon, by a leader that has just begun.
+func (a *Arbiter) Invalidate() { a.stale = true }
 
 // toldBy reports whether the list is that of the leader of a term, which may be told.
 func (a *Arbiter) toldBy(term uint64) bool { return term != 0 && a.revision/revisionsPerTerm == term }
--- a/controller/arbiter/arbiter_test.go
+++ b/controller/arbiter/arbiter_test.go
@@ -81,7 +81,7 @@
 	c.Check(list, qt.HasLen, 0)
 	_, old := court.SuspectsFor(2, revision)
 	c.Check(old, qt.Equals, uint64(0))
-	court.Begin()
+	court.Invalidate()
 	court.lead(2)
 	list, later := court.SuspectsFor(2, revision)
 	c.Check(list, qt.HasLen, 1)
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -202,7 +202,7 @@
 	c.services = map[string]*service{}
 	c.backends = newBackendList(term)
 	c.pending = nil
-	c.arbiter.Begin()
+	c.arbiter.Invalidate()
 	c.warm = now.Add(c.Policy.BackendLease)
 	for id, s := range c.state.Sessions() {
 		c.leaser.Open(now, sessionOf(s), true)
--- a/controller/routecoordinator/curator.go
+++ b/controller/routecoordinator/curator.go
@@ -316,7 +316,7 @@
 	c.placer = placer.NewWith(c.knowledge)
 	c.placer.Begin(term)
 	c.holdings.Reset(c.placer.Revision())
-	c.arbiter.Begin()
+	c.arbiter.Invalidate()
 	c.placer.SetTable(c.state.Table().GetTable())
 	c.lender = &quotaallocator.Allocator{Rule: c.Limits, KnownGateways: c.knownGateways(now)}
 	c.lender.Begin(now, term, c.state.Table().GetTable().GetCustomers())
