--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -118,9 +118,9 @@
 // Tick lets time pass.
 func (a *Arbiter) Tick(now time.Time) { a.judge.Tick(now) }
 
-// Lead judges as the leader of a term, and makes the list for the gateways anew if it may
+// LeaderTick judges as the leader of a term, and makes the list for the gateways anew if it may
 // have changed.
-func (a *Arbiter) Lead(now time.Time, term uint64) {
+func (a *Arbiter) LeaderTick(now time.Time, term uint64) {
 	for _, verdict := range a.judge.Evaluate(now) {
 		a.Log.Warn("a request is held back: backend servers end when they run it", "Fingerprint", verdict.GetFingerprint(),
 			"Service", verdict.GetService(), "Model", verdict.GetModel(), "Place", verdict.GetPlace(), "Caller", verdict.GetCaller(),
--- a/controller/arbiter/arbiter_test.go
+++ b/controller/arbiter/arbiter_test.go
@@ -58,9 +58,9 @@
 func (t *court) lead(term uint64) {
 	t.now = t.now.Add(2 * time.Second)
 	t.Tick(t.now)
-	t.Lead(t.now, term)
+	t.LeaderTick(t.now, term)
 	t.now = t.now.Add(2 * time.Second)
-	t.Lead(t.now, term)
+	t.LeaderTick(t.now, term)
 }
 
 // Who knows an older list is told the whole of the latest, at once; who knows it is not, and
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -273,7 +273,7 @@
 		c.limiter.Forget(id)
 		c.planner.RemoveSession(id)
 	}
-	c.arbiter.Lead(now, c.term)
+	c.arbiter.LeaderTick(now, c.term)
 	c.observeChanges(now)
 	c.forgetBackends(now)
 	if now.Before(c.warm) {
--- a/controller/routecoordinator/curator.go
+++ b/controller/routecoordinator/curator.go
@@ -283,7 +283,7 @@
 	}
 	c.arbiter.Tick(now)
 	if c.leads(now) {
-		c.arbiter.Lead(now, c.term)
+		c.arbiter.LeaderTick(now, c.term)
 	}
 	c.forgetGateways(now)
 	c.forgetLimits(now)
