--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -152,7 +152,7 @@
 	a.keeper.Init(contents)
 	a.coordinator.Raft = a.keeper
 	a.coordinator.CountQuarantine = func(change string) { a.meter.Count("held_requests", "change", change) }
-	a.coordinator.SendOrder = a.orderer().Carry
+	a.coordinator.SendOrder = a.orderer().SendOrder
 	a.coordinator.Init()
 	a.responder = &responder.Responder{
 		Log: a.Log, Keeper: a.keeper, Coordinator: a.coordinator, Peer: forward, LeaseNs: int64(s.Timing.SessionLease),
--- a/controller/orderer/orderer.go
+++ b/controller/orderer/orderer.go
@@ -22,8 +22,8 @@
 	Leads func() bool
 }
 
-// Carry starts an order and calls done from another goroutine when it has ended.
-func (o *Orderer) Carry(order planner.Order, done func(planner.Outcome)) {
+// SendOrder starts an order and calls done from another goroutine when it has ended.
+func (o *Orderer) SendOrder(order planner.Order, done func(planner.Outcome)) {
 	go func() { done(o.carry(order)) }()
 }
 
