--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -177,7 +177,7 @@
 func (a *App) orderer() *orderer.Orderer {
 	client := &connector.Client{Timeout: a.Settings.Engines.LongestOrder, Transport: connector.NewTransport(nil)}
 	return &orderer.Orderer{
-		Log: a.Log, LongestOrder: a.Settings.Engines.LongestOrder, Leads: a.keeper.Leads,
+		Log: a.Log, OrderTimeout: a.Settings.Engines.LongestOrder, Leads: a.keeper.Leads,
 		Orders: &translator.Orders{Client: client, WeightsURL: a.Settings.Engines.WeightsURL},
 	}
 }
--- a/controller/orderer/orderer.go
+++ b/controller/orderer/orderer.go
@@ -16,8 +16,8 @@
 	Log *slog.Logger
 	// Orders speaks the engines' protocol.
 	Orders *translator.Orders
-	// LongestOrder bounds an order in time.
-	LongestOrder time.Duration
+	// OrderTimeout bounds an order in time.
+	OrderTimeout time.Duration
 	// Leads is asked directly before an order leaves.
 	Leads func() bool
 }
@@ -31,7 +31,7 @@
 	if !o.Leads() {
 		return planner.Refused
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), o.LongestOrder)
+	ctx, cancel := context.WithTimeout(context.Background(), o.OrderTimeout)
 	defer cancel()
 	fencing := translator.FencingNumber(order.Term, uint64(order.ID))
 	send := o.Orders.Load
