--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -155,7 +155,7 @@
 	a.coordinator.SendOrder = a.orderer().SendOrder
 	a.coordinator.Init()
 	a.responder = &responder.Responder{
-		Log: a.Log, Keeper: a.keeper, Coordinator: a.coordinator, Peer: forward, LeaseNs: int64(s.Timing.SessionLease),
+		Log: a.Log, Raft: a.keeper, Coordinator: a.coordinator, Peer: forward, LeaseNs: int64(s.Timing.SessionLease),
 	}
 	a.server = &server.Server{Address: s.Instance.Listen, Handler: a.handler(forward), Log: a.Log, MaxBody: maxMessage}
 }
--- a/controller/responder/control.go
+++ b/controller/responder/control.go
@@ -15,7 +15,7 @@
 }
 
 func (r *Responder) open(ctx context.Context, req *wire.OpenRequest) (*wire.OpenResponse, error) {
-	result, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_OpenSession{
+	result, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_OpenSession{
 		OpenSession: &wire.OpenSession{
 			Instance: req.GetInstance(), Zone: req.GetZone(), Nonce: req.GetNonce(), Address: req.GetAddress(),
 		},
@@ -41,7 +41,7 @@
 }
 
 func (r *Responder) close(ctx context.Context, req *wire.CloseRequest) (*wire.CloseResponse, error) {
-	_, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_CloseSession{
+	_, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_CloseSession{
 		CloseSession: &wire.CloseSession{Session: req.GetSession(), Graceful: true},
 	}})
 	return &wire.CloseResponse{}, err
@@ -55,7 +55,7 @@
 }
 
 func (r *Responder) claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimResponse, error) {
-	result, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_Claim{Claim: req.GetCommand()}})
+	result, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_Claim{Claim: req.GetCommand()}})
 	if err != nil {
 		return nil, err
 	}
@@ -70,7 +70,7 @@
 }
 
 func (r *Responder) finish(ctx context.Context, req *wire.FinishRequest) (*wire.FinishResponse, error) {
-	result, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_Finish{Finish: req.GetCommand()}})
+	result, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_Finish{Finish: req.GetCommand()}})
 	return &wire.FinishResponse{Outcome: result.Outcome}, err
 }
 
@@ -82,7 +82,7 @@
 }
 
 func (r *Responder) release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
-	_, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_Release{Release: req.GetCommand()}})
+	_, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_Release{Release: req.GetCommand()}})
 	return &wire.ReleaseResponse{}, err
 }
 
--- a/controller/responder/operator.go
+++ b/controller/responder/operator.go
@@ -29,7 +29,7 @@
 	if faults := validator.Contract(req.GetContract()); len(faults) > 0 {
 		return nil, twirp.NewError(twirp.InvalidArgument, strings.Join(faults, "\n"))
 	}
-	result, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_ApplyContract{
+	result, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_ApplyContract{
 		ApplyContract: &wire.ApplyContract{
 			ChangeId: req.GetChangeId(), BaseVersion: req.GetBaseVersion(),
 			Operator: req.GetOperator(), Contract: req.GetContract(),
@@ -113,7 +113,7 @@
 	if req.GetBackend() == "" {
 		return nil, twirp.RequiredArgumentError("backend")
 	}
-	_, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_DrainBackend{
+	_, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_DrainBackend{
 		DrainBackend: &wire.DrainBackend{Backend: req.GetBackend(), Undo: req.GetUndo()},
 	}})
 	return &wire.DrainResponse{}, err
@@ -143,7 +143,7 @@
 		return nil, twirp.RequiredArgumentError("fingerprint")
 	}
 	r.Log.Info("a request is held back no longer", "Fingerprint", req.GetFingerprint(), "Reason", req.GetReason())
-	_, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_ReleaseHeld{ReleaseHeld: req}})
+	_, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_ReleaseHeld{ReleaseHeld: req}})
 	return &wire.UnholdResponse{}, err
 }
 
@@ -183,7 +183,7 @@
 	if name == "" {
 		return nil, twirp.RequiredArgumentError("name")
 	}
-	_, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_AdmitMember{
+	_, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_AdmitMember{
 		AdmitMember: &wire.AdmitMember{Name: name, Removed: removed},
 	}})
 	return &wire.MemberResponse{}, err
@@ -198,7 +198,7 @@
 
 func (r *Responder) members(ctx context.Context, _ *wire.MembersRequest) (*wire.MembersResponse, error) {
 	admitted, err := r.Coordinator.AdmittedMembers(ctx)
-	standing := r.Keeper.Standing()
+	standing := r.Raft.Standing()
 	return &wire.MembersResponse{
 		Configuration: standing.Configuration, Admitted: admitted, Leader: standing.Leader,
 	}, err
--- a/controller/responder/responder.go
+++ b/controller/responder/responder.go
@@ -23,7 +23,7 @@
 // use.
 type Responder struct {
 	Log         *slog.Logger
-	Keeper      *raftdriver.Driver
+	Raft        *raftdriver.Driver
 	Coordinator *coordinator.Coordinator
 	// Peer is the client for passing calls on.
 	Peer *connector.Client
@@ -46,7 +46,7 @@
 
 // LeaderAddress returns where to pass a call on to, or "".
 func (r *Responder) LeaderAddress() string {
-	standing := r.Keeper.Standing()
+	standing := r.Raft.Standing()
 	for _, m := range standing.Configuration.GetVoters() {
 		if m.GetId() == standing.Leader {
 			return m.GetAddress()
@@ -61,7 +61,7 @@
 	here func(context.Context, *Q) (*A, error),
 	there func(address string) func(context.Context, *Q) (*A, error),
 ) (*A, error) {
-	if r.Keeper.Leads() {
+	if r.Raft.Leads() {
 		res, err := here(ctx, req)
 		if !errors.Is(err, raftdriver.ErrNotLeader) {
 			return res, twirpError(err)
