--- a/controller/responder/peer.go
+++ b/controller/responder/peer.go
@@ -11,7 +11,7 @@
 
 // Peer serves wire.Peer: messages from other controllers and requests to join.
 type Peer struct {
-	Keeper *raftdriver.Driver
+	Raft *raftdriver.Driver
 	// Cluster returns the cluster that this instance belongs to.
 	Cluster func() string
 	// Client returns a client of the controller at an address.
@@ -33,14 +33,14 @@
 		return nil, twirp.NewError(twirp.FailedPrecondition, "the message is from another cluster")
 	}
 	p.Heard(req.GetFrom())
-	p.Keeper.Deliver(req.GetMessages())
+	p.Raft.Deliver(req.GetMessages())
 	return &wire.DeliverResponse{}, nil
 }
 
 // Join notes at the leader that an instance wants to become a member.
 func (p *Peer) Join(ctx context.Context, req *wire.JoinRequest) (*wire.JoinResponse, error) {
-	if p.Keeper.Leads() {
-		p.Keeper.Join(req.GetMember())
+	if p.Raft.Leads() {
+		p.Raft.Join(req.GetMember())
 		return &wire.JoinResponse{Cluster: p.Cluster()}, nil
 	}
 	address := p.Leader()
