--- a/controller/responder/peer.go
+++ b/controller/responder/peer.go
@@ -18,8 +18,8 @@
 	Client func(address string) wire.Peer
 	// Leader returns the leader's address, or "".
 	Leader func() string
-	// Heard takes note of where a message came from.
-	Heard func(from *wire.Member)
+	// RecordPeer takes note of where a message came from.
+	RecordPeer func(from *wire.Member)
 	// Invited takes note of a member of a cluster, while this instance belongs to none.
 	Invited func(from *wire.Member)
 }
@@ -32,7 +32,7 @@
 		}
 		return nil, twirp.NewError(twirp.FailedPrecondition, "the message is from another cluster")
 	}
-	p.Heard(req.GetFrom())
+	p.RecordPeer(req.GetFrom())
 	p.Raft.Deliver(req.GetMessages())
 	return &wire.DeliverResponse{}, nil
 }
