--- a/controller/responder/peer.go
+++ b/controller/responder/peer.go
@@ -20,15 +20,15 @@
 	Leader func() string
 	// RecordPeer takes note of where a message came from.
 	RecordPeer func(from *wire.Member)
-	// Invited takes note of a member of a cluster, while this instance belongs to none.
-	Invited func(from *wire.Member)
+	// RecordContact takes note of a member of a cluster, while this instance belongs to none.
+	RecordContact func(from *wire.Member)
 }
 
 // Deliver takes messages of the same cluster.
 func (p *Peer) Deliver(_ context.Context, req *wire.DeliverRequest) (*wire.DeliverResponse, error) {
 	if req.GetCluster() != p.Cluster() {
 		if p.Cluster() == "" {
-			p.Invited(req.GetFrom())
+			p.RecordContact(req.GetFrom())
 		}
 		return nil, twirp.NewError(twirp.FailedPrecondition, "the message is from another cluster")
 	}
--- a/controller/responder/peer_test.go
+++ b/controller/responder/peer_test.go
@@ -23,9 +23,9 @@
 			c := qt.New(t)
 			invited := ""
 			p := &Peer{
-				Cluster:    func() string { return test.own },
-				RecordPeer: func(*wire.Member) { c.Error("it was heard") },
-				Invited:    func(from *wire.Member) { invited = from.GetAddress() },
+				Cluster:       func() string { return test.own },
+				RecordPeer:    func(*wire.Member) { c.Error("it was heard") },
+				RecordContact: func(from *wire.Member) { invited = from.GetAddress() },
 			}
 			_, err := p.Deliver(context.Background(), &wire.DeliverRequest{Cluster: "ours", From: &wire.Member{Address: "10.0.0.1:1"}})
 			c.Check(err, qt.IsNotNil)
