--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -136,7 +136,7 @@
 	forward := &connector.Client{
 		Timeout: s.Timing.PeerTimeout, Key: a.clusterKey, Transport: connector.NewTransport(nil), Forwarded: true,
 	}
-	a.transporter = &transporter.Transporter{Log: a.Log, Client: a.peers, Bulk: a.bulk(), Cluster: a.clusterID, Self: a.member(id)}
+	a.transporter = &transporter.Transporter{Log: a.Log, Client: a.peers, SnapshotClient: a.bulk(), Cluster: a.clusterID, Self: a.member(id)}
 	a.coordinator = &coordinator.Coordinator{
 		Clock: a.Clock, Log: a.Log, Commits: items, Policy: a.policy(), Lease: s.Timing.SessionLease,
 		MaxRequestDuration: s.Timing.LongestRequest, SnapshotInterval: uint64(s.Data.SnapshotEvery),
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -159,7 +159,7 @@
 	r.peers = &connector.Client{Timeout: s.Timing.PeerTimeout, Transport: transport}
 	bulk := &connector.Client{Timeout: snapshotTimeout, Transport: connector.NewTransport(nil)}
 	self := &wire.Member{Id: r.id, Name: s.Instance.IP, Address: s.meshAddress(s.Instance.IP), Zone: s.Instance.Zone}
-	r.transporter = &transporter.Transporter{Log: r.Log, Client: r.peers, Bulk: bulk, Cluster: r.clusterID, Self: self}
+	r.transporter = &transporter.Transporter{Log: r.Log, Client: r.peers, SnapshotClient: bulk, Cluster: r.clusterID, Self: self}
 	r.transporter.Start(ctx)
 	r.keeper = &raftdriver.Driver{
 		Clock: r.Clock, Log: r.Log, Storer: r.storer, Send: r.transporter.Send, Commits: items,
--- a/controller/transporter/transporter.go
+++ b/controller/transporter/transporter.go
@@ -23,8 +23,8 @@
 type Transporter struct {
 	Log    *slog.Logger
 	Client *connector.Client
-	// Bulk is the client for snapshots, which take longer.
-	Bulk *connector.Client
+	// SnapshotClient is the client for snapshots, which take longer.
+	SnapshotClient *connector.Client
 	// Cluster returns the cluster that this instance belongs to.
 	Cluster func() string
 	// Self is this member, as it tells others.
@@ -111,7 +111,7 @@
 
 func (t *Transporter) run(ctx context.Context, p *peer) {
 	client := wire.NewPeerProtobufClient("http://"+p.address, t.Client)
-	bulk := wire.NewPeerProtobufClient("http://"+p.address, t.Bulk)
+	bulk := wire.NewPeerProtobufClient("http://"+p.address, t.SnapshotClient)
 	for {
 		select {
 		case <-ctx.Done():
