--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -185,7 +185,7 @@
 func (a *App) handler(forward *connector.Client) http.Handler {
 	cluster := authenticator.Ring{authenticator.DigestOf(a.clusterKey): authenticator.Cluster}
 	peer := &responder.Peer{
-		Raft: a.keeper, Cluster: a.clusterID, Leader: a.responder.LeaderAddress, RecordPeer: a.transporter.Heard, RecordContact: a.met.meet,
+		Raft: a.keeper, Cluster: a.clusterID, Leader: a.responder.LeaderAddress, RecordPeer: a.transporter.RecordPeer, RecordContact: a.met.meet,
 		Client: func(address string) wire.Peer { return wire.NewPeerProtobufClient("http://"+address, forward) },
 	}
 	mux := http.NewServeMux()
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -228,7 +228,7 @@
 func (r *Routed) meshHandler() http.Handler {
 	forward := &connector.Client{Timeout: r.Settings.Timing.PeerTimeout, Transport: connector.NewTransport(nil), Forwarded: true}
 	peer := &responder.Peer{
-		Raft: r.keeper, Cluster: r.clusterID, Leader: r.leader, RecordPeer: r.transporter.Heard, RecordContact: r.met.meet,
+		Raft: r.keeper, Cluster: r.clusterID, Leader: r.leader, RecordPeer: r.transporter.RecordPeer, RecordContact: r.met.meet,
 		Client: func(address string) wire.Peer { return wire.NewPeerProtobufClient("http://"+address, forward) },
 	}
 	mux := http.NewServeMux()
--- a/controller/transporter/transporter.go
+++ b/controller/transporter/transporter.go
@@ -49,9 +49,9 @@
 	t.heard = map[string]string{}
 }
 
-// Heard notes where a member sent from that this one's configuration may not name
+// RecordPeer notes where a member sent from that this one's configuration may not name
 // yet, so that it can be answered.
-func (t *Transporter) Heard(m *wire.Member) {
+func (t *Transporter) RecordPeer(m *wire.Member) {
 	if m.GetId() == "" || m.GetAddress() == "" {
 		return
 	}
