--- a/gateway/forwarder/age.go
+++ b/gateway/forwarder/age.go
@@ -11,7 +11,7 @@
 // that a request on a reused one is a first try.
 func (f *Forwarder) backdate(j *job) {
 	j.askedAt = j.req.ReceivedAt
-	if j.about.Patience == 0 {
+	if j.about.ClientTimeout == 0 {
 		return
 	}
 	f.mu.Lock()
@@ -22,10 +22,10 @@
 		f.backdaters[j.route.GetName()] = b
 	}
 	if j.req.Reused {
-		b.Observe(j.about.Patience)
+		b.Observe(j.about.ClientTimeout)
 		return
 	}
-	j.askedAt = j.req.ReceivedAt.Add(-b.Age(j.about.Patience))
+	j.askedAt = j.req.ReceivedAt.Add(-b.Age(j.about.ClientTimeout))
 }
 
 // inTimeUntil is when the caller stops counting an answer as in time.
--- a/gateway/forwarder/arrival.go
+++ b/gateway/forwarder/arrival.go
@@ -42,7 +42,7 @@
 		return true
 	default:
 	}
-	wait := tableWait(f.Clock.Since(f.startedAt), j.about.Patience, int(f.parked.Load()))
+	wait := tableWait(f.Clock.Since(f.startedAt), j.about.ClientTimeout, int(f.parked.Load()))
 	if wait == 0 {
 		return true
 	}
--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -123,8 +123,8 @@
 		j.adapter = j.about.Model
 	}
 	j.until = j.req.ReceivedAt.Add(milliseconds(j.route.GetTimeoutMs()))
-	if j.about.Patience > 0 {
-		j.patience = j.req.ReceivedAt.Add(j.about.Patience)
+	if j.about.ClientTimeout > 0 {
+		j.patience = j.req.ReceivedAt.Add(j.about.ClientTimeout)
 		if j.patience.Before(j.until) {
 			j.until = j.patience
 		}
@@ -208,7 +208,7 @@
 // time left than the route gives, and use all of it.
 func (j *job) fresh() bool {
 	full := milliseconds(j.route.GetTimeoutMs())
-	return j.route.GetRepetition() == wire.Repetition_REPETITION_STREAM && j.about.Patience >= full-full/10
+	return j.route.GetRepetition() == wire.Repetition_REPETITION_STREAM && j.about.ClientTimeout >= full-full/10
 }
 
 // reserve is the part of a request's time until then that is kept for its run.
--- a/gateway/forwarder/story.go
+++ b/gateway/forwarder/story.go
@@ -36,7 +36,7 @@
 	list := []any{
 		"RequestID", j.about.ID, "Took", f.Clock.Since(j.req.ReceivedAt).Milliseconds(),
 		"Waited", j.waited.Milliseconds(), "Sends", j.sends,
-		"Patience", j.about.Patience.Milliseconds(), "SlotAsks", j.slotAsks,
+		"Patience", j.about.ClientTimeout.Milliseconds(), "SlotAsks", j.slotAsks,
 	}
 	if retriedAfter := j.req.ReceivedAt.Sub(j.askedAt); !j.askedAt.IsZero() && retriedAfter > 0 {
 		list = append(list, "RetriedAfter", retriedAfter.Milliseconds())
