--- a/controller/routecoordinator/sync.go
+++ b/controller/routecoordinator/sync.go
@@ -64,7 +64,7 @@
 		c.roster.stale = c.roster.stale || g.membersRevision != req.GetMembersRevision()
 		g.members, g.membersRevision = req.GetMembers(), req.GetMembersRevision()
 	}
-	c.hearLimits(now, req.GetRequestLimits())
+	c.receiveRequestLimits(now, req.GetRequestLimits())
 	c.arbiter.ReceiveReports(now, req.GetRunReports())
 	for _, d := range req.GetDemand() {
 		c.knowledge.RecordRequests(now, d.GetAdapter(), int(d.GetRequests()))
