--- a/controller/arbiter/arbiter.go
+++ b/controller/arbiter/arbiter.go
@@ -1,7 +1,7 @@
-// Package arbiter is a controller's part in keeping requests away from backend servers that
-// end when they run them. All controllers may hear of runs that were lost, so that the next
-// leader goes on where the one before it was; only the leader judges, its verdicts are
-// committed, and it tells the gateways. It belongs to the goroutine that owns the state.
+// Package arbiter is a controller's part in quarantining requests that make backend servers
+// exit. Every controller may receive reports of lost runs, so that the next leader continues
+// from the same evidence. Only the leader decides; its decisions are committed, and it sends
+// them to the gateways. An Arbiter belongs to the goroutine that owns the state.
 package arbiter
 
 import (
@@ -16,59 +16,60 @@
 )
 
 const (
-	// suspectsEvery is the time between two looks at suspects when no report has come: some
-	// are forgotten, and holds come to their end.
-	suspectsEvery = time.Second
-	// revisionsPerTerm is how many lists a leader may make.
+	// suspectsInterval is the time between two checks of suspects without new reports, as some
+	// are dropped and quarantine periods end.
+	suspectsInterval = time.Second
+	// revisionsPerTerm is the maximum number of lists that a leader may build.
 	revisionsPerTerm = 1 << 32
 )
 
-// Arbiter judges for one controller. Set the exported fields, then call Init.
+// Arbiter decides for one controller. Set the exported fields, then call Init.
 type Arbiter struct {
 	Log *slog.Logger
 	// State returns the replicated state.
 	State func() *applier.StateMachine
 	// Propose commits a change in the background.
 	Propose func(cmd *wire.Command)
-	// Gateways returns where all gateways are reached.
+	// Gateways returns the addresses of all gateways.
 	Gateways func() []string
-	// Count counts what is held back and released; nil counts nothing.
+	// Count counts quarantines and releases; nil counts nothing.
 	Count func(change string)
 
-	judge *quarantiner.Quarantiner
-	// known is the state that the judge knows, as of heldRevision. A snapshot brings another.
-	known        *applier.StateMachine
-	heldRevision uint64
-	// dropped is how many that state has let go for want of room.
-	dropped int
-	// list is what gateways are told, by the leader alone. The number of a later list is
-	// higher, also that of a later leader.
+	quarantiner *quarantiner.Quarantiner
+	// syncedState is the state that the quarantiner has, as of syncedRevision. A snapshot
+	// replaces it.
+	syncedState    *applier.StateMachine
+	syncedRevision uint64
+	// evictions counts the requests that syncedState has released for lack of room.
+	evictions int
+	// list is what the leader sends to gateways. A later list has a higher revision, also under
+	// a later leader.
 	list     []*wire.Suspect
 	revision uint64
 	stale    bool
-	madeAt   time.Time
+	listedAt time.Time
 }
 
 // Init prepares the arbiter for use.
-func (a *Arbiter) Init() { a.judge = quarantiner.New() }
+func (a *Arbiter) Init() { a.quarantiner = quarantiner.New() }
 
-// Invalidate lets the list be made anew soon, by a leader that has just begun.
+// Invalidate lets a new leader rebuild the list soon.
 func (a *Arbiter) Invalidate() { a.stale = true }
 
-// toldBy reports whether the list is that of the leader of a term, which may be told.
-func (a *Arbiter) toldBy(term uint64) bool { return term != 0 && a.revision/revisionsPerTerm == term }
+// isListOf reports whether the list is that of the leader of a term, and so may be sent.
+func (a *Arbiter) isListOf(term uint64) bool { return term != 0 && a.revision/revisionsPerTerm == term }
 
-// HasUpdate reports whether a gateway must be told soon that knows a list. That there is none
-// is no news to one that knows none.
+// HasUpdate reports whether a gateway that knows a list must soon get another. An empty list is
+// no update for a gateway that has none.
 func (a *Arbiter) HasUpdate(term, known uint64) bool {
-	return a.toldBy(term) && known < a.revision && (known != 0 || len(a.list) > 0)
+	return a.isListOf(term) && known < a.revision && (known != 0 || len(a.list) > 0)
 }
 
-// SuspectsFor returns the list for a gateway that knows another one, and its number; 0 if there is
-// none of the leader of a term.
+// SuspectsFor returns the list for a gateway that knows another one, and its revision; 0 if the
+// leader of the term has none.
 func (a *Arbiter) SuspectsFor(term, known uint64) ([]*wire.Suspect, uint64) {
 	switch {
-	case !a.toldBy(term):
+	case !a.isListOf(term):
 		return nil, 0
 	case known >= a.revision:
 		return nil, a.revision
@@ -76,66 +77,66 @@
 	return a.list, a.revision
 }
 
-// ReceiveReports takes the reports of a gateway, and those that it passes on.
+// ReceiveReports processes the reports of a gateway, and those that it relays.
 func (a *Arbiter) ReceiveReports(now time.Time, reports []*wire.RunReport) {
 	if len(reports) == 0 {
 		return
 	}
 	for _, r := range reports {
-		a.judge.Observe(now, r)
+		a.quarantiner.Observe(now, r)
 	}
 	a.stale = true
 }
 
-// SyncState lets the judge know what is held in the replicated state.
+// SyncState updates the quarantiner from the replicated state.
 func (a *Arbiter) SyncState(now time.Time) {
 	state := a.State()
-	if state == a.known && state.QuarantineRevision() == a.heldRevision {
+	if state == a.syncedState && state.QuarantineRevision() == a.syncedRevision {
 		return
 	}
-	first := a.known == nil
-	a.countDropped(state)
-	a.known, a.heldRevision = state, state.QuarantineRevision()
+	first := a.syncedState == nil
+	a.countEvictions(state)
+	a.syncedState, a.syncedRevision = state, state.QuarantineRevision()
 	held := state.Quarantined()
-	a.judge.SetHeld(now, held)
+	a.quarantiner.SetHeld(now, held)
 	a.stale = true
 	if !first || len(held) > 0 {
-		a.Log.Info("the requests that are held back have changed", "Held", len(held))
+		a.Log.Info("the quarantined requests have changed", "Held", len(held))
 	}
 }
 
-// countDropped counts the requests that have made room for others.
-func (a *Arbiter) countDropped(state *applier.StateMachine) {
-	if state != a.known {
-		a.dropped = 0
+// countEvictions counts the requests that were released to make room for others.
+func (a *Arbiter) countEvictions(state *applier.StateMachine) {
+	if state != a.syncedState {
+		a.evictions = 0
 	}
-	for ; a.dropped < state.QuarantineEvictions(); a.dropped++ {
+	for ; a.evictions < state.QuarantineEvictions(); a.evictions++ {
 		a.count("MadeRoom")
-		a.Log.Warn("a request is held back no longer: too many are", "Most", applier.MaxQuarantined)
+		a.Log.Warn("a request was released from quarantine: too many are quarantined", "Most", applier.MaxQuarantined)
 	}
 }
 
-// Tick lets time pass.
-func (a *Arbiter) Tick(now time.Time) { a.judge.Tick(now) }
+// Tick advances the time.
+func (a *Arbiter) Tick(now time.Time) { a.quarantiner.Tick(now) }
 
-// LeaderTick judges as the leader of a term, and makes the list for the gateways anew if it may
+// LeaderTick decides as the leader of a term, and rebuilds the list for the gateways if it may
 // have changed.
 func (a *Arbiter) LeaderTick(now time.Time, term uint64) {
-	for _, verdict := range a.judge.Evaluate(now) {
-		a.Log.Warn("a request is held back: backend servers end when they run it", "Fingerprint", verdict.GetFingerprint(),
-			"Service", verdict.GetService(), "Model", verdict.GetModel(), "Place", verdict.GetPlace(), "Caller", verdict.GetCaller(),
-			"Ended", verdict.GetBackends(), "Forgotten", a.judge.Dropped())
+	for _, decision := range a.quarantiner.Evaluate(now) {
+		a.Log.Warn("a request was quarantined: backend servers exit when they run it", "Fingerprint", decision.GetFingerprint(),
+			"Service", decision.GetService(), "Model", decision.GetModel(), "Place", decision.GetPlace(), "Caller", decision.GetCaller(),
+			"Ended", decision.GetBackends(), "Forgotten", a.quarantiner.Dropped())
 		a.count("Held")
-		a.Propose(&wire.Command{Body: &wire.Command_HoldRequest{HoldRequest: verdict}})
+		a.Propose(&wire.Command{Body: &wire.Command_HoldRequest{HoldRequest: decision}})
 	}
-	for _, fingerprint := range a.judge.TakeCleared() {
-		a.Log.Info("a request is held back no longer: a run of it was completed", "Fingerprint", fingerprint)
+	for _, fingerprint := range a.quarantiner.TakeCleared() {
+		a.Log.Info("a request was released from quarantine: a run of it was completed", "Fingerprint", fingerprint)
 		a.count("Cleared")
 		a.Propose(&wire.Command{Body: &wire.Command_ReleaseHeld{
 			ReleaseHeld: &wire.ReleaseHeld{Fingerprint: fingerprint, Reason: "a run was completed"},
 		}})
 	}
-	a.makeList(now, term)
+	a.buildList(now, term)
 }
 
 func (a *Arbiter) count(change string) {
@@ -144,14 +145,14 @@
 	}
 }
 
-func (a *Arbiter) makeList(now time.Time, term uint64) {
-	if !a.stale && now.Sub(a.madeAt) < suspectsEvery {
+func (a *Arbiter) buildList(now time.Time, term uint64) {
+	if !a.stale && now.Sub(a.listedAt) < suspectsInterval {
 		return
 	}
-	a.stale, a.madeAt = false, now
+	a.stale, a.listedAt = false, now
 	list := a.suspects(now)
-	first := !a.toldBy(term)
-	if !first && slices.EqualFunc(list, a.list, sameSuspect) {
+	first := !a.isListOf(term)
+	if !first && slices.EqualFunc(list, a.list, equalSuspects) {
 		return
 	}
 	if first {
@@ -161,12 +162,12 @@
 	a.list = list
 }
 
-// sameSuspect reports whether two entries tell gateways the same to do.
-func sameSuspect(a, b *wire.Suspect) bool {
+// equalSuspects reports whether two entries mean the same for gateways.
+func equalSuspects(a, b *wire.Suspect) bool {
 	return a.GetFingerprint() == b.GetFingerprint() && a.GetHeld() == b.GetHeld() && a.GetTrialAt() == b.GetTrialAt()
 }
 
-// suspects returns what gateways are to know.
+// suspects returns the list for the gateways.
 func (a *Arbiter) suspects(now time.Time) []*wire.Suspect {
 	var list []*wire.Suspect
 	held := map[string]bool{}
@@ -179,7 +180,7 @@
 		}
 		list = append(list, s)
 	}
-	for _, fingerprint := range a.judge.Suspects() {
+	for _, fingerprint := range a.quarantiner.Suspects() {
 		if !held[fingerprint] {
 			list = append(list, &wire.Suspect{Fingerprint: fingerprint})
 		}
@@ -187,8 +188,8 @@
 	return list
 }
 
-// trialAt returns the one gateway that may try again what is asked for at a place, so that
-// there are no two, by whichever fingerprint it is held.
+// trialAt returns the only gateway that may retry requests for a place, so that there is one
+// trial at most, whichever fingerprint they are quarantined by.
 func (a *Arbiter) trialAt(place string) string {
 	addresses := a.Gateways()
 	if len(addresses) == 0 {
