--- a/controller/orderer/orderer.go
+++ b/controller/orderer/orderer.go
@@ -1,5 +1,5 @@
-// Package orderer carries orders to engines: one goroutine for each order, of which
-// the planner allows few at a time.
+// Package orderer sends orders to engines, each in its own goroutine; the planner allows few at
+// a time.
 package orderer
 
 import (
@@ -11,23 +11,24 @@
 	"bronzelead.example/pkg/translator"
 )
 
-// Orderer carries orders. Set the exported fields before use.
+// Orderer sends orders. Set the exported fields before use.
 type Orderer struct {
 	Log *slog.Logger
-	// Orders speaks the engines' protocol.
+	// Orders implements the engines' protocol.
 	Orders *translator.Orders
-	// OrderTimeout bounds an order in time.
+	// OrderTimeout bounds the time of an order.
 	OrderTimeout time.Duration
-	// Leads is asked directly before an order leaves.
+	// Leads is checked directly before an order is sent.
 	Leads func() bool
 }
 
-// SendOrder starts an order and calls done from another goroutine when it has ended.
+// SendOrder sends an order in the background, and calls done from another goroutine with its
+// outcome.
 func (o *Orderer) SendOrder(order planner.Order, done func(planner.Outcome)) {
-	go func() { done(o.carry(order)) }()
+	go func() { done(o.sendOrder(order)) }()
 }
 
-func (o *Orderer) carry(order planner.Order) planner.Outcome {
+func (o *Orderer) sendOrder(order planner.Order) planner.Outcome {
 	if !o.Leads() {
 		return planner.Refused
 	}
