--- a/controller/responder/control.go
+++ b/controller/responder/control.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// Close ends a session that has handed everything back.
+// Close ends a session that has returned everything it held.
 func (r *Responder) Close(ctx context.Context, req *wire.CloseRequest) (*wire.CloseResponse, error) {
 	return serve(ctx, r, req, r.close, func(a string) func(context.Context, *wire.CloseRequest) (*wire.CloseResponse, error) {
 		return r.control(a).Close
@@ -74,7 +74,7 @@
 	return &wire.FinishResponse{Outcome: result.Outcome}, err
 }
 
-// Release gives a claim back whose request did not run.
+// Release releases a claim whose request did not run.
 func (r *Responder) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
 	return serve(ctx, r, req, r.release, func(a string) func(context.Context, *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
 		return r.control(a).Release
@@ -86,7 +86,7 @@
 	return &wire.ReleaseResponse{}, err
 }
 
-// Lookup tells what is known of a key, without claiming it.
+// Lookup returns the claim of a key, without claiming it.
 func (r *Responder) Lookup(ctx context.Context, req *wire.LookupRequest) (*wire.LookupResponse, error) {
 	return serve(ctx, r, req, r.lookup, func(a string) func(context.Context, *wire.LookupRequest) (*wire.LookupResponse, error) {
 		return r.control(a).Lookup
--- a/controller/responder/operator.go
+++ b/controller/responder/operator.go
@@ -80,7 +80,7 @@
 	return &wire.HistoryResponse{Changes: changes}, err
 }
 
-// InForce tells whether a change holds everywhere.
+// InForce reports whether a change is in force everywhere.
 func (r *Responder) InForce(ctx context.Context, req *wire.InForceRequest) (*wire.InForceResponse, error) {
 	return serve(ctx, r, req, r.inForce, func(a string) func(context.Context, *wire.InForceRequest) (*wire.InForceResponse, error) {
 		return r.operator(a).InForce
@@ -91,7 +91,7 @@
 	return r.Coordinator.InForce(ctx, req.GetRevision())
 }
 
-// Status returns what is known of the whole system.
+// Status returns what is known about the whole system.
 func (r *Responder) Status(ctx context.Context, req *wire.StatusRequest) (*wire.StatusResponse, error) {
 	return serve(ctx, r, req, r.status, func(a string) func(context.Context, *wire.StatusRequest) (*wire.StatusResponse, error) {
 		return r.operator(a).Status
@@ -102,7 +102,7 @@
 	return r.Coordinator.Status(ctx)
 }
 
-// Drain lets a backend server get no new work, or takes that back.
+// Drain stops new work for a backend server, or undoes that.
 func (r *Responder) Drain(ctx context.Context, req *wire.DrainRequest) (*wire.DrainResponse, error) {
 	return serve(ctx, r, req, r.drain, func(a string) func(context.Context, *wire.DrainRequest) (*wire.DrainResponse, error) {
 		return r.operator(a).Drain
@@ -119,7 +119,7 @@
 	return &wire.DrainResponse{}, err
 }
 
-// ListHeld returns the requests that are held back, since engines end when they run them.
+// ListHeld returns the quarantined requests, which make engines exit.
 func (r *Responder) ListHeld(ctx context.Context, req *wire.ListHeldRequest) (*wire.ListHeldResponse, error) {
 	return serve(ctx, r, req, r.listHeld, func(a string) func(context.Context, *wire.ListHeldRequest) (*wire.ListHeldResponse, error) {
 		return r.operator(a).ListHeld
@@ -131,7 +131,7 @@
 	return &wire.ListHeldResponse{Held: held}, err
 }
 
-// Unhold lets a request be served again that is held back.
+// Unhold releases a request from quarantine.
 func (r *Responder) Unhold(ctx context.Context, req *wire.ReleaseHeld) (*wire.UnholdResponse, error) {
 	return serve(ctx, r, req, r.unhold, func(a string) func(context.Context, *wire.ReleaseHeld) (*wire.UnholdResponse, error) {
 		return r.operator(a).Unhold
@@ -142,7 +142,7 @@
 	if req.GetFingerprint() == "" {
 		return nil, twirp.RequiredArgumentError("fingerprint")
 	}
-	r.Log.Info("a request is held back no longer", "Fingerprint", req.GetFingerprint(), "Reason", req.GetReason())
+	r.Log.Info("a request was released from quarantine", "Fingerprint", req.GetFingerprint(), "Reason", req.GetReason())
 	_, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_ReleaseHeld{ReleaseHeld: req}})
 	return &wire.UnholdResponse{}, err
 }
@@ -158,7 +158,7 @@
 	return r.admit(ctx, req.GetName(), false)
 }
 
-// RemoveMember takes an instance out of the members.
+// RemoveMember removes an instance from the members.
 func (r *Responder) RemoveMember(ctx context.Context, req *wire.MemberRequest) (*wire.MemberResponse, error) {
 	return serve(ctx, r, req, r.removeMember, func(a string) func(context.Context, *wire.MemberRequest) (*wire.MemberResponse, error) {
 		return r.operator(a).RemoveMember
@@ -198,8 +198,8 @@
 
 func (r *Responder) members(ctx context.Context, _ *wire.MembersRequest) (*wire.MembersResponse, error) {
 	admitted, err := r.Coordinator.AdmittedMembers(ctx)
-	standing := r.Raft.Standing()
+	status := r.Raft.Standing()
 	return &wire.MembersResponse{
-		Configuration: standing.Configuration, Admitted: admitted, Leader: standing.Leader,
+		Configuration: status.Configuration, Admitted: admitted, Leader: status.Leader,
 	}, err
 }
--- a/controller/responder/peer.go
+++ b/controller/responder/peer.go
@@ -18,13 +18,13 @@
 	Client func(address string) wire.Peer
 	// Leader returns the leader's address, or "".
 	Leader func() string
-	// RecordPeer takes note of where a message came from.
+	// RecordPeer records the sender of a message.
 	RecordPeer func(from *wire.Member)
-	// RecordContact takes note of a member of a cluster, while this instance belongs to none.
+	// RecordContact records a member of a cluster, while this instance belongs to none.
 	RecordContact func(from *wire.Member)
 }
 
-// Deliver takes messages of the same cluster.
+// Deliver accepts messages of the same cluster.
 func (p *Peer) Deliver(_ context.Context, req *wire.DeliverRequest) (*wire.DeliverResponse, error) {
 	if req.GetCluster() != p.Cluster() {
 		if p.Cluster() == "" {
@@ -37,7 +37,7 @@
 	return &wire.DeliverResponse{}, nil
 }
 
-// Join notes at the leader that an instance wants to become a member.
+// Join records at the leader that an instance wants to become a member.
 func (p *Peer) Join(ctx context.Context, req *wire.JoinRequest) (*wire.JoinResponse, error) {
 	if p.Raft.Leads() {
 		p.Raft.Join(req.GetMember())
--- a/controller/responder/peer_test.go
+++ b/controller/responder/peer_test.go
@@ -9,8 +9,8 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// A message of a cluster reaches an instance that is not in it. It is refused, and only
-// one that belongs to none takes note of whom it could ask to join.
+// A message of a cluster that an instance is not a member of is refused. Only an instance
+// without a cluster records the sender as a contact through which it can join.
 func TestMessagesOfOtherClusters(t *testing.T) {
 	for name, test := range map[string]struct {
 		own  string
@@ -24,7 +24,7 @@
 			invited := ""
 			p := &Peer{
 				Cluster:       func() string { return test.own },
-				RecordPeer:    func(*wire.Member) { c.Error("it was heard") },
+				RecordPeer:    func(*wire.Member) { c.Error("the sender was recorded") },
 				RecordContact: func(from *wire.Member) { invited = from.GetAddress() },
 			}
 			_, err := p.Deliver(context.Background(), &wire.DeliverRequest{Cluster: "ours", From: &wire.Member{Address: "10.0.0.1:1"}})
--- a/controller/responder/responder.go
+++ b/controller/responder/responder.go
@@ -1,6 +1,6 @@
-// Package responder answers the calls of gateways and operators. An instance that
-// does not lead passes them on to the one that does, so that a caller that is cut
-// off from the leader reaches it through any other controller.
+// Package responder answers the calls of gateways and operators. An instance that does not lead
+// forwards them to the leader, so that a caller partitioned from the leader reaches it through
+// any other controller.
 package responder
 
 import (
@@ -25,7 +25,7 @@
 	Log         *slog.Logger
 	Raft        *raftdriver.Driver
 	Coordinator *coordinator.Coordinator
-	// Peer is the client for passing calls on.
+	// Peer is the client for forwarding calls.
 	Peer *connector.Client
 	// LeaseNs is the length of a session's lease in nanoseconds.
 	LeaseNs int64
@@ -33,7 +33,7 @@
 
 type forwardedKey struct{}
 
-// MarkForwarded notes in the context that a call was passed on already.
+// MarkForwarded records in the context that a call was forwarded.
 func MarkForwarded(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(connector.ForwardedHeader) != "" {
@@ -44,25 +44,25 @@
 	})
 }
 
-// LeaderAddress returns where to pass a call on to, or "".
+// LeaderAddress returns the address to forward a call to, or "".
 func (r *Responder) LeaderAddress() string {
-	standing := r.Raft.Standing()
-	for _, m := range standing.Configuration.GetVoters() {
-		if m.GetId() == standing.Leader {
+	status := r.Raft.Standing()
+	for _, m := range status.Configuration.GetVoters() {
+		if m.GetId() == status.Leader {
 			return m.GetAddress()
 		}
 	}
 	return ""
 }
 
-// serve answers a call here if this instance leads, else at the leader.
+// serve handles a call locally if this instance leads, otherwise at the leader.
 func serve[Q, A any](
 	ctx context.Context, r *Responder, req *Q,
-	here func(context.Context, *Q) (*A, error),
-	there func(address string) func(context.Context, *Q) (*A, error),
+	local func(context.Context, *Q) (*A, error),
+	remote func(address string) func(context.Context, *Q) (*A, error),
 ) (*A, error) {
 	if r.Raft.Leads() {
-		res, err := here(ctx, req)
+		res, err := local(ctx, req)
 		if !errors.Is(err, raftdriver.ErrNotLeader) {
 			return res, twirpError(err)
 		}
@@ -71,7 +71,7 @@
 	if ctx.Value(forwardedKey{}) != nil || address == "" {
 		return nil, twirpError(raftdriver.ErrNotLeader)
 	}
-	return there(address)(ctx, req)
+	return remote(address)(ctx, req)
 }
 
 func (r *Responder) control(address string) wire.Control {
@@ -82,7 +82,7 @@
 	return wire.NewOperatorProtobufClient("http://"+address, r.Peer)
 }
 
-// twirpError gives an error the code that tells a caller what to do.
+// twirpError gives an error the code by which a caller decides what to do.
 func twirpError(err error) error {
 	var known twirp.Error
 	switch {
