--- a/controller/transporter/transporter.go
+++ b/controller/transporter/transporter.go
@@ -1,6 +1,6 @@
-// Package transporter carries messages between controllers: one goroutine and one
-// bounded ring for each other member. A full ring drops messages, as a network
-// would; the replicator sends them again.
+// Package transporter sends messages between controllers, with one goroutine and one bounded
+// queue for each other member. A full queue drops messages, as a network would; the replicator
+// sends them again.
 package transporter
 
 import (
@@ -15,41 +15,41 @@
 )
 
 const (
-	ringSize = 256
-	maxBatch = 64
+	queueSize = 256
+	maxBatch  = 64
 )
 
 // Transporter sends messages. Set the exported fields before use.
 type Transporter struct {
 	Log    *slog.Logger
 	Client *connector.Client
-	// SnapshotClient is the client for snapshots, which take longer.
+	// SnapshotClient sends snapshots, which take longer.
 	SnapshotClient *connector.Client
 	// Cluster returns the cluster that this instance belongs to.
 	Cluster func() string
-	// Self is this member, as it tells others.
+	// Self is this member, as it is sent to others.
 	Self *wire.Member
 
-	mu    sync.Mutex
-	peers map[string]*peer
-	heard map[string]string
-	ctx   context.Context
+	mu      sync.Mutex
+	peers   map[string]*peer
+	senders map[string]string
+	ctx     context.Context
 }
 
 type peer struct {
 	address string
-	ring    chan *wire.Message
+	queue   chan *wire.Message
 	cancel  context.CancelFunc
 }
 
-// Start lets the transporter work until ctx ends.
+// Start runs the transporter until ctx ends.
 func (t *Transporter) Start(ctx context.Context) {
 	t.ctx = ctx
 	t.peers = map[string]*peer{}
-	t.heard = map[string]string{}
+	t.senders = map[string]string{}
 }
 
-// RecordPeer notes where a member sent from that this one's configuration may not name
+// RecordPeer records the address of a member that the configuration of this one may not include
 // yet, so that it can be answered.
 func (t *Transporter) RecordPeer(m *wire.Member) {
 	if m.GetId() == "" || m.GetAddress() == "" {
@@ -57,10 +57,10 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.heard[m.GetId()] = m.GetAddress()
+	t.senders[m.GetId()] = m.GetAddress()
 }
 
-// Send passes messages on to the members of a configuration. It does not block.
+// Send queues messages for the members of a configuration. It does not block.
 func (t *Transporter) Send(config *wire.Configuration, messages []*wire.Message) {
 	if len(messages) == 0 {
 		return
@@ -74,15 +74,15 @@
 			continue
 		}
 		select {
-		case p.ring <- m:
+		case p.queue <- m:
 		default:
 		}
 	}
 }
 
-// update keeps a peer for each member, at its present address.
+// update keeps a peer for each member, at its current address.
 func (t *Transporter) update(config *wire.Configuration) {
-	addresses := maps.Clone(t.heard)
+	addresses := maps.Clone(t.senders)
 	for _, m := range config.GetVoters() {
 		addresses[m.GetId()] = m.GetAddress()
 	}
@@ -104,7 +104,7 @@
 
 func (t *Transporter) connect(address string) *peer {
 	ctx, cancel := context.WithCancel(t.ctx)
-	p := &peer{address: address, ring: make(chan *wire.Message, ringSize), cancel: cancel}
+	p := &peer{address: address, queue: make(chan *wire.Message, queueSize), cancel: cancel}
 	go t.run(ctx, p)
 	return p
 }
@@ -116,8 +116,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case m := <-p.ring:
-			batch := p.more([]*wire.Message{m})
+		case m := <-p.queue:
+			batch := p.fillBatch([]*wire.Message{m})
 			deliver := client.Deliver
 			if hasSnapshot(batch) {
 				deliver = bulk.Deliver
@@ -130,11 +130,11 @@
 	}
 }
 
-// more adds what else waits.
-func (p *peer) more(batch []*wire.Message) []*wire.Message {
+// fillBatch adds the messages that are queued already.
+func (p *peer) fillBatch(batch []*wire.Message) []*wire.Message {
 	for len(batch) < maxBatch {
 		select {
-		case m := <-p.ring:
+		case m := <-p.queue:
 			batch = append(batch, m)
 		default:
 			return batch
