--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -34,12 +34,12 @@
 )
 
 const (
-	itemRing     = 1024
-	stopWithin   = 5 * time.Second
-	transferPoll = 20 * time.Millisecond
+	commitQueue          = 1024
+	stopTimeout          = 5 * time.Second
+	transferPollInterval = 20 * time.Millisecond
 	// A message between controllers may hold a whole snapshot.
 	maxMessage = 1 << 30
-	// A snapshot is sent again after ten election timeouts, so it has that long.
+	// A snapshot is resent after ten election timeouts, which bounds the time to send it.
 	snapshotTimeout = 6 * time.Second
 )
 
@@ -50,12 +50,12 @@
 	Log      *slog.Logger
 
 	cluster atomic.Pointer[string]
-	// met are members that this instance heard of before it belonged to a cluster.
-	met         acquaintances
+	// contacts are members that sent messages before this instance belonged to a cluster.
+	contacts    contacts
 	clusterKey  string
 	operators   authenticator.Ring
 	storer      *storer.Storer
-	keeper      *raftdriver.Driver
+	driver      *raftdriver.Driver
 	coordinator *coordinator.Coordinator
 	transporter *transporter.Transporter
 	responder   *responder.Responder
@@ -64,7 +64,7 @@
 	meter       *meter.Meter
 }
 
-// NewLog returns the log that the settings ask for.
+// NewLog returns a logger with the level of the settings.
 func NewLog(s *Settings) *slog.Logger {
 	var level slog.Level
 	// The settings were checked; the zero level is Info.
@@ -73,8 +73,8 @@
 	return log
 }
 
-// Run works until ctx ends, and then hands leadership over before it stops. An error
-// means that the disk or the settings don't allow to go on.
+// Run works until ctx ends, then hands over leadership and stops. An error means that the
+// controller can't run with its disk or settings.
 func (a *App) Run(ctx context.Context) error {
 	if err := a.readKeys(); err != nil {
 		return err
@@ -92,10 +92,10 @@
 	a.transporter.Start(background)
 	failed := make(chan error, 1)
 	go a.coordinator.Run(background)
-	go func() { failed <- a.keeper.Run(background) }()
+	go func() { failed <- a.driver.Run(background) }()
 	joining := &joiner{
-		clock: a.Clock, log: a.Log, peers: a.peers, self: a.member(id), keeper: a.keeper, storer: a.storer,
-		cluster: &a.cluster, addresses: func() []string { return slices.Concat(a.Settings.Members.Addresses, a.met.list()) },
+		clock: a.Clock, log: a.Log, peers: a.peers, self: a.member(id), driver: a.driver, storer: a.storer,
+		cluster: &a.cluster, addresses: func() []string { return slices.Concat(a.Settings.Members.Addresses, a.contacts.list()) },
 	}
 	go joining.run(background)
 	if err := a.server.Start(); err != nil {
@@ -123,45 +123,45 @@
 	return nil
 }
 
-// newMemberID names a member: the instance, and the incarnation of its disk.
+// newMemberID returns an id for an instance and a new incarnation of its disk.
 func newMemberID(instance string) string { return instance + "/" + rand.Text() }
 
 func (a *App) build(contents *storer.Contents, id string) {
 	s := a.Settings
 	a.meter = meter.New("controller", s.Instance.Name, s.Instance.Zone)
-	items := make(chan raftdriver.CommittedBatch, itemRing)
+	commits := make(chan raftdriver.CommittedBatch, commitQueue)
 	a.peers = &connector.Client{
 		Timeout: s.Timing.PeerTimeout, Key: a.clusterKey, Transport: connector.NewTransport(nil),
 	}
 	forward := &connector.Client{
 		Timeout: s.Timing.PeerTimeout, Key: a.clusterKey, Transport: connector.NewTransport(nil), Forwarded: true,
 	}
-	a.transporter = &transporter.Transporter{Log: a.Log, Client: a.peers, SnapshotClient: a.bulk(), Cluster: a.clusterID, Self: a.member(id)}
+	a.transporter = &transporter.Transporter{Log: a.Log, Client: a.peers, SnapshotClient: a.snapshotClient(), Cluster: a.clusterID, Self: a.member(id)}
 	a.coordinator = &coordinator.Coordinator{
-		Clock: a.Clock, Log: a.Log, Commits: items, Policy: a.policy(), Lease: s.Timing.SessionLease,
+		Clock: a.Clock, Log: a.Log, Commits: commits, Policy: a.policy(), Lease: s.Timing.SessionLease,
 		MaxRequestDuration: s.Timing.LongestRequest, SnapshotInterval: uint64(s.Data.SnapshotEvery),
 		ObserveBatchFill: a.meter.BatchFill, ObserveInForce: func(d time.Duration) { a.meter.Took("in_force", d) },
 	}
-	a.keeper = &raftdriver.Driver{
-		Clock: a.Clock, Log: a.Log, Storer: a.storer, Send: a.transporter.Send, Commits: items,
+	a.driver = &raftdriver.Driver{
+		Clock: a.Clock, Log: a.Log, Storer: a.storer, Send: a.transporter.Send, Commits: commits,
 		Admission: a.coordinator.Admission,
 		Replicator: &replicator.Replicator{
 			ID: id, Heartbeat: s.Timing.Heartbeat, ElectionTimeout: s.Timing.ElectionTimeout, Random: mathrand.Int64N,
 		},
 	}
-	a.keeper.Init(contents)
-	a.coordinator.Raft = a.keeper
+	a.driver.Init(contents)
+	a.coordinator.Raft = a.driver
 	a.coordinator.CountQuarantine = func(change string) { a.meter.Count("held_requests", "change", change) }
 	a.coordinator.SendOrder = a.orderer().SendOrder
 	a.coordinator.Init()
 	a.responder = &responder.Responder{
-		Log: a.Log, Raft: a.keeper, Coordinator: a.coordinator, Peer: forward, LeaseNs: int64(s.Timing.SessionLease),
+		Log: a.Log, Raft: a.driver, Coordinator: a.coordinator, Peer: forward, LeaseNs: int64(s.Timing.SessionLease),
 	}
 	a.server = &server.Server{Address: s.Instance.Listen, Handler: a.handler(forward), Log: a.Log, MaxBody: maxMessage}
 }
 
-// bulk returns the client that sends snapshots.
-func (a *App) bulk() *connector.Client {
+// snapshotClient returns the client that sends snapshots.
+func (a *App) snapshotClient() *connector.Client {
 	return &connector.Client{Timeout: snapshotTimeout, Key: a.clusterKey, Transport: connector.NewTransport(nil)}
 }
 
@@ -177,7 +177,7 @@
 func (a *App) orderer() *orderer.Orderer {
 	client := &connector.Client{Timeout: a.Settings.Engines.LongestOrder, Transport: connector.NewTransport(nil)}
 	return &orderer.Orderer{
-		Log: a.Log, OrderTimeout: a.Settings.Engines.LongestOrder, Leads: a.keeper.Leads,
+		Log: a.Log, OrderTimeout: a.Settings.Engines.LongestOrder, Leads: a.driver.Leads,
 		Orders: &translator.Orders{Client: client, WeightsURL: a.Settings.Engines.WeightsURL},
 	}
 }
@@ -185,7 +185,7 @@
 func (a *App) handler(forward *connector.Client) http.Handler {
 	cluster := authenticator.Ring{authenticator.DigestOf(a.clusterKey): authenticator.Cluster}
 	peer := &responder.Peer{
-		Raft: a.keeper, Cluster: a.clusterID, Leader: a.responder.LeaderAddress, RecordPeer: a.transporter.RecordPeer, RecordContact: a.met.meet,
+		Raft: a.driver, Cluster: a.clusterID, Leader: a.responder.LeaderAddress, RecordPeer: a.transporter.RecordPeer, RecordContact: a.contacts.add,
 		Client: func(address string) wire.Peer { return wire.NewPeerProtobufClient("http://"+address, forward) },
 	}
 	mux := http.NewServeMux()
@@ -202,10 +202,10 @@
 
 // ready reports whether the instance knows a leader.
 func (a *App) ready(w http.ResponseWriter, _ *http.Request) {
-	if a.keeper.Standing().Leader == "" {
+	if a.driver.Standing().Leader == "" {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	_, _ = w.Write([]byte(a.keeper.Standing().Role.String() + "\n"))
+	_, _ = w.Write([]byte(a.driver.Standing().Role.String() + "\n"))
 }
 
 func (a *App) clusterID() string { return *a.cluster.Load() }
@@ -215,24 +215,24 @@
 	return &wire.Member{Id: id, Name: s.Instance.Name, Address: s.address(), Zone: s.Instance.Zone}
 }
 
-// stop hands leadership over, so that nobody has to wait for an election.
+// stop hands over leadership first, so that callers need not wait for an election.
 func (a *App) stop() error {
 	a.Log.Info("the controller stops")
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	handOver(ctx, a.Clock, a.keeper)
+	transferLeadership(ctx, a.Clock, a.driver)
 	err := a.server.Stop(ctx)
 	a.Log.Info("the controller has stopped")
 	return errors.Wrap(err, "app")
 }
 
-// handOver lets another controller lead, if this one does.
-func handOver(ctx context.Context, clock clockwork.Clock, k *raftdriver.Driver) {
-	if !k.Leads() {
+// transferLeadership hands leadership over to another controller, if this one leads.
+func transferLeadership(ctx context.Context, clock clockwork.Clock, driver *raftdriver.Driver) {
+	if !driver.Leads() {
 		return
 	}
-	k.Transfer()
-	for k.Standing().Role == replicator.Leader && ctx.Err() == nil {
-		<-clock.After(transferPoll)
+	driver.Transfer()
+	for driver.Standing().Role == replicator.Leader && ctx.Err() == nil {
+		<-clock.After(transferPollInterval)
 	}
 }
--- a/controller/app/carrier.go
+++ b/controller/app/carrier.go
@@ -13,15 +13,15 @@
 	"bronzelead.example/platform"
 )
 
-// orderCarrier carries the placer's orders to engines, each in a goroutine of its own.
-type orderCarrier struct {
+// orderSender sends the placer's orders to engines, each in its own goroutine.
+type orderSender struct {
 	log    *slog.Logger
 	holder string
 	leads  func() bool
 	orders *platform.OrderClient
 }
 
-func (c *orderCarrier) carry(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState)) {
+func (c *orderSender) send(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState)) {
 	go func() {
 		if !c.leads() {
 			done(placer.Refused, nil)
@@ -31,11 +31,11 @@
 			done(c.report(order))
 			return
 		}
-		done(c.give(order, term), nil)
+		done(c.sendOrder(order, term), nil)
 	}()
 }
 
-func (c *orderCarrier) report(order placer.Order) (placer.Outcome, *placer.EngineState) {
+func (c *orderSender) report(order placer.Order) (placer.Outcome, *placer.EngineState) {
 	report, err := c.orders.FetchReport(context.Background(), order.Address, order.Name)
 	if errors.Is(err, platform.ErrWrongIncarnation) {
 		return placer.WrongIncarnation, nil
@@ -48,8 +48,8 @@
 		c.log.Warn("parts of an engine's report can't be read", "Backend", order.Backend, "Entries", report.Skipped)
 	}
 	if report.BornMs > 0 && order.BornMs > 0 && report.BornMs != order.BornMs {
-		// What the new start holds is asked for once it has announced itself.
-		c.log.Info("an engine has started again", "Backend", order.Backend, "BornMs", report.BornMs)
+		// The state of the new incarnation is requested once it has announced itself.
+		c.log.Info("an engine has restarted", "Backend", order.Backend, "BornMs", report.BornMs)
 		return placer.WrongIncarnation, nil
 	}
 	return placer.Completed, &placer.EngineState{
@@ -57,7 +57,7 @@
 	}
 }
 
-func (c *orderCarrier) give(order placer.Order, term uint64) placer.Outcome {
+func (c *orderSender) sendOrder(order placer.Order, term uint64) placer.Outcome {
 	model, adapter, _ := platform.SplitAdapter(order.Adapter)
 	kind := platform.OrderLoad
 	if order.Kind == placer.Unload {
@@ -91,59 +91,60 @@
 	return placer.Unknown
 }
 
-// relays pass announcements on to the other controllers, each through a bounded ring.
-type relays struct {
+// announcementRelay forwards announcements to the other controllers, with a bounded queue for
+// each.
+type announcementRelay struct {
 	ctx    context.Context
 	log    *slog.Logger
 	client *connector.Client
 	self   string
 
-	mu    sync.Mutex
-	rings map[string]chan []*wire.Announcement
+	mu     sync.Mutex
+	queues map[string]chan []*wire.Announcement
 }
 
-// send does not block: a controller that does not answer misses announcements, which
-// come again soon.
-func (r *relays) send(addresses []string, list []*wire.Announcement) {
+// send does not block: a controller that does not answer misses announcements, which are
+// repeated soon.
+func (r *announcementRelay) send(addresses []string, list []*wire.Announcement) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, address := range addresses {
 		if address == r.self {
 			continue
 		}
-		ring := r.rings[address]
-		if ring == nil {
-			ring = make(chan []*wire.Announcement, relayRing)
-			r.rings[address] = ring
-			go r.run(address, ring)
+		queue := r.queues[address]
+		if queue == nil {
+			queue = make(chan []*wire.Announcement, relayQueue)
+			r.queues[address] = queue
+			go r.run(address, queue)
 		}
 		select {
-		case ring <- list:
+		case queue <- list:
 		default:
-			r.log.Debug("an announcement was not passed on", "Controller", address)
+			r.log.Debug("an announcement was dropped: the queue is full", "Controller", address)
 		}
 	}
 }
 
-func (r *relays) run(address string, ring <-chan []*wire.Announcement) {
+func (r *announcementRelay) run(address string, queue <-chan []*wire.Announcement) {
 	client := wire.NewMeshProtobufClient("http://"+address, r.client)
 	for {
 		var list []*wire.Announcement
 		select {
 		case <-r.ctx.Done():
 			return
-		case list = <-ring:
+		case list = <-queue:
 		}
 		for more := true; more; {
 			select {
-			case next := <-ring:
+			case next := <-queue:
 				list = append(list, next...)
 			default:
 				more = false
 			}
 		}
 		if _, err := client.Relay(r.ctx, &wire.RelayRequest{Announcements: list}); err != nil {
-			r.log.Debug("announcements were not passed on", "Controller", address, "Error", err.Error())
+			r.log.Debug("announcements were not relayed", "Controller", address, "Error", err.Error())
 		}
 	}
 }
--- a/controller/app/check_test.go
+++ b/controller/app/check_test.go
@@ -12,10 +12,10 @@
 	"bronzelead.example/pkg/launcher"
 )
 
-// A file for one mode is checked by that mode's settings: all faults, a line each, or that
-// there are none.
+// A file is checked with the settings of its mode. The output has a line for each fault, or one
+// if there are none.
 func TestCheckSettings(t *testing.T) {
-	const right = "[Instance]\nName = n\nZone = z\nIP = 10.0.0.1\nPort = 7400\nControl = 10.0.0.1:80\n" +
+	const valid = "[Instance]\nName = n\nZone = z\nIP = 10.0.0.1\nPort = 7400\nControl = 10.0.0.1:80\n" +
 		"[Data]\nFolder = /tmp/x\n[Members]\nSeeds = 10.0.0.1:80\n"
 	for name, test := range map[string]struct {
 		text  string
@@ -23,9 +23,9 @@
 		code  int
 		lines int
 	}{
-		"routed":                    {right, []string{"--routed"}, launcher.ExitOK, 1},
-		"routed, with two faults":   {right + "[Unknown]\nA = 1\n[Log]\nLevel = Loud\n", []string{"--routed"}, launcher.ExitUsage, 2},
-		"of the other mode instead": {right, nil, launcher.ExitUsage, 2},
+		"routed":                    {valid, []string{"--routed"}, launcher.ExitOK, 1},
+		"routed, with two faults":   {valid + "[Unknown]\nA = 1\n[Log]\nLevel = Loud\n", []string{"--routed"}, launcher.ExitUsage, 2},
+		"of the other mode instead": {valid, nil, launcher.ExitUsage, 2},
 		"of no mode":                {"", []string{"--routed"}, launcher.ExitUsage, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/controller/app/folder.go
+++ b/controller/app/folder.go
@@ -9,18 +9,18 @@
 	"bronzelead.example/pkg/storer"
 )
 
-// folder is an opened data folder.
-type folder struct {
+// openedFolder is a data folder that was opened.
+type openedFolder struct {
 	storer   *storer.Storer
 	contents *storer.Contents
 	id       string
 	cluster  string
 }
 
-// openFolder reads the data folder. A damaged one is set aside: this disk's votes are
-// lost, so the instance joins again under a new incarnation.
-func openFolder(path, instance string, clock clockwork.Clock, log *slog.Logger) (*folder, error) {
-	f := &folder{storer: &storer.Storer{Folder: path}}
+// openFolder reads the data folder. The files of a damaged one are moved aside: the votes on
+// this disk are lost, so the instance joins again as a new incarnation.
+func openFolder(path, instance string, clock clockwork.Clock, log *slog.Logger) (*openedFolder, error) {
+	f := &openedFolder{storer: &storer.Storer{Folder: path}}
 	contents, err := f.storer.Open()
 	if err == nil {
 		_, _, err = f.storer.Identity()
--- a/controller/app/init.go
+++ b/controller/app/init.go
@@ -10,9 +10,9 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Init makes a new cluster whose first member is this instance. The other members
-// join when they run. It refuses a folder that holds anything: a member that lost
-// its disk must join again instead, or there would be two clusters.
+// Init creates a new cluster whose first member is this instance. The other members join when
+// they run. It refuses a folder that holds anything: a member that lost its disk must join
+// again instead, or there would be two clusters.
 func Init(s *Settings) (string, error) {
 	folder := &storer.Storer{Folder: s.Data.Folder}
 	contents, err := folder.Open()
@@ -38,12 +38,12 @@
 		return "", errors.Wrap(err, "app")
 	}
 	cluster := rand.Text()
-	// The identity comes last: without it the folder counts as empty.
+	// The identity is written last: without it the folder counts as empty.
 	return cluster, errors.Wrap(folder.SetIdentity(id, cluster), "app")
 }
 
-// firstSnapshot admits the members that the settings name and gives the only vote to
-// this instance.
+// firstSnapshot admits the members named in the settings and gives the only vote to this
+// instance.
 func firstSnapshot(s *Settings) (*wire.Snapshot, string, error) {
 	state, err := applier.InitialState(s.Members.Names)
 	if err != nil {
--- a/controller/app/joiner.go
+++ b/controller/app/joiner.go
@@ -15,17 +15,17 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// joinEvery is the time between two requests to become a member.
-const joinEvery = 500 * time.Millisecond
+// joinInterval is the time between two requests to become a member.
+const joinInterval = 500 * time.Millisecond
 
-// joiner asks other controllers to let this one take part, as long as it has no vote or
-// knows no leader: one that was replaced while it was away is not told so.
+// joiner requests membership from other controllers while this one has no vote or knows no
+// leader: a member that was replaced while it was away is not notified.
 type joiner struct {
 	clock     clockwork.Clock
 	log       *slog.Logger
 	peers     *connector.Client
 	self      *wire.Member
-	keeper    *raftdriver.Driver
+	driver    *raftdriver.Driver
 	storer    *storer.Storer
 	cluster   *atomic.Pointer[string]
 	addresses func() []string
@@ -35,27 +35,27 @@
 
 func (j *joiner) run(ctx context.Context) {
 	for {
-		if !j.takesPart() {
-			j.ask(ctx)
+		if !j.participates() {
+			j.requestJoin(ctx)
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-j.clock.After(joinEvery):
+		case <-j.clock.After(joinInterval):
 		}
 	}
 }
 
-func (j *joiner) takesPart() bool {
-	standing := j.keeper.Standing()
-	votes := slices.ContainsFunc(standing.Configuration.GetVoters(), func(m *wire.Member) bool {
+func (j *joiner) participates() bool {
+	status := j.driver.Standing()
+	votes := slices.ContainsFunc(status.Configuration.GetVoters(), func(m *wire.Member) bool {
 		return m.GetId() == j.self.GetId()
 	})
-	return votes && standing.Leader != ""
+	return votes && status.Leader != ""
 }
 
-// ask asks one of the others, each time the next.
-func (j *joiner) ask(ctx context.Context) {
+// requestJoin asks one of the other controllers, in turn.
+func (j *joiner) requestJoin(ctx context.Context) {
 	others := slices.DeleteFunc(slices.Clone(j.addresses()), func(a string) bool { return a == j.self.GetAddress() })
 	if len(others) == 0 {
 		return
@@ -63,7 +63,7 @@
 	address := others[j.next%len(others)]
 	res, err := wire.NewPeerProtobufClient("http://"+address, j.peers).Join(ctx, &wire.JoinRequest{Member: j.self})
 	if err != nil {
-		j.log.Debug("no controller let this one join", "Controller", address, "Error", err.Error())
+		j.log.Debug("a request to join failed", "Controller", address, "Error", err.Error())
 		j.next++
 		return
 	}
@@ -71,7 +71,7 @@
 		return
 	}
 	if err := j.storer.SetIdentity(j.self.GetId(), res.GetCluster()); err != nil {
-		j.log.Error("the cluster can't be stored", "Error", err.Error())
+		j.log.Error("the cluster id can't be stored", "Error", err.Error())
 		return
 	}
 	cluster := res.GetCluster()
--- a/controller/app/main.go
+++ b/controller/app/main.go
@@ -102,7 +102,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	// A reload has nothing to do here: seeds are looked at only when no member is known.
+	// A reload has no effect here: seeds are used only while no member is known.
 	signal.Ignore(syscall.SIGHUP)
 	var level slog.Level
 	// The settings were checked; the zero level is Info.
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -34,15 +34,15 @@
 	// silentAnnouncements is the number of announcements that may be missing before a
 	// backend server counts as silent.
 	silentAnnouncements = 3
-	// idleAnnouncements is the number of announcements for which a backend server's connection is
-	// kept without one. One that goes on to another controller leaves its connection behind:
-	// thousands of these use up a controller's file descriptors, and nobody reaches it any more.
+	// idleAnnouncements is the number of announcement intervals for which an idle connection of
+	// a backend server is kept. One that switches to another controller leaves its connection
+	// behind: thousands of these use up a controller's file descriptors and make it unreachable.
 	idleAnnouncements = 3
 	// snapshotBytes bounds the log between two snapshots: a disk holds 128 MB, and a
 	// snapshot is written beside the log that it replaces.
 	snapshotBytes = 16 << 20
-	// relayRing bounds the announcements that wait for a controller that does not answer.
-	relayRing = 256
+	// relayQueue bounds the announcements that wait for a controller that does not answer.
+	relayQueue = 256
 )
 
 // Routed is one controller that keeps a table of routes. Set the exported fields, then
@@ -53,24 +53,24 @@
 	Log      *slog.Logger
 
 	cluster atomic.Pointer[string]
-	// met are members that this instance heard of before it belonged to a cluster.
-	met         acquaintances
+	// contacts are members that sent messages before this instance belonged to a cluster.
+	contacts    contacts
 	id          string
 	storer      *storer.Storer
-	keeper      *raftdriver.Driver
-	curator     *routecoordinator.Coordinator
+	driver      *raftdriver.Driver
+	coordinator *routecoordinator.Coordinator
 	transporter *transporter.Transporter
 	mesh        *routecoordinator.Mesh
 	peers       *connector.Client
-	relays      *relays
+	relay       *announcementRelay
 	servers     []*server.Server
 	meter       *meter.Meter
 }
 
-// Run works until ctx ends, and then hands leadership over before it stops.
+// Run works until ctx ends, then hands over leadership and stops.
 func (r *Routed) Run(ctx context.Context) error {
 	s := r.Settings
-	if err := r.found(); err != nil {
+	if err := r.bootstrap(); err != nil {
 		return err
 	}
 	opened, err := openFolder(s.Data.Folder, s.Instance.IP, r.Clock, r.Log)
@@ -83,15 +83,15 @@
 	defer stop()
 	r.build(background, opened.contents)
 	failed := make(chan error, 1)
-	go r.curator.Run(background)
-	go func() { failed <- r.keeper.Run(background) }()
+	go r.coordinator.Run(background)
+	go func() { failed <- r.driver.Run(background) }()
 	for _, listening := range r.servers {
 		if err := listening.Start(); err != nil {
 			return errors.Wrap(err, "app")
 		}
 	}
 	go r.joiner().run(background)
-	go (&standby{clock: r.Clock, log: r.Log, name: s.Instance.Name, curator: r.curator, leader: r.leader}).run(background)
+	go (&standby{clock: r.Clock, log: r.Log, name: s.Instance.Name, coordinator: r.coordinator, leader: r.leader}).run(background)
 	if off := r.Settings.off(); !off.Empty() {
 		r.Log.Warn("mechanisms are switched off for an experiment", "Off", off.String())
 	}
@@ -104,10 +104,10 @@
 	return r.stop()
 }
 
-// found writes the first snapshot of a new cluster, if this is its first start and the
-// instance is a seed. All seeds write the same one, so that any majority of them can
-// begin.
-func (r *Routed) found() error {
+// bootstrap writes the first snapshot of a new cluster, if this is the first start and the
+// instance is a seed. All seeds write the same one, so that any majority of them can form the
+// cluster.
+func (r *Routed) bootstrap() error {
 	s := r.Settings
 	seeds := s.seedAddresses()
 	if !s.Members.Bootstrap || !slices.Contains(seeds, s.meshAddress(s.Instance.IP)) {
@@ -116,8 +116,9 @@
 	disk := &storer.Storer{Folder: s.Data.Folder}
 	contents, err := disk.Open()
 	if err != nil {
-		// A damaged folder is no new one; it is set aside when it is opened to be used.
-		r.Log.Warn("the data folder can't be read, so nothing is founded", "Error", err.Error())
+		// A damaged folder is not a new one; its files are moved aside when it is opened for
+		// use.
+		r.Log.Warn("the data folder can't be read, so no cluster is bootstrapped", "Error", err.Error())
 		return nil
 	}
 	defer func() { _ = disk.Close() }()
@@ -132,7 +133,7 @@
 	slices.Sort(seeds)
 	snapshot := &wire.Snapshot{Index: 1, Term: 1, State: state, Configuration: &wire.Configuration{}}
 	for _, address := range seeds {
-		snapshot.Configuration.Voters = append(snapshot.Configuration.Voters, founder(address))
+		snapshot.Configuration.Voters = append(snapshot.Configuration.Voters, seedMember(address))
 	}
 	if err := disk.SaveSnapshot(snapshot, nil); err != nil {
 		return errors.Wrap(err, "app")
@@ -140,13 +141,13 @@
 	if err := disk.Append(&wire.HardState{Term: 1}, nil); err != nil {
 		return errors.Wrap(err, "app")
 	}
-	// The identity comes last: without it the folder counts as empty.
-	self := founder(s.meshAddress(s.Instance.IP))
+	// The identity is written last: without it the folder counts as empty.
+	self := seedMember(s.meshAddress(s.Instance.IP))
 	return errors.Wrap(disk.SetIdentity(self.GetId(), strings.Join(seeds, ",")), "app")
 }
 
-// founder returns the member that a seed is at the first start.
-func founder(address string) *wire.Member {
+// seedMember returns the member that a seed is at the first start.
+func seedMember(address string) *wire.Member {
 	host, _, _ := strings.Cut(address, ":")
 	return &wire.Member{Id: host + "/Founder", Name: host, Address: address}
 }
@@ -154,32 +155,32 @@
 func (r *Routed) build(ctx context.Context, contents *storer.Contents) {
 	s := r.Settings
 	r.meter = meter.New("controller", s.Instance.Name, s.Instance.Zone)
-	items := make(chan raftdriver.CommittedBatch, itemRing)
+	commits := make(chan raftdriver.CommittedBatch, commitQueue)
 	transport := connector.NewTransport(nil)
 	r.peers = &connector.Client{Timeout: s.Timing.PeerTimeout, Transport: transport}
-	bulk := &connector.Client{Timeout: snapshotTimeout, Transport: connector.NewTransport(nil)}
+	snapshotClient := &connector.Client{Timeout: snapshotTimeout, Transport: connector.NewTransport(nil)}
 	self := &wire.Member{Id: r.id, Name: s.Instance.IP, Address: s.meshAddress(s.Instance.IP), Zone: s.Instance.Zone}
-	r.transporter = &transporter.Transporter{Log: r.Log, Client: r.peers, SnapshotClient: bulk, Cluster: r.clusterID, Self: self}
+	r.transporter = &transporter.Transporter{Log: r.Log, Client: r.peers, SnapshotClient: snapshotClient, Cluster: r.clusterID, Self: self}
 	r.transporter.Start(ctx)
-	r.keeper = &raftdriver.Driver{
-		Clock: r.Clock, Log: r.Log, Storer: r.storer, Send: r.transporter.Send, Commits: items,
+	r.driver = &raftdriver.Driver{
+		Clock: r.Clock, Log: r.Log, Storer: r.storer, Send: r.transporter.Send, Commits: commits,
 		OpenMembership: true, MaxVoters: s.Members.MaxVoters, SilentAfter: s.Timing.SilentMember,
 		Replicator: &replicator.Replicator{
-			ID: r.id, Heartbeat: s.Timing.Heartbeat, ElectionTimeout: s.Timing.ElectionTimeout, StartupVoteDelay: r.startQuiet(), Random: mathrand.Int64N,
+			ID: r.id, Heartbeat: s.Timing.Heartbeat, ElectionTimeout: s.Timing.ElectionTimeout, StartupVoteDelay: r.startupVoteDelay(), Random: mathrand.Int64N,
 		},
 	}
-	r.keeper.Init(contents)
-	r.relays = &relays{log: r.Log, client: r.peers, self: self.GetAddress(), rings: map[string]chan []*wire.Announcement{}, ctx: ctx}
-	r.curator = &routecoordinator.Coordinator{
-		Clock: r.Clock, Log: r.Log, Raft: r.keeper, Committed: items, SendOrder: r.orders().carry,
-		Relay: func(list []*wire.Announcement) { r.relays.send(r.addresses(), list) }, Controllers: r.addresses,
+	r.driver.Init(contents)
+	r.relay = &announcementRelay{log: r.Log, client: r.peers, self: self.GetAddress(), queues: map[string]chan []*wire.Announcement{}, ctx: ctx}
+	r.coordinator = &routecoordinator.Coordinator{
+		Clock: r.Clock, Log: r.Log, Raft: r.driver, Committed: commits, SendOrder: r.orders().send,
+		Relay: func(list []*wire.Announcement) { r.relay.send(r.addresses(), list) }, Controllers: r.addresses,
 		Limits: quotaallocator.Rule{Window: s.Limits.Window, Overage: s.Limits.Overage, Slack: s.Limits.Slack},
-		Policy: r.policy(), SilentAfter: silentAnnouncements * s.Timing.Announcements, HandoverDelay: s.handOver(),
+		Policy: r.policy(), SilentAfter: silentAnnouncements * s.Timing.Announcements, HandoverDelay: s.handoverDelay(),
 		SnapshotEntries: uint64(s.Data.SnapshotEvery), SnapshotBytes: snapshotBytes,
 	}
-	r.curator.CountHeld = func(change string) { r.meter.Count("held_requests", "change", change) }
-	r.curator.Init()
-	r.mesh = &routecoordinator.Mesh{Coordinator: r.curator, Leader: r.leader, Client: func(address string) wire.Mesh {
+	r.coordinator.CountHeld = func(change string) { r.meter.Count("held_requests", "change", change) }
+	r.coordinator.Init()
+	r.mesh = &routecoordinator.Mesh{Coordinator: r.coordinator, Leader: r.leader, Client: func(address string) wire.Mesh {
 		return wire.NewMeshProtobufClient("http://"+address, &connector.Client{Timeout: operatorTimeout, Transport: transport})
 	}}
 	r.servers = []*server.Server{
@@ -192,22 +193,21 @@
 }
 
 const (
-	// startQuiet is short, since nothing dangerous rests on a leader's lease here: orders
-	// are fenced by its term, or a new leader waits, and reads go through the log. It lets a
-	// leader that is there be heard first, some heartbeats being lost.
-	startQuiet = 50 * time.Millisecond
-	// operatorTimeout is just under the second after which the operator goes on to
-	// another instance.
+	// startupVoteDelay is short, since safety does not depend on a leader's lease here: orders
+	// are fenced by its term, or a new leader waits, and reads go through the log. It allows
+	// for messages of an existing leader to arrive first, some heartbeats being lost.
+	startupVoteDelay = 50 * time.Millisecond
+	// operatorTimeout is just under the second after which the operator tries another instance.
 	operatorTimeout = 950 * time.Millisecond
 )
 
-// startQuiet returns how long after its start a member gives no vote; 0 is the time of an
-// election.
-func (r *Routed) startQuiet() time.Duration {
+// startupVoteDelay returns how long after its start a member grants no vote; 0 stands for the
+// election timeout.
+func (r *Routed) startupVoteDelay() time.Duration {
 	if r.Settings.off().Has(ablator.EarlyElections) {
 		return 0
 	}
-	return startQuiet
+	return startupVoteDelay
 }
 
 func (r *Routed) policy() placer.Policy {
@@ -217,10 +217,10 @@
 	return policy
 }
 
-func (r *Routed) orders() *orderCarrier {
+func (r *Routed) orders() *orderSender {
 	client := &connector.Client{Timeout: r.Settings.Timing.OrderTimeout, Transport: connector.NewTransport(nil)}
-	return &orderCarrier{
-		log: r.Log, holder: r.Settings.Instance.Name, leads: r.keeper.Leads,
+	return &orderSender{
+		log: r.Log, holder: r.Settings.Instance.Name, leads: r.driver.Leads,
 		orders: &platform.OrderClient{Do: client.Do, Timeout: r.Settings.Timing.OrderTimeout},
 	}
 }
@@ -228,13 +228,13 @@
 func (r *Routed) meshHandler() http.Handler {
 	forward := &connector.Client{Timeout: r.Settings.Timing.PeerTimeout, Transport: connector.NewTransport(nil), Forwarded: true}
 	peer := &responder.Peer{
-		Raft: r.keeper, Cluster: r.clusterID, Leader: r.leader, RecordPeer: r.transporter.RecordPeer, RecordContact: r.met.meet,
+		Raft: r.driver, Cluster: r.clusterID, Leader: r.leader, RecordPeer: r.transporter.RecordPeer, RecordContact: r.contacts.add,
 		Client: func(address string) wire.Peer { return wire.NewPeerProtobufClient("http://"+address, forward) },
 	}
 	mux := http.NewServeMux()
 	mux.Handle(wire.PeerPathPrefix, responder.MarkForwarded(wire.NewPeerServer(peer)))
 	mux.Handle(wire.MeshPathPrefix, wire.NewMeshServer(r.mesh))
-	mux.Handle(wire.LimitsPathPrefix, wire.NewLimitsServer(r.curator))
+	mux.Handle(wire.LimitsPathPrefix, wire.NewLimitsServer(r.coordinator))
 	mux.Handle("GET /metrics", r.meter.Handler())
 	return mux
 }
@@ -247,7 +247,7 @@
 			if err != nil {
 				outcome = err.Error()
 			}
-			r.Log.Info("a table was sent", "Version", table.GetVersion(), "Outcome", outcome)
+			r.Log.Info("a table was received", "Version", table.GetVersion(), "Outcome", outcome)
 			var invalid *routecoordinator.InvalidTableError
 			if errors.As(err, &invalid) {
 				return &platform.InvalidError{Reason: invalid.Error()}
@@ -257,7 +257,7 @@
 		ReadTable:           r.mesh.Document,
 		PutVersion:          r.mesh.PutVersion,
 		ReceiveAnnouncement: r.mesh.ReceiveAnnouncement,
-		OnUnreadable:        (&complainer{clock: r.Clock, log: r.Log}).unreadable,
+		OnUnreadable:        (&warner{clock: r.Clock, log: r.Log}).unreadable,
 	}
 }
 
@@ -265,19 +265,19 @@
 
 // leader returns the leader's address, or "".
 func (r *Routed) leader() string {
-	standing := r.keeper.Standing()
-	for _, m := range standing.Configuration.GetVoters() {
-		if m.GetId() == standing.Leader && m.GetId() != r.id {
+	status := r.driver.Standing()
+	for _, m := range status.Configuration.GetVoters() {
+		if m.GetId() == status.Leader && m.GetId() != r.id {
 			return m.GetAddress()
 		}
 	}
 	return ""
 }
 
-// addresses returns where all controllers are reached that are known.
+// addresses returns the addresses of all known controllers.
 func (r *Routed) addresses() []string {
 	list := r.Settings.seedAddresses()
-	config := r.keeper.Standing().Configuration
+	config := r.driver.Standing().Configuration
 	if len(config.GetVoters()) > 0 {
 		list = nil
 	}
@@ -291,22 +291,22 @@
 
 func (r *Routed) joiner() *joiner {
 	return &joiner{
-		clock: r.Clock, log: r.Log, peers: r.peers, keeper: r.keeper, storer: r.storer, cluster: &r.cluster,
+		clock: r.Clock, log: r.Log, peers: r.peers, driver: r.driver, storer: r.storer, cluster: &r.cluster,
 		self: r.transporter.Self,
 		addresses: func() []string {
-			return slices.Concat(r.addresses(), r.Settings.seedAddresses(), r.met.list())
+			return slices.Concat(r.addresses(), r.Settings.seedAddresses(), r.contacts.list())
 		},
 	}
 }
 
 func (r *Routed) stop() error {
 	r.Log.Info("the controller stops")
-	ctx, cancel := context.WithTimeout(context.Background(), stopWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
-	handOver(ctx, r.Clock, r.keeper)
+	transferLeadership(ctx, r.Clock, r.driver)
 	for _, listening := range r.servers {
 		if err := listening.Stop(ctx); err != nil {
-			r.Log.Warn("calls were still being answered", "Error", err.Error())
+			r.Log.Warn("calls were still in progress at the stop", "Error", err.Error())
 		}
 	}
 	r.Log.Info("the controller has stopped")
--- a/controller/app/routed_settings.go
+++ b/controller/app/routed_settings.go
@@ -22,7 +22,7 @@
 	Experiment ablator.Settings
 }
 
-// RoutedInstance says who and where the process is.
+// RoutedInstance identifies the process and its addresses.
 type RoutedInstance struct {
 	Name    string `required:"true" help:"Name of the instance, unlike any other's."`
 	Zone    string `required:"true" help:"Availability zone of the instance."`
@@ -31,14 +31,14 @@
 	Control string `required:"true" help:"IP number and port for operators and backend servers."`
 }
 
-// RoutedMembers says how controllers find each other.
+// RoutedMembers configures how controllers find each other.
 type RoutedMembers struct {
 	Seeds     []string `required:"true" help:"Addresses of controllers; only the IP numbers count, since the port is the same everywhere."`
 	Bootstrap bool     `help:"The whole system starts for the first time: the seeds found the cluster."`
 	MaxVoters int      `help:"Most controllers that vote. Two of five may be lost at once."`
 }
 
-// RoutedTiming bounds how long things take.
+// RoutedTiming holds intervals and timeouts.
 type RoutedTiming struct {
 	Heartbeat       time.Duration `help:"Time between two rounds of a leader's messages."`
 	ElectionTimeout time.Duration `help:"Least time without a leader before an election."`
@@ -58,15 +58,15 @@
 	FillPerCopy float64       `help:"Part of an engine's slots that one adapter's requests may take before it gets another copy."`
 }
 
-// LimitSettings say how exactly customers are kept to their limits: in any Window, no more
-// than (rate * Window + burst) * (1 + Overage) + Slack is sent on for one.
+// LimitSettings configure how exactly customers' limits are enforced: in any Window, at most
+// (rate * Window + burst) * (1 + Overage) + Slack is sent on for a customer.
 type LimitSettings struct {
 	Window  time.Duration `help:"Span over which a customer's limit is judged."`
 	Overage float64       `help:"Part of a limit by which it may be passed in a window, over all gateways. It pays for what gateways have borrowed and not spent."`
 	Slack   float64       `help:"What may be sent on in a window beside that, in the unit of the limit."`
 }
 
-// RoutedDefaults returns the settings of a file that names only what is required.
+// RoutedDefaults returns the settings of a file that has only the required ones.
 func RoutedDefaults() *RoutedSettings {
 	policy := placer.DefaultPolicy()
 	return &RoutedSettings{
@@ -85,7 +85,7 @@
 	}
 }
 
-// ReadRouted reads a settings file and checks it whole.
+// ReadRouted reads a settings file and returns all its faults.
 func ReadRouted(file string) (*RoutedSettings, []configurer.Fault) {
 	s := RoutedDefaults()
 	faults := configurer.Read(file, s)
@@ -116,12 +116,12 @@
 	return s, faults
 }
 
-// meshAddress returns where the system's own processes reach an instance.
+// meshAddress returns the address of an instance for the system's own processes.
 func (s *RoutedSettings) meshAddress(ip string) string {
 	return net.JoinHostPort(ip, strconv.Itoa(s.Instance.Port))
 }
 
-// seedAddresses returns where the seeds are reached.
+// seedAddresses returns the mesh addresses of the seeds.
 func (s *RoutedSettings) seedAddresses() []string {
 	list := make([]string, 0, len(s.Members.Seeds))
 	for _, seed := range s.Members.Seeds {
@@ -133,16 +133,16 @@
 	return list
 }
 
-// handOver returns how long a new leader gives no orders. Engines that check fencing
-// numbers refuse those of the leader before by themselves.
-func (s *RoutedSettings) handOver() time.Duration {
+// handoverDelay returns how long a new leader sends no orders. Engines that check fencing
+// numbers refuse orders of the previous leader themselves.
+func (s *RoutedSettings) handoverDelay() time.Duration {
 	if s.Placement.Fenced {
 		return 0
 	}
 	return s.Timing.HandOver
 }
 
-// off returns the mechanisms that are switched off; its problems were told by ReadRouted.
+// off returns the mechanisms that are switched off; ReadRouted has reported any faults.
 func (s *RoutedSettings) off() ablator.Off {
 	off, _ := s.Experiment.Parse(ablator.Controller())
 	return off
--- a/controller/app/settings.go
+++ b/controller/app/settings.go
@@ -19,7 +19,7 @@
 	Log      LogSettings
 }
 
-// InstanceSettings say who and where the process is.
+// InstanceSettings identify the process and its addresses.
 type InstanceSettings struct {
 	Name    string `required:"true" help:"Name of the instance, unlike any other's."`
 	Zone    string `required:"true" help:"Availability zone of the instance."`
@@ -27,13 +27,13 @@
 	Address string `help:"IP number and port at which the others reach the instance; Listen if empty."`
 }
 
-// DataSettings say where the state is kept.
+// DataSettings configure where the state is stored.
 type DataSettings struct {
 	Folder        string `required:"true" help:"Folder for the log, the votes and the snapshots."`
 	SnapshotEvery int    `help:"Entries of the log after which it is replaced by a snapshot."`
 }
 
-// MemberSettings say who the controllers are.
+// MemberSettings name the controllers and their addresses.
 type MemberSettings struct {
 	Names     []string `required:"true" help:"Names that are admitted as members when a new cluster is made by init."`
 	Addresses []string `required:"true" help:"IP numbers and ports of controllers that are asked to let this one join."`
@@ -45,7 +45,7 @@
 	OperatorFile string `required:"true" help:"File with a name and a key digest in each line, for operators."`
 }
 
-// TimingSettings bound how long things take.
+// TimingSettings hold intervals and timeouts.
 type TimingSettings struct {
 	Heartbeat       time.Duration `help:"Time between two rounds of a leader's messages."`
 	ElectionTimeout time.Duration `help:"Least time without a leader before an election."`
@@ -54,7 +54,7 @@
 	PeerTimeout     time.Duration `help:"How long one call to another controller may take."`
 }
 
-// EngineSettings bound what is loaded where.
+// EngineSettings bound the loading of adapters.
 type EngineSettings struct {
 	WeightsURL     string        `required:"true" help:"Put before an adapter's name and version for engines to load from."`
 	LoadsPerSecond float64       `help:"Loads a second that the weight store allows."`
@@ -69,7 +69,7 @@
 	MaxBackOff     time.Duration `help:"Longest wait after failed loads."`
 }
 
-// LogSettings say what is logged.
+// LogSettings configure logging.
 type LogSettings struct {
 	Level string `allowed:"Debug,Info,Warn,Error" help:"Least level that is logged."`
 }
@@ -93,7 +93,7 @@
 	}
 }
 
-// Read reads a settings file and checks it whole.
+// Read reads a settings file and returns all its faults.
 func Read(file string) (*Settings, []configurer.Fault) {
 	s := Defaults()
 	faults := configurer.Read(file, s)
@@ -103,7 +103,7 @@
 
 const minTimeoutHeartbeats = 3
 
-// check finds values that are wrong together or need more than a type.
+// check finds values that conflict or need more than a type check.
 func (s *Settings) check(file string) []configurer.Fault {
 	var faults []configurer.Fault
 	fault := func(section, key, problem string) {
@@ -131,7 +131,7 @@
 	return err == nil && net.ParseIP(host) != nil && port != ""
 }
 
-// address is where the others reach the instance.
+// address returns the address at which the others reach the instance.
 func (s *Settings) address() string {
 	if s.Instance.Address != "" {
 		return s.Instance.Address
--- a/controller/app/settings_test.go
+++ b/controller/app/settings_test.go
@@ -14,8 +14,8 @@
 
 const settingsPage = "../../docs/SETTINGS.md"
 
-// TestSettingsPage keeps the page in step with the settings. Run it with -update to
-// write the page's part anew.
+// TestSettingsPage checks that the page matches the settings. Run it with -update to rewrite
+// the program's part.
 func TestSettingsPage(t *testing.T) {
 	c := qt.New(t)
 	want := "## Controller\n" + configurer.Describe(Defaults())
@@ -30,7 +30,7 @@
 
 var _ = flag.Bool("update", false, "write docs/SETTINGS.md anew")
 
-// replacePart puts a program's part in the place of its old one.
+// replacePart replaces a program's part of the page.
 func replacePart(page, part string) string {
 	heading, _, _ := strings.Cut(part, "\n")
 	before, rest, found := strings.Cut(page, heading+"\n")
@@ -44,7 +44,7 @@
 	return before + part
 }
 
-func TestFaultsAreShownAtOnce(t *testing.T) {
+func TestAllFaultsAreReported(t *testing.T) {
 	cases := map[string]struct {
 		text   string
 		faults []string
--- a/controller/app/standby.go
+++ b/controller/app/standby.go
@@ -13,43 +13,43 @@
 )
 
 const (
-	// learnEvery is the time between two questions to the leader what it has learnt: short
-	// against the seconds in which adapters come and go, and a few KB each.
-	learnEvery = 250 * time.Millisecond
-	// learnTimeout bounds one question.
-	learnTimeout = 500 * time.Millisecond
+	// syncInterval is the time between two queries for the leader's learned state: short
+	// compared to the seconds in which adapters are loaded and unloaded. Each takes a few KB.
+	syncInterval = 250 * time.Millisecond
+	// syncTimeout bounds one query.
+	syncTimeout = 500 * time.Millisecond
 )
 
-// standby keeps what the leader has learnt, while this instance does not lead.
+// standby follows the leader's learned state while this instance does not lead.
 type standby struct {
-	clock   clockwork.Clock
-	log     *slog.Logger
-	name    string
-	curator *routecoordinator.Coordinator
+	clock       clockwork.Clock
+	log         *slog.Logger
+	name        string
+	coordinator *routecoordinator.Coordinator
 	// leader returns the leader's address, or "".
 	leader func() string
-	// failed is set while questions go unanswered.
+	// failed is set while queries fail.
 	failed bool
 }
 
 func (s *standby) run(ctx context.Context) {
 	transport := connector.NewTransport(nil)
 	defer transport.CloseIdleConnections()
-	client := &connector.Client{Timeout: learnTimeout, Transport: transport}
+	client := &connector.Client{Timeout: syncTimeout, Transport: transport}
 	for {
 		if leader := s.leader(); leader != "" {
-			s.note(leader, s.learn(ctx, wire.NewMeshProtobufClient("http://"+leader, client)))
+			s.logFailure(leader, s.sync(ctx, wire.NewMeshProtobufClient("http://"+leader, client)))
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.clock.After(learnEvery):
+		case <-s.clock.After(syncInterval):
 		}
 	}
 }
 
-func (s *standby) learn(ctx context.Context, leader wire.Mesh) error {
-	revision, err := s.curator.LeaderHoldingRevision(ctx)
+func (s *standby) sync(ctx context.Context, leader wire.Mesh) error {
+	revision, err := s.coordinator.LeaderHoldingRevision(ctx)
 	if err != nil {
 		return err
 	}
@@ -57,13 +57,13 @@
 	if err != nil {
 		return err
 	}
-	return s.curator.ApplyLeaderState(ctx, res)
+	return s.coordinator.ApplyLeaderState(ctx, res)
 }
 
-// note logs the first of several questions in a row that fail.
-func (s *standby) note(leader string, err error) {
+// logFailure logs the first of several consecutive queries that fail.
+func (s *standby) logFailure(leader string, err error) {
 	if err != nil && !s.failed {
-		s.log.Info("the leader does not tell what it has learnt", "Controller", leader, "Error", err.Error())
+		s.log.Info("the leader did not send its learned state", "Controller", leader, "Error", err.Error())
 	}
 	s.failed = err != nil
 }
