--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -204,7 +204,7 @@
 	c.backends = newBackendList(term)
 	c.pending = nil
 	c.arbiter.Invalidate()
-	c.warm = now.Add(c.Policy.BackendLease)
+	c.warmUpUntil = now.Add(c.Policy.BackendLease)
 	for id, s := range c.state.Sessions() {
 		c.sessions.Open(now, sessionOf(s), true)
 		c.limiter.ExpectReport(sessiontracker.SessionID(id))
@@ -275,9 +275,9 @@
 		c.planner.RemoveSession(id)
 	}
 	c.arbiter.LeaderTick(now, c.term)
-	c.observeChanges(now)
-	c.forgetBackends(now)
-	if now.Before(c.warm) {
+	c.observeAppliedChanges(now)
+	c.expireBackends(now)
+	if now.Before(c.warmUpUntil) {
 		// Engines and leases are still being reported.
 		return
 	}
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -48,8 +48,8 @@
 		c.applyReport(now, id, req, res)
 	}
 	c.arbiter.ReceiveReports(now, req.GetRunReports())
-	c.announce(now, req.GetAnnounced())
-	c.addNews(now, req, res)
+	c.handleAnnouncements(now, req.GetAnnounced())
+	c.addUpdates(now, req, res)
 	return res
 }
 
@@ -92,5 +92,5 @@
 func (c *Coordinator) addUpdates(now time.Time, req *wire.RenewRequest, res *wire.RenewResponse) {
 	res.Contracts = c.state.ChangedSince(req.GetRevision())
 	res.Suspects, res.SuspectsRevision = c.arbiter.SuspectsFor(c.term, req.GetSuspectsRevision())
-	c.backends.addTo(res, req.GetBackendsVersion(), now.Before(c.warm))
+	c.backends.addTo(res, req.GetBackendsVersion(), now.Before(c.warmUpUntil))
 }
