--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -30,12 +30,12 @@
 )
 
 const (
-	idleCheck = 50 * time.Millisecond
-	// Handing the session back is tried for as long as it would live without.
-	handBackWithin = 3 * time.Second
-	// Outcomes of requests are tried to be stored for this long at a stop.
-	storeWithin = 10 * time.Second
-	// probeTimeout bounds the question whether a backend server still listens.
+	idleCheckInterval = 50 * time.Millisecond
+	// Closing the session is tried for as long as it would last without.
+	closeTimeout = 3 * time.Second
+	// Storing the outcomes of requests is tried for this long at a stop.
+	storeTimeout = 10 * time.Second
+	// probeTimeout bounds the probe whether a backend server still listens.
 	probeTimeout = time.Second
 )
 
@@ -62,7 +62,7 @@
 	operators authenticator.Ring
 }
 
-// NewLog returns the log that the settings ask for.
+// NewLog returns a logger with the level of the settings.
 func NewLog(s *Settings) *slog.Logger {
 	var level slog.Level
 	// The settings were checked; the zero level is Info.
@@ -71,8 +71,8 @@
 	return log
 }
 
-// Run serves until ctx ends, and then stops gracefully: unready first, then what
-// runs is finished, then the session is handed back.
+// Run serves until ctx ends, then stops gracefully: it becomes unready, finishes running
+// requests, and closes the session.
 func (a *App) Run(ctx context.Context) error {
 	if err := a.readKeys(); err != nil {
 		return err
@@ -83,17 +83,17 @@
 	go a.scheduler.Run(background)
 	go a.claimer.Run(background)
 	go a.isolator.Run(background)
-	left := make(chan struct{})
+	renewerDone := make(chan struct{})
 	go func() {
 		a.renewer.Run(background)
-		close(left)
+		close(renewerDone)
 	}()
 	if err := a.server.Start(); err != nil {
 		return errors.Wrap(err, "app")
 	}
 	a.Log.Info("the gateway serves", "Address", a.server.Addr())
 	<-ctx.Done()
-	return a.stop(left)
+	return a.stop(renewerDone)
 }
 
 func (a *App) readKeys() error {
@@ -130,7 +130,7 @@
 	if address == "" {
 		address = s.Instance.Listen
 	}
-	a.isolator = &isolator.Isolator{Clock: a.Clock, Log: a.Log, Self: address, ConnectionRefused: refuses}
+	a.isolator = &isolator.Isolator{Clock: a.Clock, Log: a.Log, Self: address, ConnectionRefused: connectionRefused}
 	a.isolator.Init()
 	a.renewer = &renewer.Renewer{
 		Clock: a.Clock, Log: a.Log, Scheduler: a.scheduler, Isolator: a.isolator, Controllers: controllers, Client: client,
@@ -146,8 +146,8 @@
 	a.server = &server.Server{Address: s.Instance.Listen, Handler: a.handler(), Log: a.Log}
 }
 
-// refuses reports whether nothing listens any more at the address of a backend server.
-func refuses(ctx context.Context, _, address string) bool {
+// connectionRefused reports whether nothing listens any more at the address of a backend server.
+func connectionRefused(ctx context.Context, _, address string) bool {
 	dialer := &net.Dialer{Timeout: probeTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
@@ -181,7 +181,7 @@
 	}
 }
 
-// ready reports whether the balancer shall send callers here.
+// ready reports whether the load balancer should send callers here.
 func (a *App) ready() bool {
 	select {
 	case <-a.stopping:
@@ -191,29 +191,29 @@
 	}
 }
 
-func (a *App) stop(left <-chan struct{}) error {
-	a.Log.Info("the gateway stops: it is unready, and finishes what runs")
+func (a *App) stop(renewerDone <-chan struct{}) error {
+	a.Log.Info("the gateway stops: it is unready and finishes running requests")
 	close(a.stopping)
 	a.server.Quiesce()
 	<-a.Clock.After(a.Settings.Requests.StopDelay)
-	// Callers that keep their connections would otherwise hold the stop up for one more
-	// round of their longest requests.
+	// Callers that keep their connections would otherwise delay the stop by another round of
+	// their longest requests.
 	a.scheduler.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), a.Settings.Requests.StopWithin)
 	defer cancel()
 	err := a.server.Stop(ctx)
 	for !a.scheduler.Idle() && ctx.Err() == nil {
-		<-a.Clock.After(idleCheck)
+		<-a.Clock.After(idleCheckInterval)
 	}
-	storing, stopStoring := context.WithTimeout(ctx, storeWithin)
+	storing, stopStoring := context.WithTimeout(ctx, storeTimeout)
 	defer stopStoring()
 	a.claimer.Drain(storing)
 	close(a.leave)
 	select {
-	case <-left:
-	case <-a.Clock.After(handBackWithin):
-		// No controller can be reached. The session ends by itself with its lease.
-		a.Log.Warn("the session was not handed back")
+	case <-renewerDone:
+	case <-a.Clock.After(closeTimeout):
+		// No controller can be reached. The session expires with its lease.
+		a.Log.Warn("the session was not closed")
 	}
 	a.Log.Info("the gateway has stopped")
 	return errors.Wrap(err, "app")
--- a/gateway/app/main.go
+++ b/gateway/app/main.go
@@ -90,7 +90,7 @@
 	defer endLogging()
 	go ring.Run(logging)
 	log := logger.New(ring, level, "gateway", settings.Instance.Name, settings.Instance.Zone)
-	r := &Routed{Settings: settings, File: file, Clock: clockwork.NewRealClock(), Log: log, Reload: reloads(ctx)}
+	r := &Routed{Settings: settings, File: file, Clock: clockwork.NewRealClock(), Log: log, Reload: reloadSignals(ctx)}
 	if err := r.Run(ctx); err != nil {
 		log.Error("the gateway ends", "Error", err.Error())
 		return launcher.ExitFailed
@@ -98,8 +98,8 @@
 	return launcher.ExitOK
 }
 
-// reloads passes on each SIGHUP.
-func reloads(ctx context.Context) <-chan struct{} {
+// reloadSignals returns a channel that receives a value for each SIGHUP.
+func reloadSignals(ctx context.Context) <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	reload := make(chan struct{})
--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -28,14 +28,15 @@
 )
 
 const (
-	// wantRing bounds the requests for adapters that wait to be sent.
-	wantRing = 256
-	// callerShare is the part, as a divisor, of the file descriptors that callers may use.
-	callerShare = 2
-	// memoryShare is the part of the instance's memory, in percent, from which the
+	// adapterRequestQueue bounds the requests for adapters that wait to be sent.
+	adapterRequestQueue = 256
+	// callerFilesDivisor sets the part of the file descriptors that callers may use, as a
+	// divisor.
+	callerFilesDivisor = 2
+	// memoryLimitPercent is the percentage of the instance's memory from which the garbage
 	// collector works harder. Stacks and bytes in sockets come on top.
-	memoryShare = 60
-	// stopMargin is kept at the end of a planned stop, before the process is killed.
+	memoryLimitPercent = 60
+	// stopMargin is reserved at the end of a planned stop, before the process is killed.
 	stopMargin = 500 * time.Millisecond
 )
 
@@ -47,40 +48,40 @@
 	File     string
 	Clock    clockwork.Clock
 	Log      *slog.Logger
-	// Reload asks to read the file again.
+	// Reload triggers reading the file again.
 	Reload <-chan struct{}
 
-	seeds     atomic.Pointer[[]string]
-	stopping  atomic.Bool
-	door      *doorkeeper.Doorkeeper
-	forwarder *forwarder.Forwarder
-	follower  *synchronizer.Synchronizer
-	relayer   *relayer.Relayer
-	regulator *regulator.Regulator
-	granter   *granter.Granter
-	isolator  *isolator.Isolator
-	borrower  *quotaenforcer.Enforcer
-	health    *server.Server
-	mesh      *server.Server
-	meter     *meter.Meter
-	wants     chan []*wire.Want
+	seeds           atomic.Pointer[[]string]
+	stopping        atomic.Bool
+	frontend        *doorkeeper.Doorkeeper
+	forwarder       *forwarder.Forwarder
+	synchronizer    *synchronizer.Synchronizer
+	relayer         *relayer.Relayer
+	regulator       *regulator.Regulator
+	granter         *granter.Granter
+	isolator        *isolator.Isolator
+	enforcer        *quotaenforcer.Enforcer
+	health          *server.Server
+	mesh            *server.Server
+	meter           *meter.Meter
+	adapterRequests chan []*wire.Want
 }
 
 // Run serves until ctx ends, and then stops gracefully.
 func (r *Routed) Run(ctx context.Context) error {
-	debug.SetMemoryLimit(int64(r.Settings.Instance.MemoryMB) * memoryShare / 100 << 20)
+	debug.SetMemoryLimit(int64(r.Settings.Instance.MemoryMB) * memoryLimitPercent / 100 << 20)
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	r.build()
 	go r.forwarder.Run(background)
-	go r.follower.Run(background)
+	go r.synchronizer.Run(background)
 	go r.relayer.Run(background)
 	go r.regulator.Run(background)
 	go r.granter.Run(background)
 	go r.isolator.Run(background)
-	go r.borrower.Run(background)
-	go r.acquire(background)
-	if err := r.door.Start(); err != nil {
+	go r.enforcer.Run(background)
+	go r.sendAdapterRequests(background)
+	if err := r.frontend.Start(); err != nil {
 		return errors.Wrap(err, "app")
 	}
 	for _, listening := range []*server.Server{r.health, r.mesh} {
@@ -91,7 +92,7 @@
 	if off := r.Settings.off(); !off.Empty() {
 		r.Log.Warn("mechanisms are switched off for an experiment", "Off", off.String())
 	}
-	r.Log.Info("the gateway serves", "Address", r.door.Addr(), "Seeds", r.Settings.Controllers.Seeds)
+	r.Log.Info("the gateway serves", "Address", r.frontend.Addr(), "Seeds", r.Settings.Controllers.Seeds)
 	for {
 		select {
 		case <-ctx.Done():
@@ -107,25 +108,25 @@
 	seeds := s.seedAddresses()
 	r.seeds.Store(&seeds)
 	r.meter = meter.New("gateway", s.Instance.Name, s.Instance.Zone)
-	r.wants = make(chan []*wire.Want, wantRing)
+	r.adapterRequests = make(chan []*wire.Want, adapterRequestQueue)
 	r.regulator = &regulator.Regulator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress()}
 	r.regulator.Init()
 	r.granter = &granter.Granter{Clock: r.Clock, Log: r.Log, Meter: r.meter, Self: s.meshAddress(), Ranked: r.regulator.RankedOwners}
 	r.granter.Init()
-	r.isolator = &isolator.Isolator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress(), LeaderAge: r.wordAge}
-	r.borrower = &quotaenforcer.Enforcer{
+	r.isolator = &isolator.Isolator{Clock: r.Clock, Log: r.Log, Self: s.meshAddress(), LeaderAge: r.leaderAge}
+	r.enforcer = &quotaenforcer.Enforcer{
 		Clock: r.Clock, Log: r.Log, Meter: r.meter, Gateway: s.Instance.Name, Address: s.meshAddress(),
-		Upstream: func() string { return r.follower.Leader() }, Term: func() uint64 { return r.follower.Term() },
+		Upstream: func() string { return r.synchronizer.Leader() }, Term: func() uint64 { return r.synchronizer.Term() },
 	}
-	r.borrower.Init()
+	r.enforcer.Init()
 	r.forwarder = &forwarder.Forwarder{
-		Regulator: r.regulator, Granter: r.granter, Isolator: r.isolator, Borrower: r.borrower,
-		Clock: r.Clock, Log: r.Log, Zone: s.Instance.Zone, Meter: r.meter, Acquire: r.want, Off: s.off(),
+		Regulator: r.regulator, Granter: r.granter, Isolator: r.isolator, Borrower: r.enforcer,
+		Clock: r.Clock, Log: r.Log, Zone: s.Instance.Zone, Meter: r.meter, Acquire: r.requestAdapters, Off: s.off(),
 		Budget: forwarder.Budget{Window: s.Budget.Window, Ratio: s.Budget.Ratio, Slack: s.Budget.Slack},
 		Keys:   forwarder.Keys{Strict: s.Keys.Strict, StaleAfter: s.Keys.StaleAfter},
 		Sender: &sender.Sender{
 			Clock: r.Clock, DialTimeout: s.Backends.DialTimeout, MaxIdle: s.Backends.MaxIdle,
-			IdleMargin: s.Backends.IdleMargin, Unacknowledged: s.Backends.Unacknowledged, OwnAnswer: ownAnswer,
+			IdleMargin: s.Backends.IdleMargin, Unacknowledged: s.Backends.Unacknowledged, OwnAnswer: isOwnResponse,
 		},
 	}
 	r.regulator.OnPeerPauses = r.forwarder.HearOfPauses
@@ -133,40 +134,40 @@
 	self := &wire.GatewayEntry{Address: s.meshAddress(), Zone: s.Instance.Zone}
 	r.relayer = &relayer.Relayer{
 		Clock: r.Clock, Log: r.Log, Meter: r.meter, Self: self, Apply: r.forwarder.Apply, Loads: r.forwarder.Loads,
-		AddDemand: r.forwarder.AddDemand, RequestAdapters: r.want, ReceiveRunReports: r.isolator.ReceiveReports,
+		AddDemand: r.forwarder.AddDemand, RequestAdapters: r.requestAdapters, ReceiveRunReports: r.isolator.ReceiveReports,
 		Granter: r.granter,
 	}
 	r.relayer.Init()
 	r.forwarder.NewsAge = r.relayer.LeaderAge
-	r.follower = &synchronizer.Synchronizer{
+	r.synchronizer = &synchronizer.Synchronizer{
 		Clock: r.Clock, Log: r.Log, Gateway: s.Instance.Name, Self: self, Seeds: func() []string { return *r.seeds.Load() },
 		Relayer: r.relayer, Demand: r.forwarder.Demand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
 		Granter: r.granter,
 	}
-	r.door = &doorkeeper.Doorkeeper{
+	r.frontend = &doorkeeper.Doorkeeper{
 		Clock: r.Clock, Log: r.Log, Address: s.Instance.Listen, Handle: r.forwarder.Handle,
 		Screen: r.forwarder.Screen,
-		Limits: r.forwarder.Limits, MaxConnections: s.Instance.MaxFiles / callerShare,
+		Limits: r.forwarder.Limits, MaxConnections: s.Instance.MaxFiles / callerFilesDivisor,
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", r.ready)
 	mux.Handle("GET /metrics", r.meter.Handler())
 	r.health = &server.Server{Address: s.Instance.Health, Handler: mux, Log: r.Log}
-	calls := http.NewServeMux()
-	calls.Handle(wire.MeshPathPrefix, wire.NewMeshServer(r.relayer))
-	calls.Handle(wire.LimitsPathPrefix, wire.NewLimitsServer(r.borrower))
-	calls.Handle(wire.ThrottlingPathPrefix, wire.NewThrottlingServer(&granter.Server{Granter: r.granter}))
-	calls.Handle(wire.PacingPathPrefix, wire.NewPacingServer(&regulator.Server{Regulator: r.regulator}))
-	r.mesh = &server.Server{Address: s.meshAddress(), Handler: calls, Log: r.Log}
+	meshMux := http.NewServeMux()
+	meshMux.Handle(wire.MeshPathPrefix, wire.NewMeshServer(r.relayer))
+	meshMux.Handle(wire.LimitsPathPrefix, wire.NewLimitsServer(r.enforcer))
+	meshMux.Handle(wire.ThrottlingPathPrefix, wire.NewThrottlingServer(&granter.Server{Granter: r.granter}))
+	meshMux.Handle(wire.PacingPathPrefix, wire.NewPacingServer(&regulator.Server{Regulator: r.regulator}))
+	r.mesh = &server.Server{Address: s.meshAddress(), Handler: meshMux, Log: r.Log}
 }
 
-// wordAge returns how old the leader's word is that is known here.
-func (r *Routed) wordAge() time.Duration { return r.relayer.LeaderAge() }
+// leaderAge returns the age of the leader's state that is known here.
+func (r *Routed) leaderAge() time.Duration { return r.relayer.LeaderAge() }
 
-func ownAnswer(head *framer.ResponseHead, requestID string) (bool, time.Duration) {
-	answer := platform.DecodeResponse(head)
-	// An answer without an id may be this request's; whether it is valid is checked later.
-	return answer.RequestID == requestID || answer.RequestID == "", answer.IdleTimeout
+func isOwnResponse(head *framer.ResponseHead, requestID string) (bool, time.Duration) {
+	response := platform.DecodeResponse(head)
+	// A response without an id may be this request's; whether it is valid is checked later.
+	return response.RequestID == requestID || response.RequestID == "", response.IdleTimeout
 }
 
 // ready answers 200 while the instance can serve requests and is not stopping.
@@ -176,64 +177,64 @@
 	}
 }
 
-// want passes a request for adapters on. When too many wait, it is dropped: the
-// balancer asks again.
-func (r *Routed) want(wants []*wire.Want) {
+// requestAdapters queues requests for adapters. If the queue is full, they are dropped: the
+// balancer requests them again.
+func (r *Routed) requestAdapters(requests []*wire.Want) {
 	select {
-	case r.wants <- wants:
+	case r.adapterRequests <- requests:
 	default:
-		r.Log.Warn("requests for adapters were dropped", "Adapters", len(wants))
+		r.Log.Warn("requests for adapters were dropped", "Adapters", len(requests))
 	}
 }
 
-func (r *Routed) acquire(ctx context.Context) {
+func (r *Routed) sendAdapterRequests(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case wants := <-r.wants:
+		case requests := <-r.adapterRequests:
 			for more := true; more; {
 				select {
-				case next := <-r.wants:
-					wants = append(wants, next...)
+				case next := <-r.adapterRequests:
+					requests = append(requests, next...)
 				default:
 					more = false
 				}
 			}
-			r.follower.Acquire(ctx, wants)
+			r.synchronizer.Acquire(ctx, requests)
 		}
 	}
 }
 
-// reload takes over what may change while the process runs: the seeds.
+// reload applies the setting that may change at run time: the seeds.
 func (r *Routed) reload() {
 	settings, faults := ReadRouted(r.File)
 	if len(faults) > 0 {
 		for _, fault := range faults {
-			r.Log.Error("the settings are not taken over", "Fault", fault.String())
+			r.Log.Error("the settings were not reloaded", "Fault", fault.String())
 		}
 		return
 	}
 	seeds := settings.seedAddresses()
 	r.seeds.Store(&seeds)
-	r.Log.Info("the settings were read again", "Seeds", settings.Controllers.Seeds)
+	r.Log.Info("the settings were reloaded", "Seeds", settings.Controllers.Seeds)
 }
 
-// stop says at once that the instance is not ready, goes on serving until the balancer
-// in front has looked elsewhere, and ends what runs.
+// stop reports the instance as not ready immediately, continues to serve until the load
+// balancer in front uses other instances, and then waits for running requests.
 func (r *Routed) stop() error {
 	s := r.Settings.Stop
 	r.Log.Info("the gateway stops")
 	r.stopping.Store(true)
-	r.door.Quiesce()
+	r.frontend.Quiesce()
 	<-r.Clock.After(s.Take)
 	r.forwarder.Close()
 	<-r.Clock.After(s.Drain - s.Take)
 	ctx, cancel := context.WithTimeout(context.Background(), s.Grace-s.Drain-stopMargin)
 	defer cancel()
-	err := r.door.Stop(ctx)
+	err := r.frontend.Stop(ctx)
 	if err != nil {
-		r.Log.Warn("requests were still being answered", "Error", err.Error())
+		r.Log.Warn("requests were still running at the stop", "Error", err.Error())
 	}
 	r.Log.Info("the gateway has stopped")
 	return nil
--- a/gateway/app/routed_settings.go
+++ b/gateway/app/routed_settings.go
@@ -21,18 +21,18 @@
 	Experiment  ablator.Settings
 }
 
-// RoutedInstance says who and where the process is.
+// RoutedInstance identifies the process and its addresses.
 type RoutedInstance struct {
 	Name   string `required:"true" help:"Name of the instance, unlike any other's."`
 	Zone   string `required:"true" help:"Availability zone of the instance."`
 	Listen string `required:"true" help:"IP number and port for callers."`
 	Health string `required:"true" help:"IP number and port at which the instance says whether it is ready, and shows its metrics."`
-	// MaxFiles and MemoryMB are what the instance has.
+	// MaxFiles and MemoryMB are the resources of the instance.
 	MaxFiles int `help:"File descriptors that the process may use; a part is kept for connections to backend servers."`
 	MemoryMB int `help:"Memory that the process may use, in megabytes; the collector works harder when it is nearly used up."`
 }
 
-// RoutedControllers says how controllers are found.
+// RoutedControllers configures how controllers are found.
 type RoutedControllers struct {
 	Seeds []string `required:"true" help:"Addresses of controllers; only the IP numbers count, since the port is the same everywhere."`
 	Port  int      `required:"true" help:"Port at which controllers and gateways serve the system's own processes."`
@@ -46,14 +46,14 @@
 	Unacknowledged time.Duration `help:"How long sent bytes may stay unacknowledged before a connection counts as dead."`
 }
 
-// BudgetSettings bound how many requests are sent again.
+// BudgetSettings bound how many requests are retried.
 type BudgetSettings struct {
 	Window time.Duration `help:"Span over which repeats are counted."`
 	Ratio  float64       `help:"Part of a service's requests that may be sent again."`
 	Slack  float64       `help:"Repeats in a window, over all gateways, beside the ratio."`
 }
 
-// CallerKeySettings say how callers' keys are judged while no leader is heard.
+// CallerKeySettings configure how callers' keys are checked while no leader is in contact.
 type CallerKeySettings struct {
 	Strict     bool          `help:"Whether requests that need a key are refused once no leader has been heard for StaleAfter; otherwise the keys that are known go on to hold."`
 	StaleAfter time.Duration `help:"How long no leader may be heard before keys count as old, where Strict is set."`
@@ -66,7 +66,7 @@
 	Drain time.Duration `help:"How long new connections are still taken after a stop has begun, for the balancer in front to look elsewhere."`
 }
 
-// RoutedDefaults returns the settings of a file that names only what is required.
+// RoutedDefaults returns the settings of a file that has only the required ones.
 func RoutedDefaults() *RoutedSettings {
 	return &RoutedSettings{
 		Instance: RoutedInstance{MaxFiles: 4096, MemoryMB: 256},
@@ -81,7 +81,7 @@
 	}
 }
 
-// ReadRouted reads a settings file and checks it whole.
+// ReadRouted reads a settings file and returns all its faults.
 func ReadRouted(file string) (*RoutedSettings, []configurer.Fault) {
 	s := RoutedDefaults()
 	faults := configurer.Read(file, s)
@@ -107,7 +107,7 @@
 	return s, faults
 }
 
-// seedAddresses returns where the seeds are reached.
+// seedAddresses returns the addresses of the seeds.
 func (s *RoutedSettings) seedAddresses() []string {
 	list := make([]string, 0, len(s.Controllers.Seeds))
 	for _, seed := range s.Controllers.Seeds {
@@ -118,7 +118,7 @@
 	return list
 }
 
-// meshAddress returns where other gateways reach this one.
+// meshAddress returns the address of this gateway for other gateways.
 func (s *RoutedSettings) meshAddress() string {
 	host, _, err := net.SplitHostPort(s.Instance.Listen)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return net.JoinHostPort(host, strconv.Itoa(s.Controllers.Port))
 }
 
-// off returns the mechanisms that are switched off; its problems were told by ReadRouted.
+// off returns the mechanisms that are switched off; ReadRouted has reported any faults.
 func (s *RoutedSettings) off() ablator.Off {
 	off, _ := s.Experiment.Parse(ablator.Gateway())
 	return off
--- a/gateway/app/routed_settings_test.go
+++ b/gateway/app/routed_settings_test.go
@@ -15,14 +15,14 @@
 	return faults
 }
 
-// TestRoutedSettingsPage keeps the page in step with the settings. Run it with -update to
-// write the program's part anew.
+// TestRoutedSettingsPage checks that the page matches the settings. Run it with -update to
+// rewrite the program's part.
 func TestRoutedSettingsPage(t *testing.T) {
 	update := flag.Lookup("update").Value.String() == "true"
 	settingstester.Page(qt.New(t), "../../docs/SETTINGS-ROUTED.md", "## Gateway\n", configurer.Describe(RoutedDefaults()), update)
 }
 
-// The template that the users' platform fills in gives settings without a fault.
+// The template that the users' platform fills in must give settings without a fault.
 func TestTemplate(t *testing.T) {
 	settingstester.Template(qt.New(t), "../../deploy/gateway.ini", map[string]string{
 		"seeds": "10.0.0.1:80,10.0.0.2:80", "listen.front": "10.0.0.1:81", "listen.ready": "10.0.0.1:82",
@@ -30,14 +30,14 @@
 	}, readRoutedFaults)
 }
 
-// Every fault of a file is told, not only the first.
+// All faults of a file are reported, not only the first.
 func TestRoutedFaults(t *testing.T) {
 	const text = "[Instance]\nName = n\nZone = z\nListen = here\n[Log]\nLevel = Loud\n[Unknown]\nKey = 1\n"
 	settingstester.Faults(qt.New(t), text, []string{"here is no IP number", "Level", "Unknown", "Seeds"}, readRoutedFaults)
 }
 
-// A mechanism is switched off only with the word that admits it, and only one that this
-// program has; both faults are told at once.
+// Switching off a mechanism requires the Admit key, and a mechanism that this program has. Both
+// faults are reported together.
 func TestExperimentFaults(t *testing.T) {
 	settingstester.Faults(qt.New(t), "[Experiment]\nOff = Pacing, Homes\n", []string{
 		"Homes\" can't be switched off", "[Experiment] Admit: it must be MeasureOnly",
--- a/gateway/app/settings.go
+++ b/gateway/app/settings.go
@@ -17,7 +17,7 @@
 	Log         LogSettings
 }
 
-// InstanceSettings say who and where the process is.
+// InstanceSettings identify the process and its addresses.
 type InstanceSettings struct {
 	Name    string `required:"true" help:"Name of the instance, unlike any other's."`
 	Zone    string `required:"true" help:"Availability zone of the instance."`
@@ -25,7 +25,7 @@
 	Address string `help:"IP number and port at which operators reach the instance; Listen if empty."`
 }
 
-// ControllerSettings say how the controllers are reached.
+// ControllerSettings configure how the controllers are reached.
 type ControllerSettings struct {
 	Addresses  []string      `required:"true" help:"IP numbers and ports of all controllers, separated by commas."`
 	Timeout    time.Duration `help:"How long one call may take before the next controller is tried."`
@@ -60,7 +60,7 @@
 	IdleLease    time.Duration `help:"How long an unused lease on an adapter is kept."`
 }
 
-// LogSettings say what is logged.
+// LogSettings configure logging.
 type LogSettings struct {
 	Level string `allowed:"Debug,Info,Warn,Error" help:"Least level that is logged."`
 }
@@ -82,7 +82,7 @@
 	}
 }
 
-// Read reads a settings file and checks it whole.
+// Read reads a settings file and returns all its faults.
 func Read(file string) (*Settings, []configurer.Fault) {
 	s := Defaults()
 	faults := configurer.Read(file, s)
@@ -90,7 +90,7 @@
 	return s, faults
 }
 
-// check finds values that are wrong together or need more than a type.
+// check finds values that conflict or need more than a type check.
 func (s *Settings) check(file string) []configurer.Fault {
 	var faults []configurer.Fault
 	fault := func(section, key, problem string) {
--- a/gateway/app/settings_test.go
+++ b/gateway/app/settings_test.go
@@ -15,8 +15,8 @@
 
 var _ = flag.Bool("update", false, "write docs/SETTINGS.md anew")
 
-// TestSettingsPage keeps the page in step with the settings. Run it with -update to
-// write the page's part anew.
+// TestSettingsPage checks that the page matches the settings. Run it with -update to rewrite
+// the program's part.
 func TestSettingsPage(t *testing.T) {
 	c := qt.New(t)
 	want := "## Gateway\n" + configurer.Describe(Defaults())
