--- a/bronzectl/app/contract.go
+++ b/bronzectl/app/contract.go
@@ -29,7 +29,7 @@
 }
 
 // Run applies a contract.
-func (c *applyCommand) Run(s *session) error {
+func (c *applyCommand) Run(s *environment) error {
 	data, err := os.ReadFile(c.File)
 	if err != nil {
 		return errors.Wrap(err, "bronzectl")
@@ -51,7 +51,7 @@
 	return c.report(s, res)
 }
 
-func (c *applyCommand) apply(s *session, contract *wire.Contract) (res *wire.ApplyResponse, err error) {
+func (c *applyCommand) apply(s *environment, contract *wire.Contract) (res *wire.ApplyResponse, err error) {
 	req := &wire.ApplyRequest{ChangeId: c.ChangeID, BaseVersion: contract.GetVersion(), Contract: contract}
 	err = s.call(func(o wire.Operator) error {
 		res, err = o.Apply(s.ctx, req)
@@ -60,7 +60,7 @@
 	return res, err
 }
 
-func (c *applyCommand) report(s *session, res *wire.ApplyResponse) error {
+func (c *applyCommand) report(s *environment, res *wire.ApplyResponse) error {
 	current := res.GetContract()
 	switch {
 	case res.GetReused():
@@ -79,8 +79,8 @@
 	return s.waitInForce(res.GetRevision())
 }
 
-// waitInForce waits until each live session has applied a revision.
-func (s *session) waitInForce(revision uint64) error {
+// waitInForce waits until all live sessions have applied a revision.
+func (s *environment) waitInForce(revision uint64) error {
 	start := s.clock.Now()
 	missing := ""
 	for {
@@ -97,7 +97,7 @@
 			missing = names
 		}
 		if !s.pause(0) {
-			return &exitError{code: exitNotYet, text: "not in force everywhere yet; missing: " + missing}
+			return &exitError{code: exitNotInForce, text: "not in force everywhere yet; missing: " + missing}
 		}
 	}
 }
@@ -115,7 +115,7 @@
 }
 
 // Run shows a contract.
-func (c *getCommand) Run(s *session) error {
+func (c *getCommand) Run(s *environment) error {
 	res := &wire.GetResponse{}
 	err := s.call(func(o wire.Operator) (err error) {
 		res, err = o.Get(s.ctx, &wire.GetRequest{Customer: c.Customer})
@@ -130,7 +130,7 @@
 type listCommand struct{}
 
 // Run lists contracts.
-func (c *listCommand) Run(s *session) error {
+func (c *listCommand) Run(s *environment) error {
 	res := &wire.ListResponse{}
 	err := s.call(func(o wire.Operator) (err error) {
 		res, err = o.List(s.ctx, &wire.ListRequest{})
@@ -152,7 +152,7 @@
 }
 
 // Run shows the changes of a contract.
-func (c *historyCommand) Run(s *session) error {
+func (c *historyCommand) Run(s *environment) error {
 	res := &wire.HistoryResponse{}
 	err := s.call(func(o wire.Operator) (err error) {
 		res, err = o.History(s.ctx, &wire.HistoryRequest{Customer: c.Customer})
--- a/bronzectl/app/held.go
+++ b/bronzectl/app/held.go
@@ -14,8 +14,8 @@
 
 type heldListCommand struct{}
 
-// Run lists what is held back.
-func (c *heldListCommand) Run(s *session) error {
+// Run lists the quarantined requests.
+func (c *heldListCommand) Run(s *environment) error {
 	res := &wire.ListHeldResponse{}
 	err := s.callEither(func(o wire.Operator) (err error) {
 		res, err = o.ListHeld(s.ctx, &wire.ListHeldRequest{})
@@ -48,8 +48,8 @@
 	By          string `required:"" help:"Who releases it, for the logs."`
 }
 
-// Run releases a request.
-func (c *heldReleaseCommand) Run(s *session) error {
+// Run releases a request from quarantine.
+func (c *heldReleaseCommand) Run(s *environment) error {
 	release := &wire.ReleaseHeld{Fingerprint: c.Fingerprint, Reason: "released by " + c.By}
 	err := s.callEither(func(o wire.Operator) error {
 		_, err := o.Unhold(s.ctx, release)
@@ -64,9 +64,9 @@
 	return s.print(release, c.Fingerprint+" is held back no longer")
 }
 
-// callEither makes a call to controllers of the contracts' mode, which ask for a key, or to
-// those of the routed mode, which have none.
-func (s *session) callEither(contracts func(wire.Operator) error, routed func(wire.Mesh) error) error {
+// callEither calls controllers of the contracts' mode, which require a key, or of the routed
+// mode, which have no keys.
+func (s *environment) callEither(contracts func(wire.Operator) error, routed func(wire.Mesh) error) error {
 	if s.key != "" {
 		return s.call(contracts)
 	}
--- a/bronzectl/app/limits.go
+++ b/bronzectl/app/limits.go
@@ -15,8 +15,8 @@
 	Backends bool   `help:"Shows the request limits that backend servers announce."`
 }
 
-// Run shows how the customers' limits stand at the leader, or those of backend servers.
-func (c *limitsCommand) Run(s *session) error {
+// Run shows the status of customers' limits at the leader, or the limits of backend servers.
+func (c *limitsCommand) Run(s *environment) error {
 	res := &wire.ListLimitsResponse{}
 	err := s.controllers.Try(s.ctx, s.pause, func(address string) (err error) {
 		res, err = wire.NewLimitsProtobufClient("http://"+address, s.client).ListLimits(s.ctx, &wire.ListLimitsRequest{})
--- a/bronzectl/app/main.go
+++ b/bronzectl/app/main.go
@@ -18,15 +18,15 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Exit codes beside those of all programs.
+// Exit codes in addition to those of all programs.
 const (
-	exitConflict = 3
-	exitNotYet   = 4
+	exitConflict   = 3
+	exitNotInForce = 4
 )
 
 const (
-	callTimeout = 2 * time.Second
-	pauseFor    = 100 * time.Millisecond
+	callTimeout   = 2 * time.Second
+	retryInterval = 100 * time.Millisecond
 )
 
 type commandLine struct {
@@ -45,8 +45,8 @@
 	Key      keyCommands      `cmd:"" help:"Make keys."`
 }
 
-// session is what a command works with.
-type session struct {
+// environment is what a command runs with.
+type environment struct {
 	ctx         context.Context
 	in          io.Reader
 	out         io.Writer
@@ -57,7 +57,7 @@
 	controllers *connector.Controllers
 }
 
-// exitError ends the program with a certain code.
+// exitError ends the program with the given exit code.
 type exitError struct {
 	code int
 	text string
@@ -81,23 +81,24 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), line.Timeout)
 	defer cancel()
-	s, err := line.session(ctx, stdin, stdout, isRouted(parsed.Command()))
+	s, err := line.newEnvironment(ctx, stdin, stdout, isRouted(parsed.Command()))
 	if err == nil {
 		err = parsed.Run(s)
 	}
 	return exitCode(err, stderr)
 }
 
-// isRouted reports whether controllers of the routed mode serve a command, which ask for no
-// key.
+// isRouted reports whether a command is served by controllers of the routed mode, which require
+// no key.
 func isRouted(command string) bool {
 	return strings.HasPrefix(command, "held ") || strings.HasPrefix(command, "limits")
 }
 
-// session returns what a command works with. Controllers of the routed mode ask for no key.
-func (c *commandLine) session(ctx context.Context, in io.Reader, out io.Writer, routed bool) (*session, error) {
+// newEnvironment returns what a command runs with. Controllers of the routed mode require no
+// key.
+func (c *commandLine) newEnvironment(ctx context.Context, in io.Reader, out io.Writer, routed bool) (*environment, error) {
 	if c.Explain.offline() {
-		return &session{ctx: ctx, in: in, out: out, json: c.Output == "json"}, nil
+		return &environment{ctx: ctx, in: in, out: out, json: c.Output == "json"}, nil
 	}
 	if len(c.Controllers) == 0 || c.KeyFile == "" && !routed {
 		return nil, &exitError{code: launcher.ExitUsage, text: "--controllers and --key-file are required"}
@@ -109,7 +110,7 @@
 			return nil, errors.Wrap(err, "bronzectl")
 		}
 	}
-	return &session{
+	return &environment{
 		ctx: ctx, in: in, out: out, json: c.Output == "json", key: key, clock: clockwork.NewRealClock(),
 		client:      &connector.Client{Timeout: callTimeout, Key: key, Transport: connector.NewTransport(nil)},
 		controllers: &connector.Controllers{Addresses: c.Controllers},
@@ -132,18 +133,18 @@
 	return launcher.ExitFailed
 }
 
-// call tries a call at one controller after the other until it is answered.
-func (s *session) call(f func(wire.Operator) error) error {
+// call tries one controller after the other until one answers.
+func (s *environment) call(f func(wire.Operator) error) error {
 	return s.controllers.Try(s.ctx, s.pause, func(address string) error {
 		return f(wire.NewOperatorProtobufClient("http://"+address, s.client))
 	})
 }
 
-func (s *session) pause(int) bool {
+func (s *environment) pause(int) bool {
 	select {
 	case <-s.ctx.Done():
 		return false
-	case <-s.clock.After(pauseFor):
+	case <-s.clock.After(retryInterval):
 		return true
 	}
 }
--- a/bronzectl/app/story.go
+++ b/bronzectl/app/story.go
@@ -10,11 +10,11 @@
 	"bronzelead.example/pkg/narrator"
 )
 
-// standardInput is the name of a log that is read from standard input.
+// standardInput is the name of a log that stands for standard input.
 const standardInput = "-"
 
-// fromLogs prints the story of a request across the processes whose logs are given.
-func (c *explainCommand) fromLogs(s *session) error {
+// printTrace prints the trace of a request across the processes whose logs are given.
+func (c *explainCommand) printTrace(s *environment) error {
 	var all []narrator.Line
 	for _, name := range c.Log {
 		lines, err := readLog(s, name)
@@ -23,11 +23,11 @@
 		}
 		all = append(all, lines...)
 	}
-	story := narrator.Story(all, c.Request)
-	if len(story) == 0 {
+	trace := narrator.Story(all, c.Request)
+	if len(trace) == 0 {
 		return errors.Errorf("no line of the logs names request %s; of answered requests only a sample is logged", c.Request)
 	}
-	for _, line := range story {
+	for _, line := range trace {
 		if err := printLine(s, line); err != nil {
 			return err
 		}
@@ -35,7 +35,7 @@
 	return nil
 }
 
-func readLog(s *session, name string) ([]narrator.Line, error) {
+func readLog(s *environment, name string) ([]narrator.Line, error) {
 	in := s.in
 	if name != standardInput {
 		file, err := os.Open(name)
@@ -49,7 +49,7 @@
 	return lines, errors.Wrapf(err, "read %s", name)
 }
 
-func printLine(s *session, line narrator.Line) error {
+func printLine(s *environment, line narrator.Line) error {
 	if !s.json {
 		_, err := fmt.Fprintln(s.out, line.String())
 		return errors.Wrap(err, "print")
--- a/bronzectl/app/system.go
+++ b/bronzectl/app/system.go
@@ -17,8 +17,8 @@
 
 type statusCommand struct{}
 
-// Run shows the whole system.
-func (c *statusCommand) Run(s *session) error {
+// Run shows the state of the whole system.
+func (c *statusCommand) Run(s *environment) error {
 	res, err := s.status()
 	if err != nil {
 		return err
@@ -30,7 +30,7 @@
 	return s.print(res, text)
 }
 
-func (s *session) status() (res *wire.StatusResponse, err error) {
+func (s *environment) status() (res *wire.StatusResponse, err error) {
 	err = s.call(func(o wire.Operator) error {
 		res, err = o.Status(s.ctx, &wire.StatusRequest{})
 		return err
@@ -96,17 +96,17 @@
 // offline reports whether the command needs no controllers.
 func (c *explainCommand) offline() bool { return len(c.Log) > 0 }
 
-// Run tells what was decided for a request, from logs or by asking the gateways.
-func (c *explainCommand) Run(s *session) error {
+// Run shows what was decided for a request, from logs or by querying the gateways.
+func (c *explainCommand) Run(s *environment) error {
 	if c.offline() {
-		return c.fromLogs(s)
+		return c.printTrace(s)
 	}
 	status, err := s.status()
 	if err != nil {
 		return err
 	}
 	for _, g := range status.GetSessions() {
-		body, err := s.ask(g.GetAddress(), c.Request)
+		body, err := s.fetchExplanation(g.GetAddress(), c.Request)
 		if err != nil {
 			continue
 		}
@@ -115,7 +115,7 @@
 	return errors.Errorf("no gateway knows request %s", c.Request)
 }
 
-func (s *session) ask(address, request string) ([]byte, error) {
+func (s *environment) fetchExplanation(address, request string) ([]byte, error) {
 	req, err := http.NewRequestWithContext(s.ctx, http.MethodGet, "http://"+address+"/operator/explain/"+request, nil)
 	if err != nil {
 		return nil, errors.Wrap(err, "bronzectl")
@@ -140,7 +140,7 @@
 	}
 }
 
-func (c *explainCommand) print(s *session, gateway string, body []byte) error {
+func (c *explainCommand) print(s *environment, gateway string, body []byte) error {
 	if s.json {
 		_, err := fmt.Fprintln(s.out, string(body))
 		return errors.Wrap(err, "bronzectl")
@@ -166,7 +166,7 @@
 type backendListCommand struct{}
 
 // Run lists backend servers.
-func (c *backendListCommand) Run(s *session) error {
+func (c *backendListCommand) Run(s *environment) error {
 	res, err := s.status()
 	if err != nil {
 		return err
@@ -180,7 +180,7 @@
 }
 
 // Run drains a backend server.
-func (c *drainCommand) Run(s *session) error {
+func (c *drainCommand) Run(s *environment) error {
 	err := s.call(func(o wire.Operator) error {
 		_, err := o.Drain(s.ctx, &wire.DrainRequest{Backend: c.Backend, Undo: c.Undo})
 		return err
@@ -200,7 +200,7 @@
 type memberListCommand struct{}
 
 // Run lists controllers.
-func (c *memberListCommand) Run(s *session) error {
+func (c *memberListCommand) Run(s *environment) error {
 	res := &wire.MembersResponse{}
 	err := s.call(func(o wire.Operator) (err error) {
 		res, err = o.Members(s.ctx, &wire.MembersRequest{})
@@ -217,7 +217,7 @@
 }
 
 // Run admits a controller.
-func (c *memberAddCommand) Run(s *session) error {
+func (c *memberAddCommand) Run(s *environment) error {
 	err := s.call(func(o wire.Operator) error {
 		_, err := o.AddMember(s.ctx, &wire.MemberRequest{Name: c.Name})
 		return err
@@ -233,7 +233,7 @@
 }
 
 // Run removes a controller.
-func (c *memberRemoveCommand) Run(s *session) error {
+func (c *memberRemoveCommand) Run(s *environment) error {
 	err := s.call(func(o wire.Operator) error {
 		_, err := o.RemoveMember(s.ctx, &wire.MemberRequest{Name: c.Name})
 		return err
@@ -251,7 +251,7 @@
 type keyNewCommand struct{}
 
 // Run makes a key.
-func (c *keyNewCommand) Run(s *session) error {
+func (c *keyNewCommand) Run(s *environment) error {
 	key := rand.Text()
 	_, err := fmt.Fprintf(s.out, "key    %s\ndigest %s\n", key, authenticator.DigestOf(key))
 	return errors.Wrap(err, "bronzectl")
--- a/bronzectl/app/table.go
+++ b/bronzectl/app/table.go
@@ -10,8 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// print writes an answer as JSON or as text, as the operator asked.
-func (s *session) print(answer proto.Message, text string) error {
+// print writes an answer in the format that the operator chose, JSON or text.
+func (s *environment) print(answer proto.Message, text string) error {
 	if s.json {
 		data, err := protojson.MarshalOptions{Multiline: true}.Marshal(answer)
 		if err != nil {
