--- a/controller/app/joiner.go
+++ b/controller/app/joiner.go
@@ -54,7 +54,7 @@
 	return votes && status.Leader != ""
 }
 
-// requestJoin asks one of the other controllers, in turn.
+// requestJoin asks one of the other controllers, and after a failure the next one.
 func (j *joiner) requestJoin(ctx context.Context) {
 	others := slices.DeleteFunc(slices.Clone(j.addresses()), func(a string) bool { return a == j.self.GetAddress() })
 	if len(others) == 0 {
