--- a/controller/app/complainer.go
+++ b/controller/app/complainer.go
@@ -9,54 +9,54 @@
 )
 
 const (
-	// complainEvery is the time between two lines on one backend server that says what
+	// warnInterval is the time between two warnings about one backend server whose messages
 	// can't be read: a few of its announcements.
-	complainEvery = 10 * time.Second
-	// maxComplaints bounds the names that are kept apart; beyond it nothing is logged
-	// until the oldest lines are past.
-	maxComplaints = 1000
+	warnInterval = 10 * time.Second
+	// maxWarnedNames bounds the names that are tracked; beyond it nothing is logged until the
+	// oldest entries expire.
+	maxWarnedNames = 1000
 )
 
-// complainer logs what backend servers say that can't be read, a line for each name at a
-// time: one that writes in another format does so several times a second.
-type complainer struct {
+// warner logs unreadable messages of backend servers, at most one per name and interval: a
+// backend server with another format sends several a second.
+type warner struct {
 	clock clockwork.Clock
 	log   *slog.Logger
 
-	mu     sync.Mutex
-	logged map[string]time.Time
+	mu       sync.Mutex
+	warnedAt map[string]time.Time
 }
 
-func (c *complainer) unreadable(name string, err error) {
-	if c.isNew(name) {
-		c.log.Warn("a backend server said what can't be read", "Name", name, "Error", err.Error())
+func (c *warner) unreadable(name string, err error) {
+	if c.isDue(name) {
+		c.log.Warn("a message of a backend server can't be read", "Name", name, "Error", err.Error())
 	}
 }
 
-func (c *complainer) isNew(name string) bool {
+func (c *warner) isDue(name string) bool {
 	now := c.clock.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.logged == nil {
-		c.logged = map[string]time.Time{}
+	if c.warnedAt == nil {
+		c.warnedAt = map[string]time.Time{}
 	}
-	if at, ok := c.logged[name]; ok && now.Sub(at) < complainEvery {
+	if at, ok := c.warnedAt[name]; ok && now.Sub(at) < warnInterval {
 		return false
 	}
-	if len(c.logged) >= maxComplaints {
-		c.forget(now)
+	if len(c.warnedAt) >= maxWarnedNames {
+		c.prune(now)
 	}
-	if len(c.logged) >= maxComplaints {
+	if len(c.warnedAt) >= maxWarnedNames {
 		return false
 	}
-	c.logged[name] = now
+	c.warnedAt[name] = now
 	return true
 }
 
-func (c *complainer) forget(now time.Time) {
-	for name, at := range c.logged {
-		if now.Sub(at) >= complainEvery {
-			delete(c.logged, name)
+func (c *warner) prune(now time.Time) {
+	for name, at := range c.warnedAt {
+		if now.Sub(at) >= warnInterval {
+			delete(c.warnedAt, name)
 		}
 	}
 }
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -140,7 +140,7 @@
 			a.Reply(result)
 		}
 	}
-	c.arbiter.TakeState(c.Clock.Now())
+	c.arbiter.SyncState(c.Clock.Now())
 	c.admitted.Store(&raftdriver.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
 	if c.state.Applied() >= c.snapshotIndex+c.SnapshotInterval {
 		c.compact()
@@ -203,7 +203,7 @@
 	c.services = map[string]*service{}
 	c.backends = newBackendList(term)
 	c.pending = nil
-	c.arbiter.Begin()
+	c.arbiter.Invalidate()
 	c.warmUpUntil = now.Add(c.Policy.BackendLease)
 	for id, s := range c.state.Sessions() {
 		c.sessions.Open(now, sessionOf(s), true)
@@ -274,7 +274,7 @@
 		c.limiter.Forget(id)
 		c.planner.RemoveSession(id)
 	}
-	c.arbiter.Lead(now, c.term)
+	c.arbiter.LeaderTick(now, c.term)
 	c.observeAppliedChanges(now)
 	c.expireBackends(now)
 	if now.Before(c.warmUpUntil) {
--- a/controller/routecoordinator/routecoordinator.go
+++ b/controller/routecoordinator/routecoordinator.go
@@ -211,7 +211,7 @@
 		}
 	}
 	c.versionsChanged()
-	c.arbiter.TakeState(c.Clock.Now())
+	c.arbiter.SyncState(c.Clock.Now())
 	if c.state.Applied() >= c.snapshot+c.SnapshotEntries || c.logBytes > c.SnapshotBytes {
 		c.compact()
 	}
@@ -286,7 +286,7 @@
 	}
 	c.arbiter.Tick(now)
 	if c.leads(now) {
-		c.arbiter.Lead(now, c.term)
+		c.arbiter.LeaderTick(now, c.term)
 	}
 	c.pruneGateways(now)
 	c.pruneRequestLimits(now)
@@ -319,7 +319,7 @@
 	c.placer = placer.NewWith(c.knowledge)
 	c.placer.Begin(term)
 	c.holdings.Reset(c.placer.Revision())
-	c.arbiter.Begin()
+	c.arbiter.Invalidate()
 	c.placer.SetTable(c.state.Table().GetTable())
 	c.allocator = &quotaallocator.Allocator{Rule: c.Limits, KnownGateways: c.knownGateways(now)}
 	c.allocator.Begin(now, term, c.state.Table().GetTable().GetCustomers())
--- a/controller/routecoordinator/sync.go
+++ b/controller/routecoordinator/sync.go
@@ -65,7 +65,7 @@
 		g.members, g.membersRevision = req.GetMembers(), req.GetMembersRevision()
 	}
 	c.receiveRequestLimits(now, req.GetRequestLimits())
-	c.arbiter.Hear(now, req.GetRunReports())
+	c.arbiter.ReceiveReports(now, req.GetRunReports())
 	for _, d := range req.GetDemand() {
 		c.knowledge.RecordRequests(now, d.GetAdapter(), int(d.GetRequests()))
 	}
@@ -159,7 +159,7 @@
 		req.GetVersionRevision() != c.versions ||
 		req.GetTableVersion() < c.table().GetVersion() ||
 		req.GetRequestLimitsRevision() != c.requestLimits.Revision() ||
-		c.arbiter.HasNews(c.term, req.GetSuspectsRevision())
+		c.arbiter.HasUpdate(c.term, req.GetSuspectsRevision())
 }
 
 // table returns the table that may be sent to gateways, or nil.
@@ -202,7 +202,7 @@
 	}
 	c.addRequestLimits(now, req, res)
 	if res.GetLeads() {
-		res.Suspects, res.SuspectsRevision = c.arbiter.Tell(c.term, req.GetSuspectsRevision())
+		res.Suspects, res.SuspectsRevision = c.arbiter.SuspectsFor(c.term, req.GetSuspectsRevision())
 	}
 	g := c.gateways[req.GetGateway()]
 	if g != nil {
--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -69,7 +69,7 @@
 
 // take handles the answer to a try, and reports whether the request is to be tried again.
 func (f *Forwarder) take(ctx context.Context, j *job, d balancer.Decision, in *sender.Incoming) bool {
-	answer := platform.DecodeAnswer(in.Head)
+	answer := platform.DecodeResponse(in.Head)
 	f.observeLimit(j, in.Head.Status, answer)
 	switch {
 	case answer.NotRun:
@@ -106,10 +106,10 @@
 
 func (f *Forwarder) outgoing(j *job, d balancer.Decision) *sender.Outgoing {
 	dispatch := platform.Dispatch{
-		Name: d.Backend.GetName(), AdapterVersion: d.Version, Urgency: -1, Resumes: j.resume, Customer: j.customer.GetName(),
+		Name: d.Backend.GetName(), AdapterVersion: d.Version, Urgency: -1, ResumeAfter: j.resume, Customer: j.customer.GetName(),
 	}
 	if !j.patience.IsZero() {
-		dispatch.Left = j.until.Sub(f.Clock.Now())
+		dispatch.Remaining = j.until.Sub(f.Clock.Now())
 	}
 	if j.adapter != "" && !f.Off.Has(ablator.PriorityOrder) {
 		dispatch.Urgency = min(int(j.urgency()), leastUrgent)
@@ -279,7 +279,7 @@
 
 // relayWhole passes on an answer that is not a stream.
 func (f *Forwarder) relayWhole(ctx context.Context, j *job, backend *wire.Announcement, in *sender.Incoming) bool {
-	header := platform.EncodeAnswer(in.Head.Header)
+	header := platform.EncodeResponse(in.Head.Header)
 	body, err := io.ReadAll(io.LimitReader(in.Body, maxWhole))
 	if err == nil && !in.Body.Complete() {
 		return f.relayLong(j, backend, in, header, body)
--- a/gateway/forwarder/forwarder_test.go
+++ b/gateway/forwarder/forwarder_test.go
@@ -23,7 +23,7 @@
 	g := call(c, gateway(c, b), "/once/x%2Fy?q=1", "X-Own: kept", "Connection: X-Hop", "X-Hop: dropped")
 	c.Check(g.status, qt.Equals, http.StatusOK)
 	c.Check(g.body, qt.Equals, "the body")
-	received := platform.DecodeAnswer(&framer.ResponseHead{Status: g.status, Header: fields(g.header)})
+	received := platform.DecodeResponse(&framer.ResponseHead{Status: g.status, Header: fields(g.header)})
 	c.Check(received.Signed, qt.IsTrue)
 	c.Check(received.RequestID, qt.Equals, "r1")
 	sent := b.requests()[0]
@@ -33,7 +33,7 @@
 	c.Check(sent.Header.Get("X-Hop"), qt.Equals, "")
 	dispatch := platform.DecodeDispatch(fields(sent.Header))
 	c.Check(dispatch.Name, qt.Equals, "b1")
-	c.Check(dispatch.Left > 0 && dispatch.Left <= patience, qt.IsTrue)
+	c.Check(dispatch.Remaining > 0 && dispatch.Remaining <= patience, qt.IsTrue)
 }
 
 // How often a request may run follows from its route and from what the failure proves.
@@ -98,7 +98,7 @@
 	b := newBackend(c, "b1", func(b *backendFake, req *http.Request, conn net.Conn) bool {
 		b.runs.Add(1)
 		_, _ = io.WriteString(conn, signed("another")+"Content-Length: 5\r\n\r\nother")
-		answer(conn, http.StatusOK, "own", platform.StandInAnswer(requestID(req), b.id))
+		answer(conn, http.StatusOK, "own", platform.StandInResponse(requestID(req), b.id))
 		return true
 	})
 	g := call(c, gateway(c, b), "/once/")
@@ -113,7 +113,7 @@
 	b := newBackend(c, "b1", func(b *backendFake, req *http.Request, conn net.Conn) bool {
 		close(began)
 		<-release
-		answer(conn, http.StatusOK, "done", platform.StandInAnswer(requestID(req), b.id))
+		answer(conn, http.StatusOK, "done", platform.StandInResponse(requestID(req), b.id))
 		return true
 	})
 	address, f := gatewayAndForwarder(c, b)
