--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -262,7 +262,7 @@
 func (m *market) dispatch() {
 	for name, arrivals := range m.waiting {
 		for len(arrivals) > 0 {
-			want := router.Want{Adapter: name}
+			want := router.Request{Adapter: name}
 			candidate := m.router.Pick(m.now, want)
 			if candidate == nil {
 				break
--- a/gateway/receiver/completions.go
+++ b/gateway/receiver/completions.go
@@ -57,7 +57,7 @@
 	}
 	job := &scheduler.Job{
 		BaseModel: terms.GetBaseModel(),
-		Want:      router.Want{Adapter: parsed.Model, Prefix: prefixOf(parsed)},
+		Want:      router.Request{Adapter: parsed.Model, Prefix: prefixOf(parsed)},
 	}
 	if problem := r.plan(e, job); problem != nil {
 		return problem
--- a/gateway/receiver/services.go
+++ b/gateway/receiver/services.go
@@ -45,7 +45,7 @@
 	if problem := e.readServiceKey(terms); problem != nil {
 		return problem
 	}
-	if problem := r.plan(e, &scheduler.Job{Want: router.Want{Service: name}}); problem != nil {
+	if problem := r.plan(e, &scheduler.Job{Want: router.Request{Service: name}}); problem != nil {
 		return problem
 	}
 	if e.http.URL.RawQuery != "" {
--- a/gateway/scheduler/scheduler.go
+++ b/gateway/scheduler/scheduler.go
@@ -55,7 +55,7 @@
 	Customer  string
 	Priority  int32
 	Deadline  time.Time
-	Want      router.Want
+	Want      router.Request
 	BaseModel string
 
 	id       admitter.RequestID
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -91,8 +91,8 @@
 	SameZone bool
 }
 
-// Want is what a request needs.
-type Want struct {
+// Request is what a request needs.
+type Request struct {
 	// Adapter is the model name with its version; empty for a plain service.
 	Adapter string
 	Service string
@@ -196,7 +196,7 @@
 
 // Pick returns the best backend server for a request, or nil when there is none
 // that may be used.
-func (r *Router) Pick(now time.Time, w Want) *Candidate {
+func (r *Router) Pick(now time.Time, w Request) *Candidate {
 	candidates := r.candidates(now, w)
 	if len(candidates) == 0 {
 		return nil
@@ -209,7 +209,7 @@
 	})
 }
 
-func (r *Router) candidates(now time.Time, w Want) []*Candidate {
+func (r *Router) candidates(now time.Time, w Request) []*Candidate {
 	var candidates []*Candidate
 	add := func(b *backend, id LeaseID) {
 		if b == nil || b.info.GetLeaving() || b.drained || slices.Contains(w.Avoid, b.info.GetName()) {
@@ -234,7 +234,7 @@
 	return candidates
 }
 
-func (r *Router) candidate(now time.Time, w Want, b *backend, id LeaseID) *Candidate {
+func (r *Router) candidate(now time.Time, w Request, b *backend, id LeaseID) *Candidate {
 	c := &Candidate{
 		Backend: b.info, Lease: id, Load: b.load(),
 		Suspect: now.Before(b.suspects), SameZone: b.info.GetZone() == r.Zone,
@@ -274,7 +274,7 @@
 }
 
 // Begin notes that a request goes to a candidate.
-func (r *Router) Begin(now time.Time, w Want, c *Candidate) {
+func (r *Router) Begin(now time.Time, w Request, c *Candidate) {
 	if b := r.backends[c.Backend.GetName()]; b != nil {
 		b.own++
 		b.sent++
--- a/pkg/router/router_bench_test.go
+++ b/pkg/router/router_bench_test.go
@@ -18,7 +18,7 @@
 				engines = append(engines, engine(fmt.Sprint("e", i), "here", 3))
 			}
 			r := newRouter(engines...)
-			want := router.Want{Adapter: "a@1", Prefix: 7}
+			want := router.Request{Adapter: "a@1", Prefix: 7}
 			for b.Loop() {
 				c := r.Pick(now(), want)
 				r.Begin(now(), want, c)
--- a/pkg/router/router_test.go
+++ b/pkg/router/router_test.go
@@ -35,10 +35,10 @@
 }
 
 func TestPick(t *testing.T) {
-	want := router.Want{Adapter: "a@1"}
+	want := router.Request{Adapter: "a@1"}
 	cases := map[string]struct {
 		set  func(r *router.Router)
-		want router.Want
+		want router.Request
 		pick string
 	}{
 		"the fuller batch, while it has room": {
@@ -77,7 +77,7 @@
 			set: func(r *router.Router) { r.Recall([]uint64{1}) }, want: want, pick: "e2",
 		},
 		"not one that failed this request": {
-			set: func(*router.Router) {}, want: router.Want{Adapter: "a@1", Avoid: []string{"e1"}}, pick: "e2",
+			set: func(*router.Router) {}, want: router.Request{Adapter: "a@1", Avoid: []string{"e1"}}, pick: "e2",
 		},
 		"one that failed lately comes last": {
 			set: func(r *router.Router) {
@@ -88,7 +88,7 @@
 			want: want, pick: "e2",
 		},
 		"nobody has the version": {
-			set: func(*router.Router) {}, want: router.Want{Adapter: "a@2"},
+			set: func(*router.Router) {}, want: router.Request{Adapter: "a@2"},
 		},
 		"without a lease nobody": {
 			set: func(r *router.Router) { r.Void() }, want: want,
@@ -112,7 +112,7 @@
 func TestRecalledLeaseIsReleasedAfterItsLastRequest(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(engine("e1", "here", 0))
-	want := router.Want{Adapter: "a@1"}
+	want := router.Request{Adapter: "a@1"}
 	first, second := r.Pick(now(), want), r.Pick(now(), want)
 	r.Begin(now(), want, first)
 	r.Begin(now(), want, second)
@@ -129,7 +129,7 @@
 func TestLaggedReportIsCorrected(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(engine("e1", "here", 6), engine("e2", "here", 6))
-	want := router.Want{Adapter: "a@1"}
+	want := router.Request{Adapter: "a@1"}
 	picked := map[string]int{}
 	for range 10 {
 		candidate := r.Pick(now(), want)
