--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -31,8 +31,8 @@
 	ZoneWeight float64
 	// SuspectFor is how long a backend server that failed is tried last.
 	SuspectFor time.Duration
-	// IdleLease is how long an unused lease is kept.
-	IdleLease time.Duration
+	// MaxLeaseIdle is how long an unused lease is kept.
+	MaxLeaseIdle time.Duration
 }
 
 // Router knows the backend servers and leases of one gateway. Set the exported
@@ -166,7 +166,7 @@
 // GiveBackIdle releases leases that were not used for a while.
 func (r *Router) GiveBackIdle(now time.Time) {
 	for id, l := range r.leases {
-		if l.inUse == 0 && now.Sub(l.lastUsed) > r.Policy.IdleLease {
+		if l.inUse == 0 && now.Sub(l.lastUsed) > r.Policy.MaxLeaseIdle {
 			l.recalled = true
 			r.releaseIfDone(id, l)
 		}
