--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -85,10 +85,10 @@
 	// Load is the number of requests thought to be there.
 	Load int
 	// Score is better when lower.
-	Score    float64
-	Prefix   bool
-	Suspect  bool
-	SameZone bool
+	Score        float64
+	PrefixCached bool
+	Suspect      bool
+	SameZone     bool
 }
 
 // Request is what a request needs.
@@ -238,7 +238,7 @@
 	c := &Candidate{
 		Backend: b.info, Lease: id, Load: b.load(),
 		Suspect: now.Before(b.suspects), SameZone: b.info.GetZone() == r.Zone,
-		Prefix: w.Prefix != 0 && r.prefixes.has(b.info.GetName(), w.Prefix),
+		PrefixCached: w.Prefix != 0 && r.prefixes.has(b.info.GetName(), w.Prefix),
 	}
 	c.Score = r.score(c)
 	return c
@@ -255,7 +255,7 @@
 	if r.Policy.BatchWeight == 0 {
 		score = r.Policy.StallWeight * fill
 	}
-	if c.Prefix {
+	if c.PrefixCached {
 		score -= r.Policy.PrefixWeight
 	}
 	if !c.SameZone {
