--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -87,7 +87,7 @@
 	// Score is better when lower.
 	Score        float64
 	PrefixCached bool
-	Suspect      bool
+	Suspected    bool
 	SameZone     bool
 }
 
@@ -237,7 +237,7 @@
 func (r *Router) candidate(now time.Time, w Request, b *backend, id LeaseID) *Candidate {
 	c := &Candidate{
 		Backend: b.info, Lease: id, Load: b.load(),
-		Suspect: now.Before(b.suspects), SameZone: b.info.GetZone() == r.Zone,
+		Suspected: now.Before(b.suspects), SameZone: b.info.GetZone() == r.Zone,
 		PrefixCached: w.Prefix != 0 && r.prefixes.has(b.info.GetName(), w.Prefix),
 	}
 	c.Score = r.score(c)
@@ -261,7 +261,7 @@
 	if !c.SameZone {
 		score += r.Policy.ZoneWeight
 	}
-	if c.Suspect {
+	if c.Suspected {
 		score += suspectScore
 	}
 	return score
