--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -225,7 +225,7 @@
 		}
 	}
 	m.router.Recall(m.planner.Recalls(gatewayID))
-	m.router.GiveBackIdle(m.now)
+	m.router.ReleaseIdle(m.now)
 	m.carry()
 	for _, o := range m.planner.Plan(m.now) {
 		took := virtualTick
--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -206,7 +206,7 @@
 	}
 	s.retryWaiting(now)
 	s.advance(now)
-	s.Router.GiveBackIdle(now)
+	s.Router.ReleaseIdle(now)
 	if s.admitter.Unmet() || s.Router.Unmet() {
 		s.RequestRenewal()
 	}
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// GiveBackIdle releases leases that were not used for a while.
-func (r *Router) GiveBackIdle(now time.Time) {
+// ReleaseIdle releases leases that were not used for a while.
+func (r *Router) ReleaseIdle(now time.Time) {
 	for id, l := range r.leases {
 		if l.inUse == 0 && now.Sub(l.lastUsed) > r.Policy.MaxLeaseIdle {
 			l.recalled = true
