--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -22,7 +22,7 @@
 	s.wait(func(time.Time) {
 		s.session = session{id: id, lease: lease, revision: s.session.revision}
 		s.current.Store(id)
-		s.Router.Void()
+		s.Router.DropLeases()
 		for _, d := range s.admitter.Demands(true) {
 			s.admitter.SetShare(d.Customer, 0)
 		}
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// Void drops all leases, when the session they were held under has ended.
-func (r *Router) Void() {
+// DropLeases drops all leases, when the session they were held under has ended.
+func (r *Router) DropLeases() {
 	r.leases, r.adapters, r.released = nil, nil, nil
 }
 
--- a/pkg/router/router_test.go
+++ b/pkg/router/router_test.go
@@ -91,7 +91,7 @@
 			set: func(*router.Router) {}, want: router.Request{Adapter: "a@2"},
 		},
 		"without a lease nobody": {
-			set: func(r *router.Router) { r.Void() }, want: want,
+			set: func(r *router.Router) { r.DropLeases() }, want: want,
 		},
 	}
 	for name, tc := range cases {
