--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -103,7 +103,7 @@
 func (s *Scheduler) end(now time.Time, j *Job, failed, missing bool) {
 	s.Router.End(now, j.current, failed)
 	if missing {
-		s.Router.Missing(j.current)
+		s.Router.RecordMissing(j.current)
 	}
 	if j.Want.Adapter != "" {
 		s.Router.Ended(j.Want.Adapter)
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -306,8 +306,8 @@
 	}
 }
 
-// Missing notes that an engine said it does not have an adapter after all.
-func (r *Router) Missing(c *Candidate) {
+// RecordMissing notes that an engine said it does not have an adapter after all.
+func (r *Router) RecordMissing(c *Candidate) {
 	if l := r.leases[c.Lease]; l != nil {
 		l.recalled = true
 		r.releaseIfDone(c.Lease, l)
