--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -55,7 +55,7 @@
 	if s.assign(now, j) {
 		return
 	}
-	if !s.Router.Knows(j.BaseModel, j.Want.Service) {
+	if !s.Router.HasBackend(j.BaseModel, j.Want.Service) {
 		s.refuse(now, j, &Refusal{Reason: NoBackend, RetryAfter: noBackendFor})
 		return
 	}
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -314,9 +314,9 @@
 	}
 }
 
-// Knows reports whether there is any backend server that takes new work for a base
+// HasBackend reports whether there is any backend server that takes new work for a base
 // model or, if that is empty, for a service.
-func (r *Router) Knows(baseModel, service string) bool {
+func (r *Router) HasBackend(baseModel, service string) bool {
 	for _, b := range r.backends {
 		takes := !b.info.GetLeaving() && !b.drained
 		fits := baseModel != "" && b.info.GetBaseModel() == baseModel ||
