--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -171,7 +171,7 @@
 	for ; m.due >= 1; m.due-- {
 		name := fmt.Sprintf("a%d@1", m.ranks[m.zipf.Uint64()])
 		m.waiting[name] = append(m.waiting[name], m.now)
-		m.router.Wait(name, "base")
+		m.router.AddWaiting(name, "base")
 		m.arrived++
 	}
 }
--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -61,7 +61,7 @@
 	}
 	s.waiting = append(s.waiting, j)
 	if j.Want.Adapter != "" {
-		s.Router.Wait(j.Want.Adapter, j.BaseModel)
+		s.Router.AddWaiting(j.Want.Adapter, j.BaseModel)
 	}
 	s.RequestRenewal()
 }
--- a/pkg/router/demand.go
+++ b/pkg/router/demand.go
@@ -7,8 +7,8 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Wait notes that a request waits for an adapter; the planner hears of it.
-func (r *Router) Wait(adapter, base string) { r.demandOf(adapter, base).add(1, 0) }
+// AddWaiting notes that a request waits for an adapter; the planner hears of it.
+func (r *Router) AddWaiting(adapter, base string) { r.demandOf(adapter, base).add(1, 0) }
 
 // Unwait takes that back.
 func (r *Router) Unwait(adapter string) { r.demandOf(adapter, "").add(-1, 0) }
