--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -270,7 +270,7 @@
 			m.stalls = append(m.stalls, m.now.Sub(arrivals[0]))
 			arrivals = arrivals[1:]
 			m.router.Begin(m.now, want, candidate)
-			m.router.Unwait(name)
+			m.router.RemoveWaiting(name)
 			m.router.Started(name, "base")
 			m.start(name, candidate)
 		}
--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -153,7 +153,7 @@
 
 func (s *Scheduler) unwait(j *Job) {
 	if j.Want.Adapter != "" {
-		s.Router.Unwait(j.Want.Adapter)
+		s.Router.RemoveWaiting(j.Want.Adapter)
 	}
 }
 
--- a/pkg/router/demand.go
+++ b/pkg/router/demand.go
@@ -10,8 +10,8 @@
 // AddWaiting notes that a request waits for an adapter; the planner hears of it.
 func (r *Router) AddWaiting(adapter, base string) { r.demandOf(adapter, base).add(1, 0) }
 
-// Unwait takes that back.
-func (r *Router) Unwait(adapter string) { r.demandOf(adapter, "").add(-1, 0) }
+// RemoveWaiting takes that back.
+func (r *Router) RemoveWaiting(adapter string) { r.demandOf(adapter, "").add(-1, 0) }
 
 // Started notes that a request for an adapter has begun.
 func (r *Router) Started(adapter, base string) {
