--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -271,7 +271,7 @@
 			arrivals = arrivals[1:]
 			m.router.Begin(m.now, want, candidate)
 			m.router.RemoveWaiting(name)
-			m.router.Started(name, "base")
+			m.router.RecordStart(name, "base")
 			m.start(name, candidate)
 		}
 		m.waiting[name] = arrivals
--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -92,7 +92,7 @@
 	}
 	s.Router.Begin(now, j.Want, c)
 	if j.Want.Adapter != "" {
-		s.Router.Started(j.Want.Adapter, j.BaseModel)
+		s.Router.RecordStart(j.Want.Adapter, j.BaseModel)
 	}
 	j.phase, j.current, j.assigned = assigned, c, now
 	j.answer <- verdict{candidate: c}
--- a/pkg/router/demand.go
+++ b/pkg/router/demand.go
@@ -13,8 +13,8 @@
 // RemoveWaiting takes that back.
 func (r *Router) RemoveWaiting(adapter string) { r.demandOf(adapter, "").add(-1, 0) }
 
-// Started notes that a request for an adapter has begun.
-func (r *Router) Started(adapter, base string) {
+// RecordStart notes that a request for an adapter has begun.
+func (r *Router) RecordStart(adapter, base string) {
 	d := r.demandOf(adapter, base)
 	d.add(0, 1)
 	d.started++
