--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -188,7 +188,7 @@
 			m.filled++
 			if r.left == 0 {
 				m.router.End(m.now, r.candidate, false)
-				m.router.Ended(r.adapter)
+				m.router.RecordEnd(r.adapter)
 				m.served++
 			}
 		}
--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -106,7 +106,7 @@
 		s.Router.RecordMissing(j.current)
 	}
 	if j.Want.Adapter != "" {
-		s.Router.Ended(j.Want.Adapter)
+		s.Router.RecordEnd(j.Want.Adapter)
 	}
 }
 
--- a/pkg/router/demand.go
+++ b/pkg/router/demand.go
@@ -20,8 +20,8 @@
 	d.started++
 }
 
-// Ended notes that a request for an adapter has ended.
-func (r *Router) Ended(adapter string) { r.demandOf(adapter, "").add(0, -1) }
+// RecordEnd notes that a request for an adapter has ended.
+func (r *Router) RecordEnd(adapter string) { r.demandOf(adapter, "").add(0, -1) }
 
 func (r *Router) demandOf(adapter, base string) *demand {
 	if r.demand == nil {
