--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -207,7 +207,7 @@
 	s.retryWaiting(now)
 	s.advance(now)
 	s.Router.ReleaseIdle(now)
-	if s.admitter.Unmet() || s.Router.Unmet() {
+	if s.admitter.Unmet() || s.Router.HasWaiting() {
 		s.RequestRenewal()
 	}
 }
--- a/pkg/router/demand.go
+++ b/pkg/router/demand.go
@@ -64,8 +64,8 @@
 	return list
 }
 
-// Unmet reports whether requests wait for an adapter.
-func (r *Router) Unmet() bool {
+// HasWaiting reports whether requests wait for an adapter.
+func (r *Router) HasWaiting() bool {
 	for _, d := range r.demand {
 		if d.waiting > 0 {
 			return true
