--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -218,7 +218,7 @@
 	for _, lease := range m.router.Released() {
 		m.planner.Release(gatewayID, planner.LeaseID(lease))
 	}
-	for _, d := range m.router.Demands(false) {
+	for _, d := range m.router.TakeDemands(false) {
 		m.planner.RecordDemand(m.now, gatewayID, d)
 		if d.GetWaiting() > 0 || d.GetRunning() > 0 {
 			m.router.Grant(m.now, m.planner.GrantLeases(m.now, gatewayID, d.GetAdapter()))
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -41,7 +41,7 @@
 			req.Announced = append(req.Announced, b)
 		}
 		s.announced = map[string]*wire.Backend{}
-		req.Demands = s.Router.Demands(full)
+		req.Demands = s.Router.TakeDemands(full)
 		req.Released = s.Router.Released()
 		if full {
 			req.Held = s.Router.Held()
--- a/pkg/router/demand.go
+++ b/pkg/router/demand.go
@@ -44,9 +44,9 @@
 	d.changed = true
 }
 
-// Demands returns the adapters whose demand changed since the last call or for
+// TakeDemands returns the adapters whose demand changed since the last call or for
 // which requests wait.
-func (r *Router) Demands(all bool) []*wire.AdapterDemand {
+func (r *Router) TakeDemands(all bool) []*wire.AdapterDemand {
 	var list []*wire.AdapterDemand
 	for _, name := range slices.Sorted(maps.Keys(r.demand)) {
 		d := r.demand[name]
