--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -215,7 +215,7 @@
 }
 
 func (m *market) plan() {
-	for _, lease := range m.router.Released() {
+	for _, lease := range m.router.TakeReleased() {
 		m.planner.Release(gatewayID, planner.LeaseID(lease))
 	}
 	for _, d := range m.router.TakeDemands(false) {
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -42,7 +42,7 @@
 		}
 		s.announced = map[string]*wire.Backend{}
 		req.Demands = s.Router.TakeDemands(full)
-		req.Released = s.Router.Released()
+		req.Released = s.Router.TakeReleased()
 		if full {
 			req.Held = s.Router.Held()
 			req.Released = nil
--- a/pkg/router/demand.go
+++ b/pkg/router/demand.go
@@ -74,8 +74,8 @@
 	return false
 }
 
-// Released returns the leases that were given back since the last call.
-func (r *Router) Released() []uint64 {
+// TakeReleased returns the leases that were given back since the last call.
+func (r *Router) TakeReleased() []uint64 {
 	released := r.released
 	r.released = nil
 	return released
--- a/pkg/router/router_test.go
+++ b/pkg/router/router_test.go
@@ -118,11 +118,11 @@
 	r.Begin(now(), want, second)
 	r.Recall([]uint64{1})
 	c.Assert(r.Pick(now(), want), qt.IsNil)
-	c.Assert(r.Released(), qt.HasLen, 0)
+	c.Assert(r.TakeReleased(), qt.HasLen, 0)
 	r.End(now(), first, false)
-	c.Assert(r.Released(), qt.HasLen, 0)
+	c.Assert(r.TakeReleased(), qt.HasLen, 0)
 	r.End(now(), second, false)
-	c.Assert(r.Released(), qt.DeepEquals, []uint64{1})
+	c.Assert(r.TakeReleased(), qt.DeepEquals, []uint64{1})
 	c.Assert(r.Held(), qt.HasLen, 0)
 }
 
