--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -44,7 +44,7 @@
 		req.Demands = s.Router.TakeDemands(full)
 		req.Released = s.Router.TakeReleased()
 		if full {
-			req.Held = s.Router.Held()
+			req.Held = s.Router.HeldLeases()
 			req.Released = nil
 		}
 		for _, d := range s.admitter.Demands(full) {
--- a/pkg/router/demand.go
+++ b/pkg/router/demand.go
@@ -81,8 +81,8 @@
 	return released
 }
 
-// Held returns all leases that the session holds.
-func (r *Router) Held() []*wire.LeaseGrant {
+// HeldLeases returns all leases that the session holds.
+func (r *Router) HeldLeases() []*wire.LeaseGrant {
 	var held []*wire.LeaseGrant
 	for _, id := range slices.Sorted(maps.Keys(r.leases)) {
 		held = append(held, r.leases[id].grant)
--- a/pkg/router/router_test.go
+++ b/pkg/router/router_test.go
@@ -123,7 +123,7 @@
 	c.Assert(r.TakeReleased(), qt.HasLen, 0)
 	r.End(now(), second, false)
 	c.Assert(r.TakeReleased(), qt.DeepEquals, []uint64{1})
-	c.Assert(r.Held(), qt.HasLen, 0)
+	c.Assert(r.HeldLeases(), qt.HasLen, 0)
 }
 
 func TestLaggedReportIsCorrected(t *testing.T) {
