--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -113,7 +113,7 @@
 		f.refuse(j, statusBadRequest, "the request has no id", 0)
 		return false
 	}
-	j.table, j.customer = table, table.Holder(j.about.Key)
+	j.table, j.customer = table, table.CustomerByKey(j.about.Key)
 	if j.customer == nil && table.NeedsKey(j.route) {
 		f.refuseKey(j)
 		return false
--- a/gateway/forwarder/key.go
+++ b/gateway/forwarder/key.go
@@ -42,7 +42,7 @@
 	if route == nil || !table.NeedsKey(route) {
 		return false
 	}
-	if table.Holder(platform.DecodeKey(req.Head.Header)) != nil && !f.keysAreOld() {
+	if table.CustomerByKey(platform.DecodeKey(req.Head.Header)) != nil && !f.keysAreOld() {
 		return false
 	}
 	j := &job{req: req, reply: reply, about: platform.DecodeRequest(req.Head.Header), route: route, table: table}
@@ -85,7 +85,7 @@
 		return true
 	}
 	if table != j.table {
-		j.table, j.customer = table, table.Holder(j.about.Key)
+		j.table, j.customer = table, table.CustomerByKey(j.about.Key)
 	}
 	if j.customer != nil && !f.keysAreOld() {
 		return true
--- a/pkg/matcher/customers_test.go
+++ b/pkg/matcher/customers_test.go
@@ -35,10 +35,10 @@
 func TestHolderOfAKey(t *testing.T) {
 	c := qt.New(t)
 	m := New(customers(customer("a", "k1", "k2"), customer("b", "k3")))
-	c.Check(m.Holder("k2").GetName(), qt.Equals, "a")
-	c.Check(m.Holder("k3").GetName(), qt.Equals, "b")
+	c.Check(m.CustomerByKey("k2").GetName(), qt.Equals, "a")
+	c.Check(m.CustomerByKey("k3").GetName(), qt.Equals, "b")
 	for _, unknown := range []string{"", "k", "K1", "k1 ", "k1,k2"} {
-		c.Check(m.Holder(unknown), qt.IsNil, qt.Commentf("%q", unknown))
+		c.Check(m.CustomerByKey(unknown), qt.IsNil, qt.Commentf("%q", unknown))
 	}
 }
 
@@ -94,7 +94,7 @@
 	m := New(customers(list...))
 	b.ReportAllocs()
 	for b.Loop() {
-		if m.Holder("asnmgkcuyj8pj-250-2") == nil {
+		if m.CustomerByKey("asnmgkcuyj8pj-250-2") == nil {
 			b.Fatal("the key is not known")
 		}
 	}
--- a/pkg/matcher/matcher.go
+++ b/pkg/matcher/matcher.go
@@ -46,8 +46,8 @@
 	return m
 }
 
-// Holder returns the customer that holds a key, or nil.
-func (m *Matcher) Holder(key string) *wire.RoutedCustomer {
+// CustomerByKey returns the customer that holds a key, or nil.
+func (m *Matcher) CustomerByKey(key string) *wire.RoutedCustomer {
 	if key == "" || len(m.holders) == 0 {
 		return nil
 	}
