--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -114,7 +114,7 @@
 		return false
 	}
 	j.table, j.customer = table, table.CustomerByKey(j.about.Key)
-	if j.customer == nil && table.NeedsKey(j.route) {
+	if j.customer == nil && table.RequiresKey(j.route) {
 		f.refuseKey(j)
 		return false
 	}
--- a/gateway/forwarder/key.go
+++ b/gateway/forwarder/key.go
@@ -39,7 +39,7 @@
 		return false
 	}
 	route := table.Match(req.Head.Header.Get("Host"), req.Head.Target)
-	if route == nil || !table.NeedsKey(route) {
+	if route == nil || !table.RequiresKey(route) {
 		return false
 	}
 	if table.CustomerByKey(platform.DecodeKey(req.Head.Header)) != nil && !f.keysAreOld() {
@@ -81,7 +81,7 @@
 	f.mu.Lock()
 	table := f.table
 	f.mu.Unlock()
-	if j.reply.Begun() || !table.NeedsKey(j.route) {
+	if j.reply.Begun() || !table.RequiresKey(j.route) {
 		return true
 	}
 	if table != j.table {
--- a/pkg/matcher/customers_test.go
+++ b/pkg/matcher/customers_test.go
@@ -47,9 +47,9 @@
 	open := route("open", "h", "/open/", func(r *wire.Route) { r.Open = true })
 	closed := route("closed", "h", "/closed/")
 	m := New(&wire.RoutingTable{KeysRequired: true})
-	c.Check(m.NeedsKey(closed), qt.IsTrue)
-	c.Check(m.NeedsKey(open), qt.IsFalse)
-	c.Check(New(&wire.RoutingTable{}).NeedsKey(closed), qt.IsFalse)
+	c.Check(m.RequiresKey(closed), qt.IsTrue)
+	c.Check(m.RequiresKey(open), qt.IsFalse)
+	c.Check(New(&wire.RoutingTable{}).RequiresKey(closed), qt.IsFalse)
 }
 
 func TestEachFaultOfCustomersIsNamed(t *testing.T) {
--- a/pkg/matcher/matcher.go
+++ b/pkg/matcher/matcher.go
@@ -54,8 +54,8 @@
 	return m.holders[authenticator.DigestOf(key)]
 }
 
-// NeedsKey reports whether requests on a route must carry the key of a customer.
-func (m *Matcher) NeedsKey(r *wire.Route) bool { return m.table.GetKeysRequired() && !r.GetOpen() }
+// RequiresKey reports whether requests on a route must carry the key of a customer.
+func (m *Matcher) RequiresKey(r *wire.Route) bool { return m.table.GetKeysRequired() && !r.GetOpen() }
 
 // Table returns the table itself.
 func (m *Matcher) Table() *wire.RoutingTable { return m.table }
