--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -118,7 +118,7 @@
 		f.refuseKey(j)
 		return false
 	}
-	j.service = matcher.Pick(j.route, rand.Float64())
+	j.service = matcher.PickService(j.route, rand.Float64())
 	if s := table.Service(j.service); s.GetEngine() != nil && isAdapter(j.about.Model) {
 		j.adapter = j.about.Model
 	}
--- a/pkg/matcher/matcher.go
+++ b/pkg/matcher/matcher.go
@@ -81,9 +81,9 @@
 	return strings.ToLower(name)
 }
 
-// Pick returns the service for a request of a route: point, in [0, 1), falls into
+// PickService returns the service for a request of a route: point, in [0, 1), falls into
 // one of the shares.
-func Pick(r *wire.Route, point float64) string {
+func PickService(r *wire.Route, point float64) string {
 	total := uint32(0)
 	for _, s := range r.GetShares() {
 		total += s.GetWeight()
--- a/pkg/matcher/matcher_test.go
+++ b/pkg/matcher/matcher_test.go
@@ -50,7 +50,7 @@
 	})
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[Pick(r, float64(i)/1000)]++
+		counts[PickService(r, float64(i)/1000)]++
 	}
 	c.Assert(counts, qt.DeepEquals, map[string]int{"s": 900, "t": 100})
 }
