--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -92,7 +92,7 @@
 			return res.GetSession(), true
 		}
 		r.Log.Debug("no session could be opened", "Controller", address, "Error", err.Error())
-		r.Controllers.Failed(address)
+		r.Controllers.MarkFailed(address)
 		if !r.pause(ctx, retryAfter) {
 			return 0, false
 		}
@@ -113,7 +113,7 @@
 			// The leader may have taken the renewal in all the same, so the next one
 			// lists all that is held.
 			full = true
-			r.Controllers.Failed(address)
+			r.Controllers.MarkFailed(address)
 			r.Log.Debug("a renewal failed", "Controller", address, "Error", err.Error())
 			if !r.pause(ctx, retryAfter) {
 				return true
--- a/pkg/connector/controllers.go
+++ b/pkg/connector/controllers.go
@@ -22,8 +22,8 @@
 	return c.Addresses[c.current.Load()%uint64(len(c.Addresses))]
 }
 
-// Failed moves on to the next address, unless another caller did so already.
-func (c *Controllers) Failed(address string) {
+// MarkFailed moves on to the next address, unless another caller did so already.
+func (c *Controllers) MarkFailed(address string) {
 	n := c.current.Load()
 	if c.Addresses[n%uint64(len(c.Addresses))] == address {
 		c.current.CompareAndSwap(n, n+1)
@@ -53,7 +53,7 @@
 		if err == nil || Final(err) {
 			return err
 		}
-		c.Failed(address)
+		c.MarkFailed(address)
 		if ctx.Err() != nil || !pause(attempt) {
 			return err
 		}
