--- a/pkg/connector/controllers.go
+++ b/pkg/connector/controllers.go
@@ -30,9 +30,9 @@
 	}
 }
 
-// Final reports whether an error is an answer that another controller would give
+// IsPermanent reports whether an error is an answer that another controller would give
 // too, so that trying again is of no use.
-func Final(err error) bool {
+func IsPermanent(err error) bool {
 	var answer twirp.Error
 	if !errors.As(err, &answer) {
 		return false
@@ -50,7 +50,7 @@
 	for attempt := 0; ; attempt++ {
 		address := c.Current()
 		err := f(address)
-		if err == nil || Final(err) {
+		if err == nil || IsPermanent(err) {
 			return err
 		}
 		c.MarkFailed(address)
