--- a/gateway/claimer/claimer.go
+++ b/gateway/claimer/claimer.go
@@ -118,9 +118,9 @@
 	})
 }
 
-// FinishLater stores an outcome in the background, so that the caller need not wait
+// FinishAsync stores an outcome in the background, so that the caller need not wait
 // for it. Until it is stored a retry hears that the request is in progress.
-func (c *Claimer) FinishLater(cmd *wire.FinishCommand) {
+func (c *Claimer) FinishAsync(cmd *wire.FinishCommand) {
 	c.enqueue(func(ctx context.Context) {
 		if _, err := c.Finish(ctx, cmd); err != nil {
 			c.Log.Warn("an outcome was not stored", "RequestId", cmd.GetRequestId(), "Error", err.Error())
--- a/gateway/receiver/once.go
+++ b/gateway/receiver/once.go
@@ -166,7 +166,7 @@
 // wait for it.
 func (r *Receiver) store(e *entry, requestID string, o *wire.Outcome) {
 	if e.key != "" {
-		r.Claimer.FinishLater(finishOf(e, requestID, o))
+		r.Claimer.FinishAsync(finishOf(e, requestID, o))
 	}
 }
 
