--- a/gateway/claimer/claimer.go
+++ b/gateway/claimer/claimer.go
@@ -128,8 +128,8 @@
 	})
 }
 
-// ReleaseLater gives a claim back in the background.
-func (c *Claimer) ReleaseLater(cmd *wire.ReleaseCommand) {
+// ReleaseAsync gives a claim back in the background.
+func (c *Claimer) ReleaseAsync(cmd *wire.ReleaseCommand) {
 	c.enqueue(func(ctx context.Context) {
 		if err := c.Release(ctx, cmd); err != nil {
 			c.Log.Warn("a claim was not released", "RequestId", cmd.GetRequestId(), "Error", err.Error())
--- a/gateway/receiver/once.go
+++ b/gateway/receiver/once.go
@@ -63,7 +63,7 @@
 		res, err := r.Claimer.Claim(ctx, cmd)
 		if err != nil {
 			// The claim may be in the log all the same; it is given back there.
-			r.Claimer.ReleaseLater(releaseOf(e, requestID))
+			r.Claimer.ReleaseAsync(releaseOf(e, requestID))
 			refusal := &scheduler.Refusal{Reason: scheduler.NoQuorum, RetryAfter: retryAfterFault}
 			return false, &foundClaim{problem: unknownIfKeyed(refused(refusal))}
 		}
@@ -175,7 +175,7 @@
 	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	if err := r.Claimer.Release(limited, releaseOf(e, requestID)); err != nil {
-		r.Claimer.ReleaseLater(releaseOf(e, requestID))
+		r.Claimer.ReleaseAsync(releaseOf(e, requestID))
 	}
 }
 
