--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -135,7 +135,7 @@
 	a.renewer = &renewer.Renewer{
 		Clock: a.Clock, Log: a.Log, Scheduler: a.scheduler, Isolator: a.isolator, Controllers: controllers, Client: client,
 		Instance: s.Instance.Name, Zone: s.Instance.Zone, Address: address,
-		Every: s.Controllers.RenewEvery, Leave: a.leave,
+		Interval: s.Controllers.RenewEvery, Leave: a.leave,
 	}
 	a.renewer.Init()
 	a.isolator.LeaderAge = a.renewer.WordAge
--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -40,8 +40,8 @@
 	Zone        string
 	// Address is where operators reach this gateway.
 	Address string
-	// Every is the time between renewals when nothing happens.
-	Every time.Duration
+	// Interval is the time between renewals when nothing happens.
+	Interval time.Duration
 	// Leave ends the session gracefully when closed.
 	Leave <-chan struct{}
 
@@ -138,7 +138,7 @@
 
 // rest waits for the next renewal. Done is set when there is none.
 func (r *Renewer) rest(ctx context.Context, id uint64) (left, done bool) {
-	timer := r.Clock.NewTimer(r.Every)
+	timer := r.Clock.NewTimer(r.Interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
