--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -123,7 +123,7 @@
 			PrefixWeight: s.Policy.PrefixWeight, ZoneWeight: s.Policy.ZoneWeight,
 			SuspectFor: s.Policy.SuspectFor, MaxLeaseIdle: s.Policy.IdleLease,
 		}},
-		RequestRenewal: func() { a.renewer.Wake() },
+		RequestRenewal: func() { a.renewer.RequestRenewal() },
 	}
 	a.scheduler.Init()
 	address := s.Instance.Address
--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -59,8 +59,8 @@
 // Init prepares the renewer for Wake.
 func (r *Renewer) Init() { r.wake = make(chan struct{}, 1) }
 
-// Wake asks for a renewal soon.
-func (r *Renewer) Wake() {
+// RequestRenewal asks for a renewal soon.
+func (r *Renewer) RequestRenewal() {
 	select {
 	case r.wake <- struct{}{}:
 	default:
