--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -138,7 +138,7 @@
 		Interval: s.Controllers.RenewEvery, Leave: a.leave,
 	}
 	a.renewer.Init()
-	a.isolator.LeaderAge = a.renewer.WordAge
+	a.isolator.LeaderAge = a.renewer.LeaderAge
 	a.claimer = &claimer.Claimer{Clock: a.Clock, Log: a.Log, Client: client, Controllers: &connector.Controllers{
 		Addresses: s.Controllers.Addresses,
 	}}
--- a/gateway/renewer/isolation.go
+++ b/gateway/renewer/isolation.go
@@ -10,8 +10,8 @@
 // never is the age of a leader's word before the first.
 const never = time.Hour
 
-// WordAge returns how old the leader's word is. It may be called from any goroutine.
-func (r *Renewer) WordAge() time.Duration {
+// LeaderAge returns how old the leader's word is. It may be called from any goroutine.
+func (r *Renewer) LeaderAge() time.Duration {
 	heard := r.heard.Load()
 	if heard == 0 {
 		return never
--- a/gateway/renewer/isolation_test.go
+++ b/gateway/renewer/isolation_test.go
@@ -56,8 +56,8 @@
 func TestTheAgeOfTheLeadersWord(t *testing.T) {
 	c := qt.New(t)
 	r := newRenewer()
-	c.Check(r.WordAge(), qt.Equals, never)
+	c.Check(r.LeaderAge(), qt.Equals, never)
 	r.noteAnswer(&wire.RenewResponse{}, 0)
 	r.Clock.(*clockwork.FakeClock).Advance(3 * time.Second)
-	c.Check(r.WordAge(), qt.Equals, 3*time.Second)
+	c.Check(r.LeaderAge(), qt.Equals, 3*time.Second)
 }
