--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -104,7 +104,7 @@
 	return f.relayWhole(ctx, j, d.Backend, in)
 }
 
-func (f *Forwarder) outgoing(j *job, d balancer.Decision) *sender.Outgoing {
+func (f *Forwarder) outgoing(j *job, d balancer.Decision) *sender.Request {
 	dispatch := platform.Dispatch{
 		Name: d.Backend.GetName(), AdapterVersion: d.Version, Urgency: -1, Resumes: j.resume, Customer: j.customer.GetName(),
 	}
@@ -114,7 +114,7 @@
 	if j.adapter != "" && !f.Off.Has(ablator.PriorityOrder) {
 		dispatch.Urgency = min(int(j.urgency()), leastUrgent)
 	}
-	return &sender.Outgoing{
+	return &sender.Request{
 		Backend: d.Backend.GetId(), Address: d.Backend.GetAddress(), RequestID: j.about.ID,
 		Method: j.req.Head.Method, Target: j.req.Head.Target,
 		Header: platform.EncodeDispatch(j.req.Head.Header, dispatch), Body: j.req.Body,
--- a/gateway/sender/sender.go
+++ b/gateway/sender/sender.go
@@ -56,8 +56,8 @@
 	until  time.Time
 }
 
-// Outgoing is a request to be sent.
-type Outgoing struct {
+// Request is a request to be sent.
+type Request struct {
 	// Backend and Address name the backend server.
 	Backend string
 	Address string
@@ -87,7 +87,7 @@
 // Send sends a request and returns the answer's head. When ctx ends the connection is
 // closed, which tells the backend server to stop. The error says what is known of the
 // request.
-func (s *Sender) Send(ctx context.Context, out *Outgoing) (*Incoming, error) {
+func (s *Sender) Send(ctx context.Context, out *Request) (*Incoming, error) {
 	l, err := s.connect(ctx, out)
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	return in, nil
 }
 
-func (s *Sender) exchange(l *link, out *Outgoing) (*Incoming, error) {
+func (s *Sender) exchange(l *link, out *Request) (*Incoming, error) {
 	written, err := write(l, out)
 	if err != nil {
 		return nil, err
@@ -131,7 +131,7 @@
 // answer may come before the body was taken in.
 const largeBody = 16 << 10
 
-func write(l *link, out *Outgoing) (<-chan error, error) {
+func write(l *link, out *Request) (<-chan error, error) {
 	head := encode(out)
 	if len(out.Body) <= largeBody {
 		n, err := l.Write(append(head, out.Body...))
@@ -157,7 +157,7 @@
 	return done, nil
 }
 
-func encode(out *Outgoing) []byte {
+func encode(out *Request) []byte {
 	buf := make([]byte, 0, 1024+min(len(out.Body), largeBody))
 	buf = append(buf, out.Method...)
 	buf = append(buf, ' ')
@@ -178,7 +178,7 @@
 }
 
 // receive reads one head, skipping interim answers.
-func (s *Sender) receive(l *link, out *Outgoing) (*Incoming, bool, error) {
+func (s *Sender) receive(l *link, out *Request) (*Incoming, bool, error) {
 	for {
 		raw, err := framer.ReadHead(l.reader, maxHeadBytes)
 		if err != nil {
@@ -234,7 +234,7 @@
 	}
 }
 
-func (s *Sender) connect(ctx context.Context, out *Outgoing) (*link, error) {
+func (s *Sender) connect(ctx context.Context, out *Request) (*link, error) {
 	if !out.Fresh {
 		if l := s.take(out.Backend); l != nil {
 			return l, nil
--- a/gateway/sender/sender_test.go
+++ b/gateway/sender/sender_test.go
@@ -48,7 +48,7 @@
 	send := func(backend string) <-chan Kind {
 		ended := make(chan Kind, 1)
 		go func() {
-			_, err := s.Send(ctx, &Outgoing{Backend: backend, Address: address, Method: "POST", Target: "/"})
+			_, err := s.Send(ctx, &Request{Backend: backend, Address: address, Method: "POST", Target: "/"})
 			ended <- KindOf(err)
 		}()
 		<-began
