--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -68,7 +68,7 @@
 }
 
 // take handles the answer to a try, and reports whether the request is to be tried again.
-func (f *Forwarder) take(ctx context.Context, j *job, d balancer.Decision, in *sender.Incoming) bool {
+func (f *Forwarder) take(ctx context.Context, j *job, d balancer.Decision, in *sender.Response) bool {
 	answer := platform.DecodeAnswer(in.Head)
 	f.observeLimit(j, in.Head.Status, answer)
 	switch {
@@ -278,7 +278,7 @@
 )
 
 // relayWhole passes on an answer that is not a stream.
-func (f *Forwarder) relayWhole(ctx context.Context, j *job, backend *wire.Announcement, in *sender.Incoming) bool {
+func (f *Forwarder) relayWhole(ctx context.Context, j *job, backend *wire.Announcement, in *sender.Response) bool {
 	header := platform.EncodeAnswer(in.Head.Header)
 	body, err := io.ReadAll(io.LimitReader(in.Body, maxWhole))
 	if err == nil && !in.Body.Ended() {
@@ -319,7 +319,7 @@
 }
 
 // relayLong passes on an answer that is too long to be kept.
-func (f *Forwarder) relayLong(j *job, backend *wire.Announcement, in *sender.Incoming, header framer.Header, begun []byte) bool {
+func (f *Forwarder) relayLong(j *job, backend *wire.Announcement, in *sender.Response, header framer.Header, begun []byte) bool {
 	defer in.Close()
 	err := j.reply.Begin(in.Head.Status, header)
 	if err == nil {
--- a/gateway/forwarder/stream.go
+++ b/gateway/forwarder/stream.go
@@ -26,7 +26,7 @@
 // relayStream passes events on as they come, only whole ones: a backend server may stop
 // inside an event. The head waits for the first event, so that a stream which breaks off
 // before it can still be sent elsewhere or be reported as a failure.
-func (f *Forwarder) relayStream(ctx context.Context, j *job, backend *wire.Announcement, in *sender.Incoming) bool {
+func (f *Forwarder) relayStream(ctx context.Context, j *job, backend *wire.Announcement, in *sender.Response) bool {
 	j.course.resumed = j.reply.Begun()
 	err := f.copyEvents(j, in)
 	in.Close()
@@ -52,7 +52,7 @@
 	return again
 }
 
-func (f *Forwarder) copyEvents(j *job, in *sender.Incoming) error {
+func (f *Forwarder) copyEvents(j *job, in *sender.Response) error {
 	header := platform.EncodeAnswer(in.Head.Header)
 	var pending []byte
 	buf := make([]byte, readSize)
--- a/gateway/sender/sender.go
+++ b/gateway/sender/sender.go
@@ -71,8 +71,8 @@
 	Fresh bool
 }
 
-// Incoming is an answer that has begun.
-type Incoming struct {
+// Response is an answer that has begun.
+type Response struct {
 	Head *framer.ResponseHead
 	Body *framer.Body
 
@@ -87,7 +87,7 @@
 // Send sends a request and returns the answer's head. When ctx ends the connection is
 // closed, which tells the backend server to stop. The error says what is known of the
 // request.
-func (s *Sender) Send(ctx context.Context, out *Request) (*Incoming, error) {
+func (s *Sender) Send(ctx context.Context, out *Request) (*Response, error) {
 	l, err := s.connect(ctx, out)
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	return in, nil
 }
 
-func (s *Sender) exchange(l *link, out *Request) (*Incoming, error) {
+func (s *Sender) exchange(l *link, out *Request) (*Response, error) {
 	written, err := write(l, out)
 	if err != nil {
 		return nil, err
@@ -178,7 +178,7 @@
 }
 
 // receive reads one head, skipping interim answers.
-func (s *Sender) receive(l *link, out *Request) (*Incoming, bool, error) {
+func (s *Sender) receive(l *link, out *Request) (*Response, bool, error) {
 	for {
 		raw, err := framer.ReadHead(l.reader, maxHeadBytes)
 		if err != nil {
@@ -196,7 +196,7 @@
 			return nil, false, wrap("Send", KindMalformed, err)
 		}
 		own, idle := s.OwnAnswer(head, out.RequestID)
-		return &Incoming{Head: head, Body: body, sender: s, link: l, backend: out.Backend, idle: idle}, own, nil
+		return &Response{Head: head, Body: body, sender: s, link: l, backend: out.Backend, idle: idle}, own, nil
 	}
 }
 
@@ -209,7 +209,7 @@
 
 // Close gives the connection back if the answer was read to its end and nothing else
 // came with it, and closes it otherwise.
-func (in *Incoming) Close() {
+func (in *Response) Close() {
 	running := in.stop()
 	in.sender.end(in.backend, in.link)
 	reusable := running && in.Body.Ended() && in.Body.Framing != framer.FramingClose &&
@@ -221,7 +221,7 @@
 	in.sender.keep(in.backend, in.link, in.idle)
 }
 
-func (in *Incoming) bodyWritten() bool {
+func (in *Response) bodyWritten() bool {
 	if in.written == nil {
 		return true
 	}
