--- a/gateway/sender/sender.go
+++ b/gateway/sender/sender.go
@@ -67,8 +67,8 @@
 	Target    string
 	Header    framer.Header
 	Body      []byte
-	// Fresh asks for a connection of its own.
-	Fresh bool
+	// NewConnection asks for a connection of its own.
+	NewConnection bool
 }
 
 // Response is an answer that has begun.
@@ -235,7 +235,7 @@
 }
 
 func (s *Sender) connect(ctx context.Context, out *Request) (*link, error) {
-	if !out.Fresh {
+	if !out.NewConnection {
 		if l := s.take(out.Backend); l != nil {
 			return l, nil
 		}
