--- a/gateway/forwarder/harness_test.go
+++ b/gateway/forwarder/harness_test.go
@@ -67,7 +67,7 @@
 		Regulator: &regulator.Regulator{Clock: clock, Log: log},
 		Sender: &sender.Sender{
 			Clock: clock, DialTimeout: time.Second, MaxIdle: time.Second,
-			OwnAnswer: func(head *framer.ResponseHead, id string) (bool, time.Duration) {
+			IsOwnResponse: func(head *framer.ResponseHead, id string) (bool, time.Duration) {
 				answer := platform.DecodeAnswer(head)
 				return answer.RequestID == id || answer.RequestID == "", answer.IdleTimeout
 			},
--- a/gateway/sender/sender.go
+++ b/gateway/sender/sender.go
@@ -39,9 +39,9 @@
 	// Unacknowledged is how long sent bytes may stay unacknowledged before a connection
 	// counts as dead.
 	Unacknowledged time.Duration
-	// OwnAnswer reports whether an answer belongs to the request with an id, and for how
+	// IsOwnResponse reports whether an answer belongs to the request with an id, and for how
 	// long the connection may then stay idle; 0 if unknown.
-	OwnAnswer func(head *framer.ResponseHead, requestID string) (own bool, idle time.Duration)
+	IsOwnResponse func(head *framer.ResponseHead, requestID string) (own bool, idle time.Duration)
 
 	mu   sync.Mutex
 	idle map[string][]*link
@@ -195,7 +195,7 @@
 		if err != nil {
 			return nil, false, wrap("Send", KindMalformed, err)
 		}
-		own, idle := s.OwnAnswer(head, out.RequestID)
+		own, idle := s.IsOwnResponse(head, out.RequestID)
 		return &Response{Head: head, Body: body, sender: s, link: l, backend: out.Backend, idle: idle}, own, nil
 	}
 }
--- a/gateway/sender/sender_test.go
+++ b/gateway/sender/sender_test.go
@@ -41,7 +41,7 @@
 	c := qt.New(t)
 	s := &Sender{
 		Clock: clockwork.NewRealClock(), DialTimeout: time.Minute, MaxIdle: time.Minute,
-		OwnAnswer: func(*framer.ResponseHead, string) (bool, time.Duration) { return true, 0 },
+		IsOwnResponse: func(*framer.ResponseHead, string) (bool, time.Duration) { return true, 0 },
 	}
 	address, began := silentServer(c)
 	ctx, cancel := context.WithCancel(context.Background())
