--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -125,7 +125,7 @@
 		Keys:   forwarder.Keys{Strict: s.Keys.Strict, StaleAfter: s.Keys.StaleAfter},
 		Sender: &sender.Sender{
 			Clock: r.Clock, DialTimeout: s.Backends.DialTimeout, MaxIdle: s.Backends.MaxIdle,
-			IdleMargin: s.Backends.IdleMargin, Unacknowledged: s.Backends.Unacknowledged, IsOwnResponse: ownAnswer,
+			IdleMargin: s.Backends.IdleMargin, UserTimeout: s.Backends.Unacknowledged, IsOwnResponse: ownAnswer,
 		},
 	}
 	r.regulator.OnPeerPauses = r.forwarder.HearOfPauses
--- a/gateway/sender/dial.go
+++ b/gateway/sender/dial.go
@@ -15,7 +15,7 @@
 		return nil, wrap("Dial", KindNotSent, err)
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
-		setUserTimeout(tcp, s.Unacknowledged)
+		setUserTimeout(tcp, s.UserTimeout)
 	}
 	return &link{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}, nil
 }
--- a/gateway/sender/sender.go
+++ b/gateway/sender/sender.go
@@ -36,9 +36,9 @@
 	// IdleMargin is taken off the time for which a backend server says that it keeps a
 	// connection, since its close may already be on the way.
 	IdleMargin time.Duration
-	// Unacknowledged is how long sent bytes may stay unacknowledged before a connection
+	// UserTimeout is how long sent bytes may stay unacknowledged before a connection
 	// counts as dead.
-	Unacknowledged time.Duration
+	UserTimeout time.Duration
 	// IsOwnResponse reports whether an answer belongs to the request with an id, and for how
 	// long the connection may then stay idle; 0 if unknown.
 	IsOwnResponse func(head *framer.ResponseHead, requestID string) (own bool, idle time.Duration)
