--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -144,7 +144,7 @@
 		case <-pump.Chan():
 			f.pump()
 		case <-sweep.Chan():
-			f.Sender.Sweep()
+			f.Sender.CloseExpired()
 			f.logTallies()
 		}
 	}
--- a/gateway/sender/sender.go
+++ b/gateway/sender/sender.go
@@ -300,8 +300,8 @@
 	s.idle[backend] = append(s.idle[backend], l)
 }
 
-// Sweep closes connections that have been idle for too long. Call it now and then.
-func (s *Sender) Sweep() {
+// CloseExpired closes connections that have been idle for too long. Call it now and then.
+func (s *Sender) CloseExpired() {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
