--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -200,7 +200,7 @@
 		f.Isolator.ObserveAnnouncement(a)
 		switch {
 		case a.GetReplaced():
-			f.Sender.Abandon(a.GetId())
+			f.Sender.CloseAll(a.GetId())
 			f.Granter.Forget(a.GetId())
 		case a.GetGone():
 			f.Sender.Forget(a.GetId())
--- a/gateway/sender/sender.go
+++ b/gateway/sender/sender.go
@@ -342,10 +342,10 @@
 	}
 }
 
-// Abandon closes all connections to a start of a backend server that has ended, also those
+// CloseAll closes all connections to a start of a backend server that has ended, also those
 // with a request: nothing more comes on them, and without a reset a request would wait for
 // it until its time is over.
-func (s *Sender) Abandon(backend string) {
+func (s *Sender) CloseAll(backend string) {
 	s.Forget(backend)
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/gateway/sender/sender_test.go
+++ b/gateway/sender/sender_test.go
@@ -55,7 +55,7 @@
 		return ended
 	}
 	earlier, other := send("i-1~1"), send("i-2~1")
-	s.Abandon("i-1~1")
+	s.CloseAll("i-1~1")
 	// It may have run; only its answer is lost for certain.
 	c.Check(<-earlier, qt.Equals, KindLost)
 	select {
