--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -225,7 +225,7 @@
 	f.mu.Lock()
 	f.balancer.RemoveBackend(backend.GetId())
 	f.mu.Unlock()
-	f.Sender.Forget(backend.GetId())
+	f.Sender.CloseIdle(backend.GetId())
 }
 
 // expired ends a request whose caller has left or whose time is over.
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -203,7 +203,7 @@
 			f.Sender.CloseAll(a.GetId())
 			f.Granter.Forget(a.GetId())
 		case a.GetGone():
-			f.Sender.Forget(a.GetId())
+			f.Sender.CloseIdle(a.GetId())
 			f.Granter.Forget(a.GetId())
 		}
 	}
--- a/gateway/sender/sender.go
+++ b/gateway/sender/sender.go
@@ -346,7 +346,7 @@
 // with a request: nothing more comes on them, and without a reset a request would wait for
 // it until its time is over.
 func (s *Sender) CloseAll(backend string) {
-	s.Forget(backend)
+	s.CloseIdle(backend)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for l := range s.busy[backend] {
@@ -354,8 +354,8 @@
 	}
 }
 
-// Forget closes the idle connections to a backend server.
-func (s *Sender) Forget(backend string) {
+// CloseIdle closes the idle connections to a backend server.
+func (s *Sender) CloseIdle(backend string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.idle[backend] {
