--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -145,7 +145,7 @@
 		return false
 	}
 	if sender.KindOf(err) == sender.KindNotSent {
-		if sender.IsRefused(err) {
+		if sender.IsConnectionRefused(err) {
 			f.Isolator.RecordExit(backend.GetId())
 		}
 		f.done(j, backend.GetId(), balancer.Unreachable)
--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -97,7 +97,7 @@
 func (f *Forwarder) processEnded(ctx context.Context, backend, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	return sender.IsRefused(f.Sender.Probe(ctx, backend, address))
+	return sender.IsConnectionRefused(f.Sender.Probe(ctx, backend, address))
 }
 
 // initIsolator prepares the isolator, and makes one if there is none.
--- a/gateway/sender/dial_test.go
+++ b/gateway/sender/dial_test.go
@@ -30,9 +30,9 @@
 	address := listener.Addr().String()
 	c.Assert(listener.Close(), qt.IsNil)
 	refused := s.Probe(context.Background(), "b", address)
-	c.Check(IsRefused(refused), qt.IsTrue)
+	c.Check(IsConnectionRefused(refused), qt.IsTrue)
 	c.Check(KindOf(refused), qt.Equals, KindNotSent)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	c.Check(IsRefused(s.Probe(ended, "b", address)), qt.IsFalse)
+	c.Check(IsConnectionRefused(s.Probe(ended, "b", address)), qt.IsFalse)
 }
--- a/gateway/sender/fault.go
+++ b/gateway/sender/fault.go
@@ -41,8 +41,8 @@
 	return 0
 }
 
-// IsRefused reports whether nothing listens at an address: the process there has ended.
-func IsRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
+// IsConnectionRefused reports whether nothing listens at an address: the process there has ended.
+func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 func wrap(operation string, kind Kind, err error) error {
 	return &Error{Operation: operation, Kind: kind, cause: err}
