--- a/gateway/dispatcher/dispatcher.go
+++ b/gateway/dispatcher/dispatcher.go
@@ -62,8 +62,8 @@
 	Unheard bool
 	// Missing tells that the engine does not have the adapter.
 	Missing bool
-	// Resumed is how often the answer was taken up again.
-	Resumed int
+	// Resumes is how often the answer was taken up again.
+	Resumes int
 	Err     error
 }
 
@@ -88,8 +88,8 @@
 		AnswerID: translator.AnswerID(x.Path, x.RequestID), Model: x.Model,
 	}}
 	out := a.first(ctx)
-	for out.Err != nil && out.Ran == RanUnknown && out.Resumed < maxResumes && ctx.Err() == nil && !a.rejected {
-		out = a.resume(ctx, out.Resumed+1)
+	for out.Err != nil && out.Ran == RanUnknown && out.Resumes < maxResumes && ctx.Err() == nil && !a.rejected {
+		out = a.resume(ctx, out.Resumes+1)
 	}
 	if out.Err != nil && out.Ran == RanUnknown {
 		out = a.settle(out)
@@ -105,8 +105,8 @@
 		AnswerID: translator.AnswerID(x.Path, x.RequestID), Model: x.Model,
 	}}
 	out := Outcome{Ran: RanUnknown, Err: errors.New("dispatcher: not asked yet")}
-	for out.Err != nil && out.Resumed < maxResumes && ctx.Err() == nil {
-		out = a.resume(ctx, out.Resumed+1)
+	for out.Err != nil && out.Resumes < maxResumes && ctx.Err() == nil {
+		out = a.resume(ctx, out.Resumes+1)
 	}
 	if out.Unheard {
 		out = a.settle(out)
@@ -154,17 +154,17 @@
 	defer watch.stop()
 	req, err := a.request(watched, http.MethodGet, translator.ResumePath(a.exchange.RequestID, a.events), nil)
 	if err != nil {
-		return Outcome{Ran: RanUnknown, Err: err, Resumed: count}
+		return Outcome{Ran: RanUnknown, Err: err, Resumes: count}
 	}
 	res, err := a.dispatcher.Fresh.RoundTrip(req)
 	if err != nil {
-		return Outcome{Ran: RanUnknown, Err: errors.Wrap(err, "dispatcher: resume"), Resumed: count}
+		return Outcome{Ran: RanUnknown, Err: errors.Wrap(err, "dispatcher: resume"), Resumes: count}
 	}
 	defer func() { _ = res.Body.Close() }()
 	if res.StatusCode == http.StatusNotFound {
 		// The engine does not know the request; settle makes sure that it never will.
 		return Outcome{
-			Ran: RanUnknown, Unheard: true, Resumed: maxResumes,
+			Ran: RanUnknown, Unheard: true, Resumes: maxResumes,
 			Err: errors.New("dispatcher: the engine does not know the request"),
 		}
 	}
@@ -232,19 +232,19 @@
 		return a.refusal(res, body, count)
 	}
 	if got := res.Header.Get(translator.RequestIDHeader); got != "" && got != a.exchange.RequestID {
-		return Outcome{Ran: RanUnknown, Err: errors.Errorf("dispatcher: the answer is for %s", got), Resumed: count}
+		return Outcome{Ran: RanUnknown, Err: errors.Errorf("dispatcher: the answer is for %s", got), Resumes: count}
 	}
 	if a.exchange.Emit != nil {
 		return a.stream(body, count)
 	}
 	data, err := io.ReadAll(io.LimitReader(body, maxAnswer))
 	if err != nil {
-		return Outcome{Ran: RanUnknown, Err: errors.Wrap(err, "dispatcher: the answer was cut"), Resumed: count}
+		return Outcome{Ran: RanUnknown, Err: errors.Wrap(err, "dispatcher: the answer was cut"), Resumes: count}
 	}
 	if err := a.expect.Check(data); err != nil {
-		return Outcome{Ran: RanUnknown, Err: err, Resumed: count}
+		return Outcome{Ran: RanUnknown, Err: err, Resumes: count}
 	}
-	return Outcome{Ran: RanYes, Status: res.StatusCode, Body: data, Resumed: count}
+	return Outcome{Ran: RanYes, Status: res.StatusCode, Body: data, Resumes: count}
 }
 
 // stream emits events that were checked, one by one.
@@ -253,17 +253,17 @@
 	for {
 		data, done, err := events.Next()
 		if err != nil {
-			return Outcome{Ran: RanUnknown, Err: err, Resumed: count}
+			return Outcome{Ran: RanUnknown, Err: err, Resumes: count}
 		}
 		if done {
-			return Outcome{Ran: RanYes, Status: http.StatusOK, Resumed: count}
+			return Outcome{Ran: RanYes, Status: http.StatusOK, Resumes: count}
 		}
 		if err := a.expect.Check(data); err != nil {
-			return Outcome{Ran: RanUnknown, Err: err, Resumed: count}
+			return Outcome{Ran: RanUnknown, Err: err, Resumes: count}
 		}
 		if err := a.exchange.Emit(data); err != nil {
 			a.rejected = true
-			return Outcome{Ran: RanUnknown, Err: err, Resumed: count}
+			return Outcome{Ran: RanUnknown, Err: err, Resumes: count}
 		}
 		a.events++
 	}
@@ -274,7 +274,7 @@
 // refusal takes an engine's word that it did not run a request, where it gives it.
 func (a *attempt) refusal(res *http.Response, body io.Reader, count int) Outcome {
 	text, _ := io.ReadAll(io.LimitReader(body, maxRefusal))
-	out := Outcome{Ran: RanUnknown, Status: res.StatusCode, Body: text, Resumed: count}
+	out := Outcome{Ran: RanUnknown, Status: res.StatusCode, Body: text, Resumes: count}
 	if res.Header.Get(translator.RanHeader) == translator.RanNo && a.events == 0 {
 		out.Ran = RanNo
 	}
@@ -282,7 +282,7 @@
 	out.Err = errors.Errorf("dispatcher: the engine answered %s", res.Status)
 	if out.Ran == RanUnknown {
 		// A final answer that says nothing of running; resuming would not change it.
-		out.Resumed = maxResumes
+		out.Resumes = maxResumes
 	}
 	return out
 }
--- a/gateway/receiver/completions.go
+++ b/gateway/receiver/completions.go
@@ -126,7 +126,7 @@
 		return step{final: true}
 	}
 	r.Explainer.Note(e.id, e.terms.Customer(), "%s: %v, ran: %s, events passed on: %d, resumed %d times",
-		candidate.Backend.GetName(), out.Err, out.Ran, out.Events, out.Resumed)
+		candidate.Backend.GetName(), out.Err, out.Ran, out.Events, out.Resumes)
 	if out.Ran == dispatcher.RanUnknown {
 		r.lostRun(e, candidate, c.started)
 	}
