--- a/gateway/dispatcher/dispatcher.go
+++ b/gateway/dispatcher/dispatcher.go
@@ -70,8 +70,8 @@
 // Dispatcher talks to backend servers. Set the exported fields before use.
 type Dispatcher struct {
 	Clock clockwork.Clock
-	// Work sends new requests; its connections are guarded by the session.
-	Work *http.Transport
+	// SessionTransport sends new requests; its connections are guarded by the session.
+	SessionTransport *http.Transport
 	// Fresh makes a new connection for each call, for what must not meet one that
 	// has gone silent.
 	Fresh http.RoundTripper
@@ -132,10 +132,10 @@
 	if err != nil {
 		return Outcome{Ran: RanNo, Err: err}
 	}
-	res, err := a.dispatcher.Work.RoundTrip(req)
+	res, err := a.dispatcher.SessionTransport.RoundTrip(req)
 	if err != nil {
 		// The other idle connections may be as silent as this one was.
-		a.dispatcher.Work.CloseIdleConnections()
+		a.dispatcher.SessionTransport.CloseIdleConnections()
 		return Outcome{Ran: ranAfter(err), Err: errors.Wrap(err, "dispatcher")}
 	}
 	defer func() { _ = res.Body.Close() }()
