--- a/gateway/dispatcher/dispatcher.go
+++ b/gateway/dispatcher/dispatcher.go
@@ -72,9 +72,9 @@
 	Clock clockwork.Clock
 	// SessionTransport sends new requests; its connections are guarded by the session.
 	SessionTransport *http.Transport
-	// Fresh makes a new connection for each call, for what must not meet one that
+	// UnpooledTransport makes a new connection for each call, for what must not meet one that
 	// has gone silent.
-	Fresh http.RoundTripper
+	UnpooledTransport http.RoundTripper
 	// FreshWork is like Fresh, and guarded by the session.
 	FreshWork http.RoundTripper
 	// SilenceAfter is how long an answer may send nothing before it is taken up on
@@ -156,7 +156,7 @@
 	if err != nil {
 		return Outcome{Ran: RanUnknown, Err: err, Resumes: count}
 	}
-	res, err := a.dispatcher.Fresh.RoundTrip(req)
+	res, err := a.dispatcher.UnpooledTransport.RoundTrip(req)
 	if err != nil {
 		return Outcome{Ran: RanUnknown, Err: errors.Wrap(err, "dispatcher: resume"), Resumes: count}
 	}
@@ -190,7 +190,7 @@
 	if err != nil {
 		return RanUnknown, errors.Wrap(err, "dispatcher: cancel")
 	}
-	res, err := d.Fresh.RoundTrip(req)
+	res, err := d.UnpooledTransport.RoundTrip(req)
 	if err != nil {
 		return RanUnknown, errors.Wrap(err, "dispatcher: cancel")
 	}
--- a/gateway/dispatcher/dispatcher_test.go
+++ b/gateway/dispatcher/dispatcher_test.go
@@ -40,7 +40,7 @@
 			}))
 			defer engine.Close()
 			d := &Dispatcher{
-				Clock: clockwork.NewRealClock(), SessionTransport: &http.Transport{}, Fresh: &http.Transport{DisableKeepAlives: true},
+				Clock: clockwork.NewRealClock(), SessionTransport: &http.Transport{}, UnpooledTransport: &http.Transport{DisableKeepAlives: true},
 				SilenceAfter: time.Minute,
 			}
 			out := d.Run(context.Background(), &Exchange{
