--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -176,7 +176,7 @@
 	freshWork := connector.NewTransport(a.scheduler.CheckSession)
 	freshWork.DisableKeepAlives = true
 	return &dispatcher.Dispatcher{
-		Clock: a.Clock, SessionTransport: connector.NewTransport(a.scheduler.CheckSession), UnpooledTransport: fresh, FreshWork: freshWork,
+		Clock: a.Clock, SessionTransport: connector.NewTransport(a.scheduler.CheckSession), UnpooledTransport: fresh, UnpooledSessionTransport: freshWork,
 		SilenceAfter: a.Settings.Requests.SilenceAfter,
 	}
 }
--- a/gateway/dispatcher/dispatcher.go
+++ b/gateway/dispatcher/dispatcher.go
@@ -75,8 +75,8 @@
 	// UnpooledTransport makes a new connection for each call, for what must not meet one that
 	// has gone silent.
 	UnpooledTransport http.RoundTripper
-	// FreshWork is like Fresh, and guarded by the session.
-	FreshWork http.RoundTripper
+	// UnpooledSessionTransport is like Fresh, and guarded by the session.
+	UnpooledSessionTransport http.RoundTripper
 	// SilenceAfter is how long an answer may send nothing before it is taken up on
 	// a new connection.
 	SilenceAfter time.Duration
--- a/gateway/dispatcher/services.go
+++ b/gateway/dispatcher/services.go
@@ -66,7 +66,7 @@
 	if len(c.Body) > 0 || c.Once {
 		setBody(req, c.Body)
 	}
-	res, err := d.FreshWork.RoundTrip(req)
+	res, err := d.UnpooledSessionTransport.RoundTrip(req)
 	if err != nil {
 		return &ServiceAnswer{Ran: ranAfter(err), Err: errors.Wrap(err, "dispatcher")}
 	}
