--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -177,7 +177,7 @@
 	freshWork.DisableKeepAlives = true
 	return &dispatcher.Dispatcher{
 		Clock: a.Clock, SessionTransport: connector.NewTransport(a.scheduler.CheckSession), UnpooledTransport: fresh, UnpooledSessionTransport: freshWork,
-		SilenceAfter: a.Settings.Requests.SilenceAfter,
+		SilenceTimeout: a.Settings.Requests.SilenceAfter,
 	}
 }
 
--- a/gateway/dispatcher/dispatcher.go
+++ b/gateway/dispatcher/dispatcher.go
@@ -77,9 +77,9 @@
 	UnpooledTransport http.RoundTripper
 	// UnpooledSessionTransport is like Fresh, and guarded by the session.
 	UnpooledSessionTransport http.RoundTripper
-	// SilenceAfter is how long an answer may send nothing before it is taken up on
+	// SilenceTimeout is how long an answer may send nothing before it is taken up on
 	// a new connection.
-	SilenceAfter time.Duration
+	SilenceTimeout time.Duration
 }
 
 // Run carries out an exchange.
--- a/gateway/dispatcher/dispatcher_test.go
+++ b/gateway/dispatcher/dispatcher_test.go
@@ -41,7 +41,7 @@
 			defer engine.Close()
 			d := &Dispatcher{
 				Clock: clockwork.NewRealClock(), SessionTransport: &http.Transport{}, UnpooledTransport: &http.Transport{DisableKeepAlives: true},
-				SilenceAfter: time.Minute,
+				SilenceTimeout: time.Minute,
 			}
 			out := d.Run(context.Background(), &Exchange{
 				RequestID: "r", Address: strings.TrimPrefix(engine.URL, "http://"), Incarnation: "first",
--- a/gateway/dispatcher/watch.go
+++ b/gateway/dispatcher/watch.go
@@ -24,7 +24,7 @@
 func watchSilence(ctx context.Context, d *Dispatcher) (context.Context, *watch) {
 	watched, cancel := context.WithCancel(ctx)
 	return watched, &watch{
-		timer: d.Clock.AfterFunc(d.SilenceAfter, cancel), cancel: cancel, silence: d.SilenceAfter,
+		timer: d.Clock.AfterFunc(d.SilenceTimeout, cancel), cancel: cancel, silence: d.SilenceTimeout,
 	}
 }
 
