--- a/gateway/dispatcher/services.go
+++ b/gateway/dispatcher/services.go
@@ -28,8 +28,8 @@
 	Buffer int
 }
 
-// ServiceAnswer is the answer of a plain service.
-type ServiceAnswer struct {
+// ServiceResponse is the answer of a plain service.
+type ServiceResponse struct {
 	Ran    Ran
 	Status int
 	Header http.Header
@@ -51,10 +51,10 @@
 // Call carries out a request to a plain service. Silence can't be probed, since a
 // plain service can't be asked what became of a request. So each call goes out on a
 // connection of its own, which no earlier use can have left silent.
-func (d *Dispatcher) Call(ctx context.Context, c *ServiceCall) *ServiceAnswer {
+func (d *Dispatcher) Call(ctx context.Context, c *ServiceCall) *ServiceResponse {
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Address+c.Path, nil)
 	if err != nil {
-		return &ServiceAnswer{Ran: RanNo, Err: errors.Wrap(err, "dispatcher")}
+		return &ServiceResponse{Ran: RanNo, Err: errors.Wrap(err, "dispatcher")}
 	}
 	req.Header = c.Header.Clone()
 	for _, name := range hopHeaders() {
@@ -68,18 +68,18 @@
 	}
 	res, err := d.UnpooledSessionTransport.RoundTrip(req)
 	if err != nil {
-		return &ServiceAnswer{Ran: ranAfter(err), Err: errors.Wrap(err, "dispatcher")}
+		return &ServiceResponse{Ran: ranAfter(err), Err: errors.Wrap(err, "dispatcher")}
 	}
 	return c.read(res)
 }
 
 // read takes in the beginning of an answer, so that a short one is known to be whole
 // before any of it is passed on.
-func (c *ServiceCall) read(res *http.Response) *ServiceAnswer {
-	a := &ServiceAnswer{Ran: RanYes, Status: res.StatusCode, Header: res.Header}
+func (c *ServiceCall) read(res *http.Response) *ServiceResponse {
+	a := &ServiceResponse{Ran: RanYes, Status: res.StatusCode, Header: res.Header}
 	if got := res.Header.Get(translator.RequestIDHeader); got != "" && got != c.RequestID {
 		_ = res.Body.Close()
-		return &ServiceAnswer{Ran: RanUnknown, Err: errors.Errorf("dispatcher: the answer is for %s", got)}
+		return &ServiceResponse{Ran: RanUnknown, Err: errors.Errorf("dispatcher: the answer is for %s", got)}
 	}
 	if res.Header.Get(translator.RanHeader) == translator.RanNo && res.StatusCode >= http.StatusInternalServerError {
 		a.Ran = RanNo
@@ -90,7 +90,7 @@
 	body, err := io.ReadAll(io.LimitReader(res.Body, int64(c.Buffer)))
 	if err != nil {
 		_ = res.Body.Close()
-		return &ServiceAnswer{Ran: RanUnknown, Err: errors.Wrap(err, "dispatcher: the answer was cut")}
+		return &ServiceResponse{Ran: RanUnknown, Err: errors.Wrap(err, "dispatcher: the answer was cut")}
 	}
 	a.Body = body
 	if len(body) < c.Buffer {
--- a/gateway/receiver/services.go
+++ b/gateway/receiver/services.go
@@ -128,7 +128,7 @@
 	return c.afterFailure(ctx, requestID, answer)
 }
 
-func (c *serviceCall) afterFailure(ctx context.Context, requestID string, answer *dispatcher.ServiceAnswer) step {
+func (c *serviceCall) afterFailure(ctx context.Context, requestID string, answer *dispatcher.ServiceResponse) step {
 	r, e := c.receiver, c.entry
 	switch {
 	case answer.Ran == dispatcher.RanNo:
@@ -145,7 +145,7 @@
 }
 
 // deliver passes the service's answer on, and stores it for the key.
-func (c *serviceCall) deliver(requestID string, a *dispatcher.ServiceAnswer) step {
+func (c *serviceCall) deliver(requestID string, a *dispatcher.ServiceResponse) step {
 	r, e := c.receiver, c.entry
 	h := c.writer.Header()
 	for name, values := range a.Header {
@@ -164,7 +164,7 @@
 }
 
 // pipe passes a long answer on piece by piece. One that is cut shows as cut.
-func (c *serviceCall) pipe(a *dispatcher.ServiceAnswer) step {
+func (c *serviceCall) pipe(a *dispatcher.ServiceResponse) step {
 	defer func() { _ = a.Rest.Close() }()
 	c.writer.Header().Del("Content-Length")
 	c.writer.Header().Set("Transfer-Encoding", "chunked")
