--- a/gateway/dispatcher/services.go
+++ b/gateway/dispatcher/services.go
@@ -22,8 +22,8 @@
 	Body     []byte
 	Priority int32
 	Session  uint64
-	// Once marks a request that must not run twice.
-	Once bool
+	// NonIdempotent marks a request that must not run twice.
+	NonIdempotent bool
 	// Buffer is how much of an answer is read before any of it is passed on.
 	Buffer int
 }
@@ -63,7 +63,7 @@
 	req.Header.Set(translator.RequestIDHeader, c.RequestID)
 	req.Header.Set(translator.PriorityHeader, strconv.Itoa(int(c.Priority)))
 	req.Header.Set(translator.SessionHeader, strconv.FormatUint(c.Session, 10))
-	if len(c.Body) > 0 || c.Once {
+	if len(c.Body) > 0 || c.NonIdempotent {
 		setBody(req, c.Body)
 	}
 	res, err := d.UnpooledSessionTransport.RoundTrip(req)
