--- a/gateway/dispatcher/services.go
+++ b/gateway/dispatcher/services.go
@@ -24,8 +24,8 @@
 	Session  uint64
 	// NonIdempotent marks a request that must not run twice.
 	NonIdempotent bool
-	// Buffer is how much of an answer is read before any of it is passed on.
-	Buffer int
+	// MaxBuffered is how much of an answer is read before any of it is passed on.
+	MaxBuffered int
 }
 
 // ServiceResponse is the answer of a plain service.
@@ -87,13 +87,13 @@
 	for _, name := range hopHeaders() {
 		a.Header.Del(name)
 	}
-	body, err := io.ReadAll(io.LimitReader(res.Body, int64(c.Buffer)))
+	body, err := io.ReadAll(io.LimitReader(res.Body, int64(c.MaxBuffered)))
 	if err != nil {
 		_ = res.Body.Close()
 		return &ServiceResponse{Ran: RanUnknown, Err: errors.Wrap(err, "dispatcher: the answer was cut")}
 	}
 	a.Body = body
-	if len(body) < c.Buffer {
+	if len(body) < c.MaxBuffered {
 		_ = res.Body.Close()
 		return a
 	}
--- a/gateway/receiver/services.go
+++ b/gateway/receiver/services.go
@@ -115,7 +115,7 @@
 	answer := r.Dispatcher.Call(ctx, &dispatcher.ServiceCall{
 		RequestID: requestID, Address: candidate.Backend.GetAddress(), Method: e.http.Method,
 		Path: c.path, Header: e.http.Header, Body: e.body, Priority: e.job.Priority,
-		Session: r.Session(), NonIdempotent: e.once, Buffer: serviceBuffer,
+		Session: r.Session(), NonIdempotent: e.once, MaxBuffered: serviceBuffer,
 	})
 	if answer.Err == nil && answer.Ran != dispatcher.RanNo {
 		r.completedRun(e, candidate)
