--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -48,8 +48,8 @@
 	maxRunReserve = 400 * time.Millisecond
 )
 
-// Budget says how many requests may be sent again.
-type Budget struct {
+// RetryBudget says how many requests may be sent again.
+type RetryBudget struct {
 	Window time.Duration
 	Ratio  float64
 	// Slack is the number of repeats in a window, over all gateways, beside the ratio.
@@ -63,7 +63,7 @@
 	Zone   string
 	Sender *sender.Sender
 	Meter  *meter.Meter
-	Budget Budget
+	Budget RetryBudget
 	Keys   Keys
 	// Off are the mechanisms that an experiment does without.
 	Off ablator.Off
--- a/gateway/forwarder/forwarder_test.go
+++ b/gateway/forwarder/forwarder_test.go
@@ -144,7 +144,7 @@
 			c := qt.New(t)
 			f := &Forwarder{
 				Clock: clockwork.NewFakeClock(), Log: slog.New(slog.DiscardHandler),
-				Budget: Budget{Window: 10 * time.Second, Ratio: 0.2, Slack: 100},
+				Budget: RetryBudget{Window: 10 * time.Second, Ratio: 0.2, Slack: 100},
 			}
 			f.Init()
 			for _, n := range test.told {
--- a/gateway/forwarder/harness_test.go
+++ b/gateway/forwarder/harness_test.go
@@ -63,7 +63,7 @@
 	log := slog.New(slog.NewTextHandler(c.Output(), nil))
 	f := &Forwarder{
 		Clock: clock, Log: log, Meter: meter.New("gateway", "test", "z"), Acquire: func([]*wire.Want) {},
-		Budget:    Budget{Window: 10 * time.Second, Ratio: 0.2, Slack: 200},
+		Budget:    RetryBudget{Window: 10 * time.Second, Ratio: 0.2, Slack: 200},
 		Regulator: &regulator.Regulator{Clock: clock, Log: log},
 		Sender: &sender.Sender{
 			Clock: clock, DialTimeout: time.Second, MaxIdle: time.Second,
