--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -122,7 +122,7 @@
 		Regulator: r.regulator, Granter: r.granter, Isolator: r.isolator, Borrower: r.borrower,
 		Clock: r.Clock, Log: r.Log, Zone: s.Instance.Zone, Meter: r.meter, Acquire: r.want, Off: s.off(),
 		Budget: forwarder.RetryBudget{Window: s.Budget.Window, Ratio: s.Budget.Ratio, Slack: s.Budget.Slack},
-		Keys:   forwarder.Keys{Strict: s.Keys.Strict, StaleAfter: s.Keys.StaleAfter},
+		Keys:   forwarder.KeyPolicy{Strict: s.Keys.Strict, StaleAfter: s.Keys.StaleAfter},
 		Sender: &sender.Sender{
 			Clock: r.Clock, DialTimeout: s.Backends.DialTimeout, MaxIdle: s.Backends.MaxIdle,
 			IdleMargin: s.Backends.IdleMargin, UserTimeout: s.Backends.Unacknowledged, IsOwnResponse: ownAnswer,
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -64,7 +64,7 @@
 	Sender *sender.Sender
 	Meter  *meter.Meter
 	Budget RetryBudget
-	Keys   Keys
+	Keys   KeyPolicy
 	// Off are the mechanisms that an experiment does without.
 	Off ablator.Off
 	// Regulator paces prompts; nil sends them at once.
--- a/gateway/forwarder/key.go
+++ b/gateway/forwarder/key.go
@@ -22,8 +22,8 @@
 	reasonKeysOld      = "no controller was heard for so long that keys may have been taken away"
 )
 
-// Keys says how keys are judged while no controller is heard.
-type Keys struct {
+// KeyPolicy says how keys are judged while no controller is heard.
+type KeyPolicy struct {
 	// Strict refuses requests that need a key once the leader's word is older than StaleAfter.
 	Strict     bool
 	StaleAfter time.Duration
--- a/gateway/forwarder/key_test.go
+++ b/gateway/forwarder/key_test.go
@@ -104,7 +104,7 @@
 			c := qt.New(t)
 			b := newBackend(c, "b", runsAndAnswers(200, "x"))
 			address, f := keyedGateway(c, test.age, b)
-			f.Keys = Keys{Strict: test.strict, StaleAfter: 5 * time.Second}
+			f.Keys = KeyPolicy{Strict: test.strict, StaleAfter: 5 * time.Second}
 			c.Check(call(c, address, "/safe/", withKey(test.key)).status, qt.Equals, test.want)
 		})
 	}
