--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -73,8 +73,8 @@
 	Isolator *isolator.Isolator
 	// Granter keeps backend servers to the request limits that they announce.
 	Granter *granter.Granter
-	// Borrower keeps customers to their limits; nil lets all pass.
-	Borrower *quotaenforcer.Enforcer
+	// QuotaEnforcer keeps customers to their limits; nil lets all pass.
+	QuotaEnforcer *quotaenforcer.Enforcer
 	// Acquire asks the leader for adapters. It must not block.
 	Acquire func(wants []*wire.Want)
 	// NewsAge returns how old the leader's word is that decisions rest on; nil if nobody asks.
@@ -160,8 +160,8 @@
 		}
 		f.table = matcher.New(t)
 		f.forgetRoutes(t)
-		if f.Borrower != nil {
-			f.Borrower.SetCustomers(t.GetCustomers())
+		if f.QuotaEnforcer != nil {
+			f.QuotaEnforcer.SetCustomers(t.GetCustomers())
 		}
 		f.Log.Info("a table is in force", "Version", t.GetVersion(), "Controller", controller, "Routes", len(t.GetRoutes()))
 	}
--- a/gateway/forwarder/limit.go
+++ b/gateway/forwarder/limit.go
@@ -44,11 +44,11 @@
 // refuses the request and reports false if there is none.
 func (f *Forwarder) within(ctx context.Context, j *job) bool {
 	limit := j.customer.GetLimit()
-	if f.Borrower == nil || limit == nil || j.charge.held {
+	if f.QuotaEnforcer == nil || limit == nil || j.charge.held {
 		return true
 	}
 	j.charge = charge{customer: j.customer.GetName(), size: sizeOf(j, limit)}
-	verdict := f.Borrower.Admit(ctx, j.charge.customer, limit, j.charge.size)
+	verdict := f.QuotaEnforcer.Admit(ctx, j.charge.customer, limit, j.charge.size)
 	if verdict.Admitted {
 		j.charge.held = true
 		return true
@@ -70,7 +70,7 @@
 // spend notes that a request is sent on.
 func (f *Forwarder) spend(j *job) {
 	if j.charge.held {
-		f.Borrower.Spend(j.charge.customer, j.charge.size)
+		f.QuotaEnforcer.Spend(j.charge.customer, j.charge.size)
 		j.charge.held, j.charge.spent = false, true
 	}
 }
@@ -78,7 +78,7 @@
 // refund notes that a request which was sent on has certainly not run.
 func (f *Forwarder) refund(j *job) {
 	if j.charge.spent {
-		f.Borrower.Refund(j.charge.customer, j.charge.size)
+		f.QuotaEnforcer.Refund(j.charge.customer, j.charge.size)
 		j.charge.held, j.charge.spent = true, false
 	}
 }
@@ -86,7 +86,7 @@
 // releaseCharge gives back the credit of a request that was not sent on in the end.
 func (f *Forwarder) releaseCharge(j *job) {
 	if j.charge.held {
-		f.Borrower.Release(j.charge.customer, j.charge.size)
+		f.QuotaEnforcer.Release(j.charge.customer, j.charge.size)
 		j.charge.held = false
 	}
 }
--- a/gateway/forwarder/limit_test.go
+++ b/gateway/forwarder/limit_test.go
@@ -34,14 +34,14 @@
 	table.Customers[0].Limit = &wire.CustomerLimit{Unit: unit, Burst: units, PlainTokens: 40}
 	l := &quotaallocator.Allocator{Rule: quotaallocator.Rule{Window: time.Hour, Slack: 1000}}
 	l.Begin(time.Now().Add(-2*time.Hour), 1, table.Customers)
-	f.Borrower = &quotaenforcer.Enforcer{
+	f.QuotaEnforcer = &quotaenforcer.Enforcer{
 		Clock: f.Clock, Log: slog.New(slog.DiscardHandler), Gateway: "g", Upstream: func() string { return "leader" },
 		Client: func(string) wire.Limits { return bank{l} },
 	}
-	f.Borrower.Init()
+	f.QuotaEnforcer.Init()
 	ctx, cancel := context.WithCancel(context.Background())
 	c.Cleanup(cancel)
-	go f.Borrower.Run(ctx)
+	go f.QuotaEnforcer.Run(ctx)
 	f.Apply("controller", firstTable(backends...))
 	f.Apply("controller", &wire.SyncResponse{Table: table})
 	return address, f
@@ -104,7 +104,7 @@
 			}
 			c.Check(int(one.runs.Load()+other.runs.Load()), qt.Equals, test.want)
 			// The caller has its answer before the gateway has let go of the request.
-			eventually(c, func() bool { return f.Borrower.Status("c1").Held == 0 })
+			eventually(c, func() bool { return f.QuotaEnforcer.Status("c1").Held == 0 })
 		})
 	}
 }
--- a/gateway/forwarder/story.go
+++ b/gateway/forwarder/story.go
@@ -51,7 +51,7 @@
 		list = append(list, "Customer", j.customer.GetName())
 	}
 	if j.charge.size > 0 && !j.charge.held && !j.charge.spent {
-		s := f.Borrower.Status(j.charge.customer)
+		s := f.QuotaEnforcer.Status(j.charge.customer)
 		list = append(list, "Size", j.charge.size, "Credit", s.Unspent, "Held", s.Held, "Allowance", s.Allowance, "CreditAge", s.Age.Milliseconds())
 	}
 	if backend == nil {
