--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -120,7 +120,7 @@
 	r.borrower.Init()
 	r.forwarder = &forwarder.Forwarder{
 		Regulator: r.regulator, Granter: r.granter, Isolator: r.isolator, QuotaEnforcer: r.borrower,
-		Clock: r.Clock, Log: r.Log, Zone: s.Instance.Zone, Meter: r.meter, Acquire: r.want, Off: s.off(),
+		Clock: r.Clock, Log: r.Log, Zone: s.Instance.Zone, Meter: r.meter, RequestAdapters: r.want, Off: s.off(),
 		Budget: forwarder.RetryBudget{Window: s.Budget.Window, Ratio: s.Budget.Ratio, Slack: s.Budget.Slack},
 		Keys:   forwarder.KeyPolicy{Strict: s.Keys.Strict, StaleAfter: s.Keys.StaleAfter},
 		Sender: &sender.Sender{
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -75,8 +75,8 @@
 	Granter *granter.Granter
 	// QuotaEnforcer keeps customers to their limits; nil lets all pass.
 	QuotaEnforcer *quotaenforcer.Enforcer
-	// Acquire asks the leader for adapters. It must not block.
-	Acquire func(wants []*wire.Want)
+	// RequestAdapters asks the leader for adapters. It must not block.
+	RequestAdapters func(wants []*wire.Want)
 	// NewsAge returns how old the leader's word is that decisions rest on; nil if nobody asks.
 	NewsAge func() time.Duration
 
@@ -284,6 +284,6 @@
 	}
 	f.mu.Unlock()
 	if len(wants) > 0 {
-		f.Acquire(wants)
+		f.RequestAdapters(wants)
 	}
 }
--- a/gateway/forwarder/harness_test.go
+++ b/gateway/forwarder/harness_test.go
@@ -62,7 +62,7 @@
 func newGateway(c *qt.C, clock clockwork.Clock) (string, *Forwarder) {
 	log := slog.New(slog.NewTextHandler(c.Output(), nil))
 	f := &Forwarder{
-		Clock: clock, Log: log, Meter: meter.New("gateway", "test", "z"), Acquire: func([]*wire.Want) {},
+		Clock: clock, Log: log, Meter: meter.New("gateway", "test", "z"), RequestAdapters: func([]*wire.Want) {},
 		Budget:    RetryBudget{Window: 10 * time.Second, Ratio: 0.2, Slack: 200},
 		Regulator: &regulator.Regulator{Clock: clock, Log: log},
 		Sender: &sender.Sender{
