--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -137,7 +137,7 @@
 		Granter: r.granter,
 	}
 	r.relayer.Init()
-	r.forwarder.NewsAge = r.relayer.LeaderAge
+	r.forwarder.LeaderAge = r.relayer.LeaderAge
 	r.follower = &synchronizer.Synchronizer{
 		Clock: r.Clock, Log: r.Log, Gateway: s.Instance.Name, Self: self, Seeds: func() []string { return *r.seeds.Load() },
 		Relayer: r.relayer, Demand: r.forwarder.Demand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -77,8 +77,8 @@
 	QuotaEnforcer *quotaenforcer.Enforcer
 	// RequestAdapters asks the leader for adapters. It must not block.
 	RequestAdapters func(wants []*wire.Want)
-	// NewsAge returns how old the leader's word is that decisions rest on; nil if nobody asks.
-	NewsAge func() time.Duration
+	// LeaderAge returns how old the leader's word is that decisions rest on; nil if nobody asks.
+	LeaderAge func() time.Duration
 
 	closed atomic.Bool
 	// startedAt is when the gateway started; tableKnown is closed by its first table, for
--- a/gateway/forwarder/key.go
+++ b/gateway/forwarder/key.go
@@ -64,10 +64,10 @@
 
 // wordAge returns how old the leader's word is; 0 if nobody asks.
 func (f *Forwarder) wordAge() time.Duration {
-	if f.NewsAge == nil {
+	if f.LeaderAge == nil {
 		return 0
 	}
-	return f.NewsAge()
+	return f.LeaderAge()
 }
 
 func (f *Forwarder) keysAreOld() bool {
--- a/gateway/forwarder/key_test.go
+++ b/gateway/forwarder/key_test.go
@@ -41,7 +41,7 @@
 
 func keyedGateway(c *qt.C, age time.Duration, backends ...*backendFake) (string, *Forwarder) {
 	address, f := gatewayAndForwarder(c, backends...)
-	f.NewsAge = func() time.Duration { return age }
+	f.LeaderAge = func() time.Duration { return age }
 	f.Apply("controller", &wire.SyncResponse{Table: keyed(4, "k1", "k2")})
 	return address, f
 }
--- a/gateway/forwarder/story.go
+++ b/gateway/forwarder/story.go
@@ -41,8 +41,8 @@
 	if retriedAfter := j.req.ReceivedAt.Sub(j.askedAt); !j.askedAt.IsZero() && retriedAfter > 0 {
 		list = append(list, "RetriedAfter", retriedAfter.Milliseconds())
 	}
-	if f.NewsAge != nil {
-		list = append(list, "NewsAge", f.NewsAge().Milliseconds())
+	if f.LeaderAge != nil {
+		list = append(list, "NewsAge", f.LeaderAge().Milliseconds())
 	}
 	if j.route != nil {
 		list = append(list, "Route", j.route.GetName(), "Service", j.service, "Adapter", j.adapter)
