--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -140,7 +140,7 @@
 	r.forwarder.LeaderAge = r.relayer.LeaderAge
 	r.follower = &synchronizer.Synchronizer{
 		Clock: r.Clock, Log: r.Log, Gateway: s.Instance.Name, Self: self, Seeds: func() []string { return *r.seeds.Load() },
-		Relayer: r.relayer, Demand: r.forwarder.Demand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
+		Relayer: r.relayer, Demand: r.forwarder.TakeDemand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
 		Granter: r.granter,
 	}
 	r.door = &doorkeeper.Doorkeeper{
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -249,8 +249,8 @@
 	return f.balancer.Loads()
 }
 
-// Demand returns and clears the requests for each adapter since the last call.
-func (f *Forwarder) Demand() []*wire.Demand {
+// TakeDemand returns and clears the requests for each adapter since the last call.
+func (f *Forwarder) TakeDemand() []*wire.Demand {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := make([]*wire.Demand, 0, len(f.demand))
