--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -128,7 +128,7 @@
 			IdleMargin: s.Backends.IdleMargin, UserTimeout: s.Backends.Unacknowledged, IsOwnResponse: ownAnswer,
 		},
 	}
-	r.regulator.OnPeerPauses = r.forwarder.HearOfPauses
+	r.regulator.OnPeerPauses = r.forwarder.ObservePeerPauses
 	r.forwarder.Init()
 	self := &wire.GatewayEntry{Address: s.meshAddress(), Zone: s.Instance.Zone}
 	r.relayer = &relayer.Relayer{
--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -71,9 +71,9 @@
 	return n
 }
 
-// HearOfPauses notes that another gateway paces prompts for an engine, since it has seen long
+// ObservePeerPauses notes that another gateway paces prompts for an engine, since it has seen long
 // pauses itself.
-func (f *Forwarder) HearOfPauses(backend, gateway string) {
+func (f *Forwarder) ObservePeerPauses(backend, gateway string) {
 	now := f.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
