--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -130,7 +130,7 @@
 			FailureBackoff: retrier.Backoff{Initial: time.Second, Max: time.Minute}, Evict: v.evict,
 		}},
 		router: &router.Router{Zone: "here", Policy: router.Policy{
-			BatchWeight: 1, StallWeight: 1, MaxLeaseIdle: 10 * time.Second, SuspectFor: time.Second,
+			BatchWeight: 1, StallWeight: 1, MaxLeaseIdle: 10 * time.Second, SuspectPeriod: time.Second,
 		}},
 		zipf: rand.NewZipf(random, c.Skew, 1, uint64(c.Adapters-1)),
 	}
--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -121,7 +121,7 @@
 		Router: &router.Router{Zone: s.Instance.Zone, Policy: router.Policy{
 			BatchWeight: s.Policy.BatchWeight, StallWeight: s.Policy.StallWeight,
 			PrefixWeight: s.Policy.PrefixWeight, ZoneWeight: s.Policy.ZoneWeight,
-			SuspectFor: s.Policy.SuspectFor, MaxLeaseIdle: s.Policy.IdleLease,
+			SuspectPeriod: s.Policy.SuspectFor, MaxLeaseIdle: s.Policy.IdleLease,
 		}},
 		RequestRenewal: func() { a.renewer.RequestRenewal() },
 	}
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -29,8 +29,8 @@
 	PrefixWeight float64
 	// ZoneWeight counts leaving the gateway's availability zone.
 	ZoneWeight float64
-	// SuspectFor is how long a backend server that failed is tried last.
-	SuspectFor time.Duration
+	// SuspectPeriod is how long a backend server that failed is tried last.
+	SuspectPeriod time.Duration
 	// MaxLeaseIdle is how long an unused lease is kept.
 	MaxLeaseIdle time.Duration
 }
@@ -296,7 +296,7 @@
 		b.own--
 		b.sent--
 		if failed {
-			b.suspects = now.Add(r.Policy.SuspectFor)
+			b.suspects = now.Add(r.Policy.SuspectPeriod)
 		}
 	}
 	if l := r.leases[c.Lease]; l != nil {
--- a/pkg/router/router_test.go
+++ b/pkg/router/router_test.go
@@ -25,7 +25,7 @@
 
 func newRouter(backends ...*wire.Backend) *router.Router {
 	r := &router.Router{Zone: "here", Policy: router.Policy{
-		BatchWeight: 1, StallWeight: 1, PrefixWeight: 0.3, ZoneWeight: 0.1, SuspectFor: time.Second, MaxLeaseIdle: time.Second,
+		BatchWeight: 1, StallWeight: 1, PrefixWeight: 0.3, ZoneWeight: 0.1, SuspectPeriod: time.Second, MaxLeaseIdle: time.Second,
 	}}
 	r.Update(backends, nil, nil, true)
 	for i, b := range backends {
