--- a/gateway/dispatcher/dispatcher.go
+++ b/gateway/dispatcher/dispatcher.go
@@ -58,8 +58,8 @@
 	Body   []byte
 	// Events is the number of events that were emitted.
 	Events int
-	// Unheard tells that the engine does not know the request.
-	Unheard bool
+	// UnknownRequest tells that the engine does not know the request.
+	UnknownRequest bool
 	// Missing tells that the engine does not have the adapter.
 	Missing bool
 	// Resumes is how often the answer was taken up again.
@@ -108,7 +108,7 @@
 	for out.Err != nil && out.Resumes < maxResumes && ctx.Err() == nil {
 		out = a.resume(ctx, out.Resumes+1)
 	}
-	if out.Unheard {
+	if out.UnknownRequest {
 		out = a.settle(out)
 	}
 	out.Events = a.events
@@ -164,7 +164,7 @@
 	if res.StatusCode == http.StatusNotFound {
 		// The engine does not know the request; settle makes sure that it never will.
 		return Outcome{
-			Ran: RanUnknown, Unheard: true, Resumes: maxResumes,
+			Ran: RanUnknown, UnknownRequest: true, Resumes: maxResumes,
 			Err: errors.New("dispatcher: the engine does not know the request"),
 		}
 	}
