--- a/gateway/dispatcher/dispatcher.go
+++ b/gateway/dispatcher/dispatcher.go
@@ -60,8 +60,8 @@
 	Events int
 	// UnknownRequest tells that the engine does not know the request.
 	UnknownRequest bool
-	// Missing tells that the engine does not have the adapter.
-	Missing bool
+	// AdapterMissing tells that the engine does not have the adapter.
+	AdapterMissing bool
 	// Resumes is how often the answer was taken up again.
 	Resumes int
 	Err     error
@@ -278,7 +278,7 @@
 	if res.Header.Get(translator.RanHeader) == translator.RanNo && a.events == 0 {
 		out.Ran = RanNo
 	}
-	out.Missing = res.StatusCode == http.StatusNotFound
+	out.AdapterMissing = res.StatusCode == http.StatusNotFound
 	out.Err = errors.Errorf("dispatcher: the engine answered %s", res.Status)
 	if out.Ran == RanUnknown {
 		// A final answer that says nothing of running; resuming would not change it.
--- a/gateway/receiver/completions.go
+++ b/gateway/receiver/completions.go
@@ -153,9 +153,9 @@
 	switch {
 	case out.Ran == dispatcher.RanNo && e.key != "":
 		r.release(ctx, e, requestID)
-		return step{failed: !out.Missing, missing: out.Missing}
+		return step{failed: !out.AdapterMissing, missing: out.AdapterMissing}
 	case out.Ran == dispatcher.RanNo && !gone:
-		return step{failed: !out.Missing, missing: out.Missing}
+		return step{failed: !out.AdapterMissing, missing: out.AdapterMissing}
 	case e.once:
 		r.store(e, requestID, &wire.Outcome{Unknown: true})
 	case !c.started && !gone && r.mayRunAgain(ctx, e):
