--- a/gateway/forwarder/ablation_test.go
+++ b/gateway/forwarder/ablation_test.go
@@ -16,58 +16,58 @@
 	"bronzelead.example/platform"
 )
 
-// withoutMechanisms returns a forwarder that does without mechanisms, and a job for an
-// adapter on a paced route of the second priority.
-func withoutMechanisms(off ...ablator.Mechanism) (*Forwarder, *job) {
+// newAblatedForwarder returns a forwarder with mechanisms disabled, and a job for an adapter on
+// a paced route of the second priority.
+func newAblatedForwarder(off ...ablator.Mechanism) (*Forwarder, *job) {
 	f := &Forwarder{Clock: clockwork.NewFakeClock(), Off: ablator.Without(off...)}
 	f.Init()
-	route := prompts(&wire.Route{Priority: 2, Repetition: wire.Repetition_REPETITION_STREAM})
-	j := &job{route: route, service: "s", adapter: "m/x", about: platform.Request{PromptTokens: 100}, req: &doorkeeper.Request{Head: &framer.RequestHead{}}}
+	route := withPrompts(&wire.Route{Priority: 2, Repetition: wire.Repetition_REPETITION_STREAM})
+	j := &job{route: route, service: "s", adapter: "m/x", meta: platform.Request{PromptTokens: 100}, req: &doorkeeper.Request{Head: &framer.RequestHead{}}}
 	return f, j
 }
 
-// The engine is told how urgent a request is, unless the order by priority is off.
-func TestPriorityOrderCanBeSwitchedOff(t *testing.T) {
+// The engine receives a request's urgency, unless the order by priority is off.
+func TestPriorityOrderAblation(t *testing.T) {
 	for name, test := range map[string]struct {
 		off  []ablator.Mechanism
-		told bool
+		sent bool
 	}{
 		"on":  {nil, true},
 		"off": {[]ablator.Mechanism{ablator.PriorityOrder}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f, j := withoutMechanisms(test.off...)
+			f, j := newAblatedForwarder(test.off...)
 			out := f.outgoing(j, balancer.Decision{Backend: &wire.Announcement{Id: "e"}})
-			told := platform.EncodeDispatch(nil, platform.Dispatch{Urgency: 2})
-			qt.New(t).Check(out.Header.Get(told[len(told)-1].Name) == "2", qt.Equals, test.told)
+			dispatch := platform.EncodeDispatch(nil, platform.Dispatch{Urgency: 2})
+			qt.New(t).Check(out.Header.Get(dispatch[len(dispatch)-1].Name) == "2", qt.Equals, test.sent)
 		})
 	}
 }
 
-// A tenth of the budget of repeats is left, unless that is off.
-func TestBudgetMarginCanBeSwitchedOff(t *testing.T) {
+// A tenth of the retry budget remains unused, unless the margin is off.
+func TestBudgetMarginAblation(t *testing.T) {
 	c := qt.New(t)
-	on, _ := withoutMechanisms()
-	off, _ := withoutMechanisms(ablator.BudgetMargin)
+	on, _ := newAblatedForwarder()
+	off, _ := newAblatedForwarder(ablator.BudgetMargin)
 	c.Check(on.budgetMargin(), qt.Equals, budgetMargin)
 	c.Check(off.budgetMargin(), qt.Equals, 1.0)
 }
 
-// Where pacing is off nobody looks whether prompts have to wait.
-func TestPacingCanBeSwitchedOff(t *testing.T) {
+// With pacing off, prompts are not checked for it.
+func TestPacingAblation(t *testing.T) {
 	for name, test := range map[string]struct {
-		off    []ablator.Mechanism
-		looked int
+		off     []ablator.Mechanism
+		checked int
 	}{
 		"on":  {nil, 1},
 		"off": {[]ablator.Mechanism{ablator.Pacing}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			f, j := withoutMechanisms(test.off...)
+			f, j := newAblatedForwarder(test.off...)
 			f.Regulator = &regulator.Regulator{Clock: f.Clock}
 			c.Check(f.admitPrompt(context.Background(), j, &wire.Announcement{Id: "e"}), qt.IsTrue)
-			c.Check(f.needs, qt.HasLen, test.looked)
+			c.Check(f.pacingActivations, qt.HasLen, test.checked)
 		})
 	}
 }
--- a/gateway/forwarder/absent_model_test.go
+++ b/gateway/forwarder/absent_model_test.go
@@ -11,19 +11,19 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// An engine restarts and does not have its base model yet. A request for the model alone is
-// told so; that speaks of the model and not of the engine, which later serves adapters.
-func TestAnEngineWithoutItsModelStaysKnown(t *testing.T) {
+// After a restart an engine lacks its base model, and rejects a request for the model alone.
+// The gateway must not remove the engine, which later serves adapters.
+func TestEngineWithoutBaseModelStaysKnown(t *testing.T) {
 	c := qt.New(t)
 	var loaded atomic.Bool
 	serves := runsAndAnswers(http.StatusOK, "loaded")
-	engine := newBackend(c, "e", func(b *backendFake, req *http.Request, conn net.Conn) bool {
+	engine := newBackend(c, "e", func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 		if loaded.Load() {
 			return serves(b, req, conn)
 		}
 		return refuses(statusMisdirected)(b, req, conn)
 	})
-	address, f := gatewayAndForwarder(c)
+	address, f := startGatewayAndForwarder(c)
 	first := firstTable(engine)
 	first.Table.Services[0].Engine = &wire.EngineLimits{Models: []string{"m"}}
 	first.Table.Version++
--- a/gateway/forwarder/age.go
+++ b/gateway/forwarder/age.go
@@ -7,40 +7,40 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// backdate estimates when the caller first sent a request. Callers retry on new connections, so
-// that a request on a reused one is a first try.
-func (f *Forwarder) backdate(j *job) {
-	j.askedAt = j.req.ReceivedAt
-	if j.about.Patience == 0 {
+// estimateFirstSent estimates when the caller first sent a request. Callers retry on new
+// connections, so a request on a reused connection is a first attempt.
+func (f *Forwarder) estimateFirstSent(j *job) {
+	j.firstSentAt = j.req.ReceivedAt
+	if j.meta.Patience == 0 {
 		return
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	b := f.backdaters[j.route.GetName()]
+	b := f.ageEstimators[j.route.GetName()]
 	if b == nil {
 		b = &ageestimator.Estimator{}
-		f.backdaters[j.route.GetName()] = b
+		f.ageEstimators[j.route.GetName()] = b
 	}
 	if j.req.Reused {
-		b.Observe(j.about.Patience)
+		b.Observe(j.meta.Patience)
 		return
 	}
-	j.askedAt = j.req.ReceivedAt.Add(-b.Age(j.about.Patience))
+	j.firstSentAt = j.req.ReceivedAt.Add(-b.Age(j.meta.Patience))
 }
 
-// inTimeUntil is when the caller stops counting an answer as in time.
-func (j *job) inTimeUntil() time.Time {
-	return j.askedAt.Add(milliseconds(j.route.GetObjectiveMs()))
+// onTimeUntil returns when an answer stops counting as on time for the caller.
+func (j *job) onTimeUntil() time.Time {
+	return j.firstSentAt.Add(milliseconds(j.route.GetObjectiveMs()))
 }
 
-// forgetRoutes drops what is known of routes that a new table does not have. The caller holds
-// the lock.
-func (f *Forwarder) forgetRoutes(t *wire.RoutingTable) {
-	kept := map[string]*ageestimator.Estimator{}
+// pruneAgeEstimators removes the estimators of routes that a new table does not have. The
+// caller holds the lock.
+func (f *Forwarder) pruneAgeEstimators(t *wire.RoutingTable) {
+	retained := map[string]*ageestimator.Estimator{}
 	for _, r := range t.GetRoutes() {
-		if b := f.backdaters[r.GetName()]; b != nil {
-			kept[r.GetName()] = b
+		if b := f.ageEstimators[r.GetName()]; b != nil {
+			retained[r.GetName()] = b
 		}
 	}
-	f.backdaters = kept
+	f.ageEstimators = retained
 }
--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -25,69 +25,69 @@
 	statusMisdirected = http.StatusMisdirectedRequest
 )
 
-// try sends a request once and reports whether it is to be tried again.
-func (f *Forwarder) try(ctx context.Context, j *job) bool {
-	j.dispensed = f.dispensed(j)
+// attempt sends a request once and reports whether to retry it.
+func (f *Forwarder) attempt(ctx context.Context, j *job) bool {
+	j.usesSlotGrants = f.needsSlotGrant(j)
 	d, decided := f.choose(ctx, j)
 	if !decided {
-		f.expired(ctx, j)
+		f.handleExpiry(ctx, j)
 		return false
 	}
 	if d.Backend == nil {
 		f.giveUp(j, d.Reason, d.RetryAfter)
 		return false
 	}
-	if j.dispensed && !f.admitSlot(ctx, j, d.Backend) {
+	if j.usesSlotGrants && !f.acquireSlot(ctx, j, d.Backend) {
 		return f.refuseSlot(ctx, j, d.Backend)
 	}
 	if !f.admitPrompt(ctx, j, d.Backend) {
 		return f.chooseAgain(ctx, j, d.Backend)
 	}
-	defer f.promptDropped(j)
-	if f.isolated(j) {
-		// What it waited for has shown meanwhile that it ends backend servers.
-		f.done(j, d.Backend.GetId(), balancer.Abandoned)
+	defer f.abandonPrompt(j)
+	if f.refuseQuarantined(j) {
+		// While the request waited, it was found to crash backend servers.
+		f.recordOutcome(j, d.Backend.GetId(), balancer.Abandoned)
 		return false
 	}
-	if !f.keyHolds(j) || !f.within(ctx, j) {
-		f.done(j, d.Backend.GetId(), balancer.Abandoned)
+	if !f.revalidateKey(j) || !f.reserveQuota(ctx, j) {
+		f.recordOutcome(j, d.Backend.GetId(), balancer.Abandoned)
 		return false
 	}
 	if !f.throttle(ctx, j, d.Backend) {
 		return f.chooseAgain(ctx, j, d.Backend)
 	}
-	f.spend(j)
+	f.spendQuota(j)
 	j.sends++
-	j.last, j.sentAt = d.Backend, f.Clock.Now()
-	f.noteSent(j)
+	j.lastBackend, j.sentAt = d.Backend, f.Clock.Now()
+	f.recordSent(j)
 	in, err := f.Sender.Send(ctx, f.outgoing(j, d))
 	if err != nil {
-		return f.failed(ctx, j, d.Backend, err)
+		return f.handleSendError(ctx, j, d.Backend, err)
 	}
-	return f.take(ctx, j, d, in)
+	return f.handleResponse(ctx, j, d, in)
 }
 
-// take handles the answer to a try, and reports whether the request is to be tried again.
-func (f *Forwarder) take(ctx context.Context, j *job, d balancer.Decision, in *sender.Response) bool {
+// handleResponse handles the answer to an attempt, and reports whether to retry the request.
+func (f *Forwarder) handleResponse(ctx context.Context, j *job, d balancer.Decision, in *sender.Response) bool {
 	answer := platform.DecodeAnswer(in.Head)
 	f.observeLimit(j, in.Head.Status, answer)
 	switch {
 	case answer.NotRun:
 		in.Close()
-		f.refund(j)
-		return f.rejected(j, d.Backend, in.Head.Status)
+		f.refundQuota(j)
+		return f.handleRejection(j, d.Backend, in.Head.Status)
 	case !answer.Signed || answer.Encoded:
 		in.Close()
 		j.runs++
-		f.done(j, d.Backend.GetId(), balancer.Failed)
-		return f.lost(j, d.Backend, "the answer is not the backend server's")
-	case in.Head.Status >= http.StatusInternalServerError && f.repeatable(j) && j.runs+1 < f.attempts(j) && f.repeats(j):
+		f.recordOutcome(j, d.Backend.GetId(), balancer.Failed)
+		return f.handleLostResponse(j, d.Backend, "the answer is not the backend server's")
+	case in.Head.Status >= http.StatusInternalServerError && f.repeatable(j) && j.runs+1 < f.maxAttempts(j) && f.mayRetry(j):
 		in.Close()
 		j.runs++
-		f.done(j, d.Backend.GetId(), balancer.Failed)
-		f.Isolator.RecordCompletion(j.prints, d.Backend.GetId())
+		f.recordOutcome(j, d.Backend.GetId(), balancer.Failed)
+		f.Isolator.RecordCompletion(j.requestFingerprints, d.Backend.GetId())
 		j.avoid = append(j.avoid, d.Backend.GetId())
-		f.event(j, d.Backend, "the backend server failed; sent again", in.Head.Status)
+		f.logEvent(j, d.Backend, "the backend server failed; sent again", in.Head.Status)
 		return true
 	}
 	j.runs++
@@ -95,62 +95,62 @@
 		return f.relayStream(ctx, j, d.Backend, in)
 	}
 	if j.reply.Begun() {
-		// The caller would take a failure, or anything else that is not the rest of its
-		// stream, for a part of it.
+		// The caller would take a failure, or anything else that is not the rest of its stream,
+		// for a part of it.
 		in.Close()
-		f.done(j, d.Backend.GetId(), balancer.Failed)
-		return f.lost(j, d.Backend, "the stream can't go on with this answer, status "+strconv.Itoa(in.Head.Status))
+		f.recordOutcome(j, d.Backend.GetId(), balancer.Failed)
+		return f.handleLostResponse(j, d.Backend, "the stream can't go on with this answer, status "+strconv.Itoa(in.Head.Status))
 	}
-	return f.relayWhole(ctx, j, d.Backend, in)
+	return f.relayBuffered(ctx, j, d.Backend, in)
 }
 
 func (f *Forwarder) outgoing(j *job, d balancer.Decision) *sender.Request {
 	dispatch := platform.Dispatch{
-		Name: d.Backend.GetName(), AdapterVersion: d.Version, Urgency: -1, Resumes: j.resume, Customer: j.customer.GetName(),
+		Name: d.Backend.GetName(), AdapterVersion: d.Version, Urgency: -1, Resumes: j.lastEventID, Customer: j.customer.GetName(),
 	}
-	if !j.patience.IsZero() {
-		dispatch.Left = j.until.Sub(f.Clock.Now())
+	if !j.clientDeadline.IsZero() {
+		dispatch.Left = j.deadline.Sub(f.Clock.Now())
 	}
 	if j.adapter != "" && !f.Off.Has(ablator.PriorityOrder) {
-		dispatch.Urgency = min(int(j.urgency()), leastUrgent)
+		dispatch.Urgency = min(int(j.urgency()), lowestUrgency)
 	}
 	return &sender.Request{
-		Backend: d.Backend.GetId(), Address: d.Backend.GetAddress(), RequestID: j.about.ID,
+		Backend: d.Backend.GetId(), Address: d.Backend.GetAddress(), RequestID: j.meta.ID,
 		Method: j.req.Head.Method, Target: j.req.Head.Target,
 		Header: platform.EncodeDispatch(j.req.Head.Header, dispatch), Body: j.req.Body,
 	}
 }
 
-// leastUrgent is the lowest urgency that an engine knows.
-const leastUrgent = 9
+// lowestUrgency is the lowest urgency that an engine supports.
+const lowestUrgency = 9
 
 // repeatable reports whether a request may run again after it may have run.
 func (f *Forwarder) repeatable(j *job) bool {
 	return j.route.GetRepetition() == wire.Repetition_REPETITION_IDEMPOTENT || j.route.GetResumable()
 }
 
-func (f *Forwarder) attempts(j *job) int { return max(1, int(j.route.GetMaxAttempts())) }
+func (f *Forwarder) maxAttempts(j *job) int { return max(1, int(j.route.GetMaxAttempts())) }
 
-// failed handles a try that got no answer.
-func (f *Forwarder) failed(ctx context.Context, j *job, backend *wire.Announcement, err error) bool {
+// handleSendError handles an attempt without an answer.
+func (f *Forwarder) handleSendError(ctx context.Context, j *job, backend *wire.Announcement, err error) bool {
 	if sender.KindOf(err) == sender.KindNotSent {
-		f.refund(j)
+		f.refundQuota(j)
 	}
 	if ctx.Err() != nil {
-		f.done(j, backend.GetId(), balancer.Abandoned)
+		f.recordOutcome(j, backend.GetId(), balancer.Abandoned)
 		if sender.KindOf(err) != sender.KindNotSent {
 			j.runs++
 		}
-		f.expired(ctx, j)
+		f.handleExpiry(ctx, j)
 		return false
 	}
 	if sender.KindOf(err) == sender.KindNotSent {
 		if sender.IsConnectionRefused(err) {
 			f.Isolator.RecordExit(backend.GetId())
 		}
-		f.done(j, backend.GetId(), balancer.Unreachable)
+		f.recordOutcome(j, backend.GetId(), balancer.Unreachable)
 		j.avoid = append(j.avoid, backend.GetId())
-		f.event(j, backend, "the backend server could not be reached: "+err.Error(), 0)
+		f.logEvent(j, backend, "the backend server could not be reached: "+err.Error(), 0)
 		if j.sends < maxSends {
 			return true
 		}
@@ -158,19 +158,19 @@
 		return false
 	}
 	j.runs++
-	f.done(j, backend.GetId(), balancer.Failed)
-	return f.lost(j, backend, err.Error())
+	f.recordOutcome(j, backend.GetId(), balancer.Failed)
+	return f.handleLostResponse(j, backend, err.Error())
 }
 
-// lost handles a request that may have run and got no whole answer.
-func (f *Forwarder) lost(j *job, backend *wire.Announcement, reason string) bool {
+// handleLostResponse handles a request that may have run and got no complete answer.
+func (f *Forwarder) handleLostResponse(j *job, backend *wire.Announcement, reason string) bool {
 	j.avoid = append(j.avoid, backend.GetId())
-	f.lostRun(j, backend)
-	if f.repeatable(j) && j.runs < f.attempts(j) && !f.mayEndMore(j) && f.repeats(j) {
-		f.event(j, backend, "the answer was lost; sent again: "+reason, 0)
+	f.reportLostRun(j, backend)
+	if f.repeatable(j) && j.runs < f.maxAttempts(j) && !f.mayCrashMore(j) && f.mayRetry(j) {
+		f.logEvent(j, backend, "the answer was lost; sent again: "+reason, 0)
 		return true
 	}
-	f.event(j, backend, "the answer was lost: "+reason, statusBadGateway)
+	f.logEvent(j, backend, "the answer was lost: "+reason, statusBadGateway)
 	if j.reply.Begun() {
 		j.reply.Abort()
 		return false
@@ -183,23 +183,23 @@
 // the time of one short answer.
 const retryAfterRejection = 300 * time.Millisecond
 
-// rejected handles an answer which vouches that the request did not run.
-func (f *Forwarder) rejected(j *job, backend *wire.Announcement, status int) bool {
+// handleRejection handles an answer which states that the request did not run.
+func (f *Forwarder) handleRejection(j *job, backend *wire.Announcement, status int) bool {
 	outcome := balancer.Full
 	if status == statusMisdirected {
 		outcome = balancer.Absent
 	}
-	f.done(j, backend.GetId(), outcome)
+	f.recordOutcome(j, backend.GetId(), outcome)
 	isEngine := f.isEngine(j.service)
 	if status == statusMisdirected && !isEngine {
-		// Another start has this address now.
-		f.left(backend)
+		// Another incarnation has this address now.
+		f.removeBackend(backend)
 	}
-	f.event(j, backend, "the backend server did not run the request", status)
+	f.logEvent(j, backend, "the backend server did not run the request", status)
 	if outcome == balancer.Full || isEngine && j.adapter == "" {
 		j.avoid = append(j.avoid, backend.GetId())
 	}
-	if j.sends < maxSends && f.repeats(j) {
+	if j.sends < maxSends && f.mayRetry(j) {
 		return true
 	}
 	if j.reply.Begun() {
@@ -210,17 +210,17 @@
 	return false
 }
 
-// isEngine reports whether a service's backend servers hold models. One that has restarted
-// answers, until its model is there, as another start would; to forget it would leave it
-// unused for good, since it is announced only when something about it changes.
+// isEngine reports whether a service's backend servers hold models. An engine that has
+// restarted answers, until its model is loaded, like another incarnation. Removing it would
+// leave it unused for good, since it is announced only when something about it changes.
 func (f *Forwarder) isEngine(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.table.Service(service).GetEngine() != nil
 }
 
-func (f *Forwarder) left(backend *wire.Announcement) {
-	f.Log.Info("a backend server is forgotten", "Backend", backend.GetId(), "Address", backend.GetAddress(),
+func (f *Forwarder) removeBackend(backend *wire.Announcement) {
+	f.Log.Info("removed a backend server", "Backend", backend.GetId(), "Address", backend.GetAddress(),
 		"Reason", "another start answers at its address")
 	f.mu.Lock()
 	f.balancer.RemoveBackend(backend.GetId())
@@ -228,33 +228,33 @@
 	f.Sender.CloseIdle(backend.GetId())
 }
 
-// expired ends a request whose caller has left or whose time is over.
-func (f *Forwarder) expired(ctx context.Context, j *job) {
+// handleExpiry ends a request whose caller has disconnected or whose deadline has passed.
+func (f *Forwarder) handleExpiry(ctx context.Context, j *job) {
 	if ctx.Err() == context.Canceled {
-		f.event(j, nil, "the caller has left", 0)
+		f.logEvent(j, nil, "the caller has left", 0)
 		j.reply.Abort()
 		return
 	}
 	switch {
 	case j.reply.Begun():
-		f.event(j, nil, "the time is over in the middle of the answer", 0)
+		f.logEvent(j, nil, "the time is over in the middle of the answer", 0)
 		j.reply.Abort()
 	case j.runs > 0:
-		f.event(j, nil, "the time is over", statusTimeout)
+		f.logEvent(j, nil, "the time is over", statusTimeout)
 		f.fail(j, statusTimeout)
 	default:
 		f.giveUp(j, balancer.ReasonTimeout, retryAfterRejection)
 	}
 }
 
-// giveUp refuses a request. If no try of it may have run, the refusal says so.
+// giveUp refuses a request. If no attempt of it may have run, the refusal says so.
 func (f *Forwarder) giveUp(j *job, reason string, retryAfter time.Duration) {
 	switch {
 	case j.reply.Begun():
-		f.event(j, nil, reason, 0)
+		f.logEvent(j, nil, reason, 0)
 		j.reply.Abort()
 	case j.runs > 0:
-		f.event(j, nil, reason, statusBadGateway)
+		f.logEvent(j, nil, reason, statusBadGateway)
 		f.fail(j, statusBadGateway)
 	default:
 		f.refuse(j, statusUnavailable, reason, retryAfter)
@@ -262,55 +262,55 @@
 }
 
 func (f *Forwarder) refuse(j *job, status int, reason string, retryAfter time.Duration) {
-	f.event(j, nil, reason, status)
-	j.reply.Send(status, platform.EncodeRefusal(j.about.ID, retryAfter), []byte(reason+"\n"))
+	f.logEvent(j, nil, reason, status)
+	j.reply.Send(status, platform.EncodeRefusal(j.meta.ID, retryAfter), []byte(reason+"\n"))
 }
 
 func (f *Forwarder) fail(j *job, status int) {
-	j.reply.Send(status, platform.EncodeRefusal(j.about.ID, 0), []byte(http.StatusText(status)+"\n"))
+	j.reply.Send(status, platform.EncodeRefusal(j.meta.ID, 0), []byte(http.StatusText(status)+"\n"))
 }
 
 const (
-	// maxWhole bounds the answers that are read to their end before they are passed on, so
-	// that one which breaks off can be asked for again or reported as a failure.
-	maxWhole = 256 << 10
-	readSize = 8 << 10
+	// maxBufferedBody bounds the answers that are read completely before they are relayed, so
+	// that an interrupted one can be retried or reported as a failure.
+	maxBufferedBody = 256 << 10
+	readSize        = 8 << 10
 )
 
-// relayWhole passes on an answer that is not a stream.
-func (f *Forwarder) relayWhole(ctx context.Context, j *job, backend *wire.Announcement, in *sender.Response) bool {
+// relayBuffered relays an answer that is not a stream.
+func (f *Forwarder) relayBuffered(ctx context.Context, j *job, backend *wire.Announcement, in *sender.Response) bool {
 	header := platform.EncodeAnswer(in.Head.Header)
-	body, err := io.ReadAll(io.LimitReader(in.Body, maxWhole))
+	body, err := io.ReadAll(io.LimitReader(in.Body, maxBufferedBody))
 	if err == nil && !in.Body.Ended() {
-		return f.relayLong(j, backend, in, header, body)
+		return f.relayUnbuffered(j, backend, in, header, body)
 	}
 	in.Close()
 	if err != nil {
 		if ctx.Err() != nil {
-			f.done(j, backend.GetId(), balancer.Abandoned)
-			f.expired(ctx, j)
+			f.recordOutcome(j, backend.GetId(), balancer.Abandoned)
+			f.handleExpiry(ctx, j)
 			return false
 		}
-		f.done(j, backend.GetId(), balancer.Failed)
-		return f.lost(j, backend, err.Error())
+		f.recordOutcome(j, backend.GetId(), balancer.Failed)
+		return f.handleLostResponse(j, backend, err.Error())
 	}
 	outcome := balancer.Served
 	if in.Head.Status >= http.StatusInternalServerError {
 		outcome = balancer.Failed
 	}
-	f.done(j, backend.GetId(), outcome)
+	f.recordOutcome(j, backend.GetId(), outcome)
 	f.endPrompt(j, true)
-	f.completedRun(j, backend)
+	f.reportCompletedRun(j, backend)
 	if in.Body.Framing == framer.FramingNone {
 		j.reply.SendHead(in.Head.Status, withLength(header, in.Head.Header))
 	} else {
 		j.reply.Send(in.Head.Status, header, body)
 	}
-	f.served(j, backend, in.Head.Status)
+	f.logServed(j, backend, in.Head.Status)
 	return false
 }
 
-// withLength keeps the length that an answer without a body announces, as to HEAD.
+// withLength keeps the length announced by an answer without a body, as to HEAD.
 func withLength(header, original framer.Header) framer.Header {
 	if length := original.Get("Content-Length"); length != "" {
 		return append(header, framer.Field{Name: "Content-Length", Value: length})
@@ -318,8 +318,8 @@
 	return header
 }
 
-// relayLong passes on an answer that is too long to be kept.
-func (f *Forwarder) relayLong(j *job, backend *wire.Announcement, in *sender.Response, header framer.Header, begun []byte) bool {
+// relayUnbuffered relays an answer that is too long to be buffered.
+func (f *Forwarder) relayUnbuffered(j *job, backend *wire.Announcement, in *sender.Response, header framer.Header, begun []byte) bool {
 	defer in.Close()
 	err := j.reply.Begin(in.Head.Status, header)
 	if err == nil {
@@ -330,19 +330,19 @@
 		n, readErr := in.Body.Read(buf)
 		err = j.reply.Write(buf[:n])
 		if readErr == io.EOF && err == nil {
-			f.done(j, backend.GetId(), balancer.Served)
-			f.completedRun(j, backend)
+			f.recordOutcome(j, backend.GetId(), balancer.Served)
+			f.reportCompletedRun(j, backend)
 			j.reply.End()
-			f.served(j, backend, in.Head.Status)
+			f.logServed(j, backend, in.Head.Status)
 			return false
 		}
 		if readErr != nil {
 			err = readErr
-			f.lostRun(j, backend)
+			f.reportLostRun(j, backend)
 		}
 	}
-	f.done(j, backend.GetId(), balancer.Abandoned)
-	f.event(j, backend, "a long answer broke off: "+err.Error(), 0)
+	f.recordOutcome(j, backend.GetId(), balancer.Abandoned)
+	f.logEvent(j, backend, "a long answer broke off: "+err.Error(), 0)
 	j.reply.Abort()
 	return false
 }
--- a/gateway/forwarder/backend_fake_test.go
+++ b/gateway/forwarder/backend_fake_test.go
@@ -17,9 +17,9 @@
 	"bronzelead.example/platform"
 )
 
-// backendFake answers each request on a connection by a function that gets the request
-// and the connection to write to. It counts the requests that it ran.
-type backendFake struct {
+// fakeBackend answers each request on a connection with a function that takes the request and
+// the connection to write to. It counts the requests that it ran.
+type fakeBackend struct {
 	id       string
 	listener net.Listener
 	runs     atomic.Int32
@@ -27,12 +27,12 @@
 	heads    []*http.Request
 }
 
-type handler func(b *backendFake, req *http.Request, conn net.Conn) (keep bool)
+type handler func(b *fakeBackend, req *http.Request, conn net.Conn) (keep bool)
 
-func newBackend(c *qt.C, id string, handle handler) *backendFake {
+func newBackend(c *qt.C, id string, handle handler) *fakeBackend {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	b := &backendFake{id: id, listener: listener}
+	b := &fakeBackend{id: id, listener: listener}
 	c.Cleanup(func() { _ = listener.Close() })
 	go func() {
 		for {
@@ -46,7 +46,7 @@
 	return b
 }
 
-func (b *backendFake) serve(conn net.Conn, handle handler) {
+func (b *fakeBackend) serve(conn net.Conn, handle handler) {
 	defer func() { _ = conn.Close() }()
 	reader := bufio.NewReader(conn)
 	for {
@@ -66,17 +66,17 @@
 	}
 }
 
-func (b *backendFake) announcement(service string) *wire.Announcement {
+func (b *fakeBackend) announcement(service string) *wire.Announcement {
 	return &wire.Announcement{Id: b.id, Name: b.id, Service: service, Address: b.listener.Addr().String(), Slots: 4, Sequence: 1}
 }
 
-func (b *backendFake) requests() []*http.Request {
+func (b *fakeBackend) requests() []*http.Request {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.heads
 }
 
-// fields returns the header of a request or an answer in the product's own type.
+// fields returns the header of a request or an answer in the framer's type.
 func fields(h http.Header) framer.Header {
 	var all framer.Header
 	for name, values := range h {
@@ -89,7 +89,7 @@
 
 func requestID(req *http.Request) string { return platform.DecodeRequest(fields(req.Header)).ID }
 
-// lines returns a header as it is on the wire.
+// lines returns a header as sent on the wire.
 func lines(h framer.Header) string {
 	text := ""
 	for _, f := range h {
@@ -101,14 +101,14 @@
 // signed begins an answer of a backend server; ID stands for the request's.
 func signed(id string) string { return "HTTP/1.1 200 OK\r\n" + lines(platform.StandInAnswer(id, "x")) }
 
-// answer writes a whole answer of a backend server.
+// answer writes a complete answer of a backend server.
 func answer(conn net.Conn, status int, body string, header framer.Header) {
 	head := fmt.Sprintf("HTTP/1.1 %d X\r\nContent-Length: %d\r\n", status, len(body))
 	_, _ = io.WriteString(conn, head+lines(header)+"\r\n"+body)
 }
 
 func runsAndAnswers(status int, body string) handler {
-	return func(b *backendFake, req *http.Request, conn net.Conn) bool {
+	return func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 		b.runs.Add(1)
 		answer(conn, status, body, platform.StandInAnswer(requestID(req), b.id))
 		return true
@@ -116,7 +116,7 @@
 }
 
 func refuses(status int) handler {
-	return func(_ *backendFake, req *http.Request, conn net.Conn) bool {
+	return func(_ *fakeBackend, req *http.Request, conn net.Conn) bool {
 		answer(conn, status, "", platform.StandInRefusal(requestID(req)))
 		return true
 	}
@@ -124,7 +124,7 @@
 
 // runsAndBreaks runs the request and closes after having written some bytes.
 func runsAndBreaks(written string) handler {
-	return func(b *backendFake, req *http.Request, conn net.Conn) bool {
+	return func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 		b.runs.Add(1)
 		_, _ = io.WriteString(conn, strings.ReplaceAll(written, "ID", requestID(req)))
 		return false
--- a/gateway/forwarder/course.go
+++ b/gateway/forwarder/course.go
@@ -6,102 +6,101 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// course is how a stream went so far, as its caller sees it.
-type course struct {
-	// lacked is set if its adapter was nowhere to be used while it waited.
-	lacked bool
-	// firstAt and lastAt are when the first and the latest events were passed on.
+// streamProgress is the progress of a stream as its caller sees it.
+type streamProgress struct {
+	// adapterMissing is set if its adapter was usable at no backend server while it waited.
+	adapterMissing bool
+	// firstAt and lastAt are when the first and the latest events were relayed.
 	firstAt time.Time
 	lastAt  time.Time
-	// pause is the longest time between two events, and resumed is set if the stream has
-	// gone on at another backend server.
-	pause   time.Duration
-	resumed bool
-	// noted is set once it was counted among those that paused for too long or did not.
-	noted bool
+	// maxPause is the longest time between two events, and resumed is set if the stream was
+	// resumed at another backend server.
+	maxPause time.Duration
+	resumed  bool
+	// counted is set once the stream was counted as paused for too long or not.
+	counted bool
 }
 
-// note takes the passing on of some events, and returns the time since those before; 0 for
-// the first.
-func (c *course) note(now time.Time) time.Duration {
+// observeEvents records that events were relayed, and returns the time since the previous ones;
+// 0 for the first.
+func (c *streamProgress) observeEvents(now time.Time) time.Duration {
 	if c.firstAt.IsZero() {
 		c.firstAt, c.lastAt = now, now
 		return 0
 	}
 	gap := now.Sub(c.lastAt)
-	c.pause = max(c.pause, gap)
+	c.maxPause = max(c.maxPause, gap)
 	c.lastAt = now
 	return gap
 }
 
-// verdict says whether a stream that has ended was in time, and if not for which reason
-// above all.
-type verdict string
+// streamOutcome says whether an ended stream was on time, and if not, the main reason.
+type streamOutcome string
 
 const (
-	inTime           verdict = "InTime"
-	waitedForAdapter verdict = "WaitedForAdapter"
-	waitedForPlace   verdict = "WaitedForPlace"
-	slowFirstEvent   verdict = "SlowFirstEvent"
-	resumedLate      verdict = "ResumedLate"
-	longPause        verdict = "LongPause"
-	unfinished       verdict = "Unfinished"
+	streamOnTime           streamOutcome = "InTime"
+	streamWaitedForAdapter streamOutcome = "WaitedForAdapter"
+	streamWaitedForSlot    streamOutcome = "WaitedForPlace"
+	streamSlowFirstEvent   streamOutcome = "SlowFirstEvent"
+	streamResumedLate      streamOutcome = "ResumedLate"
+	streamLongPause        streamOutcome = "LongPause"
+	streamUnfinished       streamOutcome = "Unfinished"
 )
 
-// waitedShare is the part, as a divisor, of the objective from which a wait counts as the
-// reason of a late first event.
-const waitedShare = 2
+// waitDivisor gives the part of the objective from which a wait counts as the reason of a late
+// first event.
+const waitDivisor = 2
 
-// judge tells how a stream that is complete went, which was received at a time and waited
-// for a while before it was sent.
-func (c *course) judge(route *wire.Route, received time.Time, waited time.Duration) verdict {
+// classify returns the outcome of a complete stream, given when it was received and how long it
+// waited before it was sent.
+func (c *streamProgress) classify(route *wire.Route, received time.Time, waited time.Duration) streamOutcome {
 	objective, pause := milliseconds(route.GetObjectiveMs()), milliseconds(route.GetPauseObjectiveMs())
 	first := c.firstAt.Sub(received)
 	switch {
-	case c.firstAt.IsZero() || (first <= objective && (pause == 0 || c.pause <= pause)):
-		return inTime
+	case c.firstAt.IsZero() || (first <= objective && (pause == 0 || c.maxPause <= pause)):
+		return streamOnTime
 	case first <= objective && c.resumed:
-		return resumedLate
+		return streamResumedLate
 	case first <= objective:
-		return longPause
-	case waited <= objective/waitedShare:
-		return slowFirstEvent
-	case c.lacked:
-		return waitedForAdapter
+		return streamLongPause
+	case waited <= objective/waitDivisor:
+		return streamSlowFirstEvent
+	case c.adapterMissing:
+		return streamWaitedForAdapter
 	}
-	return waitedForPlace
+	return streamWaitedForSlot
 }
 
-// tallyEvery is the time between two log lines on how requests ended.
-const tallyEvery = 5 * time.Second
+// outcomeLogInterval is the time between two log lines on the outcomes of requests.
+const outcomeLogInterval = 5 * time.Second
 
-// judged counts a stream that has ended.
-func (f *Forwarder) judged(j *job, v verdict) {
-	f.noteStream(j, false)
+// recordStreamOutcome counts a stream that has ended.
+func (f *Forwarder) recordStreamOutcome(j *job, v streamOutcome) {
+	f.observeStream(j, false)
 	series := f.Meter.For(j.service, j.route.GetName())
-	if !j.course.firstAt.IsZero() {
-		series.FirstToken.RecordDuration(j.course.firstAt.Sub(j.req.ReceivedAt))
-		series.BetweenTokens.RecordDuration(j.course.pause)
+	if !j.progress.firstAt.IsZero() {
+		series.FirstToken.RecordDuration(j.progress.firstAt.Sub(j.req.ReceivedAt))
+		series.BetweenTokens.RecordDuration(j.progress.maxPause)
 	}
 	series.QueueWait.RecordDuration(j.waited)
 	f.Meter.Count("streams", "verdict", string(v))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.verdicts[v]++
+	f.streamOutcomes[v]++
 }
 
-// logTallies logs now and then how requests ended since the last time.
-func (f *Forwarder) logTallies() {
+// logOutcomes periodically logs the outcomes of requests since the last log line.
+func (f *Forwarder) logOutcomes() {
 	now := f.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if now.Sub(f.talliedAt) < tallyEvery {
+	if now.Sub(f.outcomesLoggedAt) < outcomeLogInterval {
 		return
 	}
-	f.talliedAt = now
-	f.logEndings()
-	if len(f.verdicts) > 0 {
-		f.Log.Info("streams", "Ended", f.verdicts)
-		f.verdicts = map[verdict]int{}
+	f.outcomesLoggedAt = now
+	f.logRequestOutcomes()
+	if len(f.streamOutcomes) > 0 {
+		f.Log.Info("streams", "Ended", f.streamOutcomes)
+		f.streamOutcomes = map[streamOutcome]int{}
 	}
 }
--- a/gateway/forwarder/fingerprint_test.go
+++ b/gateway/forwarder/fingerprint_test.go
@@ -9,24 +9,24 @@
 	"bronzelead.example/pkg/framer"
 )
 
-// What is sent again is known also from another connection and under another id, and whoever
-// sends it.
-func TestWhatIsSentAgainHasTheSameFingerprints(t *testing.T) {
-	made := func(target, caller, id string) []string {
+// A retry has the same content fingerprint from another connection, under another ID and from
+// any caller.
+func TestRetriesHaveTheSameFingerprints(t *testing.T) {
+	fingerprints := func(target, caller, id string) []string {
 		header := framer.Header{{Name: "Host", Value: "h"}, {Name: "Request-Id", Value: id}}
 		j := &job{req: &doorkeeper.Request{
 			Head: &framer.RequestHead{Method: "POST", Target: target, Header: header}, Body: []byte("body"), Caller: caller,
 		}}
-		return j.prints()
+		return j.requestFingerprints()
 	}
-	first := made("/a/", "10.0.0.1:4000", "1")
+	first := fingerprints("/a/", "10.0.0.1:4000", "1")
 	for name, test := range map[string]struct {
 		again                 []string
 		sameContent, sameFrom bool
 	}{
-		"from another port": {made("/a/", "10.0.0.1:4001", "2"), true, true},
-		"another caller":    {made("/a/", "10.0.0.2:4000", "1"), true, false},
-		"another path":      {made("/b/", "10.0.0.1:4000", "1"), false, false},
+		"from another port": {fingerprints("/a/", "10.0.0.1:4001", "2"), true, true},
+		"another caller":    {fingerprints("/a/", "10.0.0.2:4000", "1"), true, false},
+		"another path":      {fingerprints("/b/", "10.0.0.1:4000", "1"), false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -1,6 +1,6 @@
-// Package forwarder takes a caller's request to a backend server and its answer back:
-// find the route, wait for a backend server, send, check, relay. What may be sent again
-// follows from the route and from what is certain about the last try.
+// Package forwarder sends a caller's request to a backend server and relays the answer: find
+// the route, wait for a backend server, send, check, relay. Whether a request may be retried
+// follows from its route and from what is certain about the last attempt.
 package forwarder
 
 import (
@@ -30,29 +30,29 @@
 )
 
 const (
-	// pumpEvery is the time between two looks at waiting requests when nothing happens.
-	pumpEvery = 20 * time.Millisecond
-	// sweepEvery is the time between two closings of idle connections.
-	sweepEvery = time.Second
-	// retryWithoutTable is the retry time at a gateway that has just started.
-	retryWithoutTable = 300 * time.Millisecond
-	// retryElsewhere is the retry time at a gateway that stops: at once, since a new
-	// connection leads to another one.
-	retryElsewhere = 20 * time.Millisecond
-	// maxSends bounds how often one request is sent, whatever the route allows: refusals
-	// that certainly did not run are no attempts, but must not go on for ever.
+	// pumpInterval is the time between two checks of waiting requests when nothing happens.
+	pumpInterval = 20 * time.Millisecond
+	// sweepInterval is the time between two closings of idle connections.
+	sweepInterval = time.Second
+	// retryAfterNoTable is the retry time at a gateway that has just started.
+	retryAfterNoTable = 300 * time.Millisecond
+	// retryAtOtherGateway is the retry time at a gateway that is stopping: at once, since a new
+	// connection leads to another gateway.
+	retryAtOtherGateway = 20 * time.Millisecond
+	// maxSends bounds how often one request is sent, whatever the route allows: rejections that
+	// certainly did not run are no attempts, but must not repeat without end.
 	maxSends = 4
-	// runReserve is the part, as a divisor, of a request's time that is kept for its run.
-	runReserve = 5
-	// maxRunReserve bounds that time: the longest runs that were seen at little load.
+	// runReserveDivisor gives the part of a request's time that is reserved for its run.
+	runReserveDivisor = 5
+	// maxRunReserve bounds that time: the longest runs that were measured under light load.
 	maxRunReserve = 400 * time.Millisecond
 )
 
-// RetryBudget says how many requests may be sent again.
+// RetryBudget limits how many requests may be retried.
 type RetryBudget struct {
 	Window time.Duration
 	Ratio  float64
-	// Slack is the number of repeats in a window, over all gateways, beside the ratio.
+	// Slack is the number of retries in a window, over all gateways, in addition to the ratio.
 	Slack float64
 }
 
@@ -65,46 +65,46 @@
 	Meter  *meter.Meter
 	Budget RetryBudget
 	Keys   KeyPolicy
-	// Off are the mechanisms that an experiment does without.
+	// Off are the mechanisms that an experiment disables.
 	Off ablator.Off
 	// Regulator paces prompts; nil sends them at once.
 	Regulator *regulator.Regulator
-	// Isolator knows the requests that end backend servers.
+	// Isolator quarantines the requests that crash backend servers.
 	Isolator *isolator.Isolator
-	// Granter keeps backend servers to the request limits that they announce.
+	// Granter enforces the request limits that backend servers announce.
 	Granter *granter.Granter
-	// QuotaEnforcer keeps customers to their limits; nil lets all pass.
+	// QuotaEnforcer enforces customers' limits; nil admits all requests.
 	QuotaEnforcer *quotaenforcer.Enforcer
 	// RequestAdapters asks the leader for adapters. It must not block.
 	RequestAdapters func(wants []*wire.Want)
-	// LeaderAge returns how old the leader's word is that decisions rest on; nil if nobody asks.
+	// LeaderAge returns the age of the leader's state that decisions rest on; nil means age 0.
 	LeaderAge func() time.Duration
 
 	closed atomic.Bool
-	// startedAt is when the gateway started; tableKnown is closed by its first table, for
-	// which parked requests wait.
+	// startedAt is when the gateway started; tableKnown is closed by its first table, for which
+	// parked requests wait.
 	startedAt  time.Time
 	tableKnown chan struct{}
 	parked     atomic.Int32
 
-	mu       sync.Mutex
-	balancer *balancer.Balancer
-	table    *matcher.Matcher
-	budgets  map[string]*retrylimiter.Limiter
-	waiting  map[*balancer.Waiter]chan balancer.Decision
-	demand   map[string]uint32
-	gateways uint32
-	// needs tells for each service whether its prompts are paced.
-	needs map[string]*pacer.Activation
-	// backdaters estimate the age of retries, by route.
-	backdaters map[string]*ageestimator.Estimator
-	// verdicts counts how the streams went that have ended since they were logged last.
-	verdicts map[verdict]int
-	// endings counts, by route, how other requests ended since they were logged last.
-	endings   map[string]map[ending]int
-	talliedAt time.Time
-	// limitFaultAt is when a limit that can't be read was logged last.
-	limitFaultAt time.Time
+	mu            sync.Mutex
+	balancer      *balancer.Balancer
+	table         *matcher.Matcher
+	retryLimiters map[string]*retrylimiter.Limiter
+	waiting       map[*balancer.Waiter]chan balancer.Decision
+	demand        map[string]uint32
+	gatewayCount  uint32
+	// pacingActivations decide for each service whether its prompts are paced.
+	pacingActivations map[string]*pacer.Activation
+	// ageEstimators estimate the age of retries, by route.
+	ageEstimators map[string]*ageestimator.Estimator
+	// streamOutcomes counts the outcomes of streams that ended since the last log line.
+	streamOutcomes map[streamOutcome]int
+	// requestOutcomes counts, by route, the outcomes of other requests since the last log line.
+	requestOutcomes  map[string]map[requestOutcome]int
+	outcomesLoggedAt time.Time
+	// limitFaultLoggedAt is when an unreadable limit was last logged.
+	limitFaultLoggedAt time.Time
 }
 
 // Init prepares the forwarder for calls before Run.
@@ -112,18 +112,18 @@
 	f.startedAt = f.Clock.Now()
 	f.tableKnown = make(chan struct{})
 	f.balancer = &balancer.Balancer{Zone: f.Zone, Off: f.Off}
-	f.budgets = map[string]*retrylimiter.Limiter{}
+	f.retryLimiters = map[string]*retrylimiter.Limiter{}
 	f.waiting = map[*balancer.Waiter]chan balancer.Decision{}
 	f.demand = map[string]uint32{}
-	f.verdicts = map[verdict]int{}
-	f.endings = map[string]map[ending]int{}
-	f.backdaters = map[string]*ageestimator.Estimator{}
-	f.needs = map[string]*pacer.Activation{}
+	f.streamOutcomes = map[streamOutcome]int{}
+	f.requestOutcomes = map[string]map[requestOutcome]int{}
+	f.ageEstimators = map[string]*ageestimator.Estimator{}
+	f.pacingActivations = map[string]*pacer.Activation{}
 	f.initIsolator()
 	f.initGranter()
 }
 
-// initGranter makes a granter without other gateways if none is set.
+// initGranter creates a granter without other gateways if none is set.
 func (f *Forwarder) initGranter() {
 	if f.Granter == nil {
 		f.Granter = &granter.Granter{Clock: f.Clock, Log: f.Log, Meter: f.Meter}
@@ -131,26 +131,26 @@
 	}
 }
 
-// Run lets time pass for waiting requests until ctx ends.
+// Run serves waiting requests as time passes, until ctx ends.
 func (f *Forwarder) Run(ctx context.Context) {
-	pump := f.Clock.NewTicker(pumpEvery)
+	pump := f.Clock.NewTicker(pumpInterval)
 	defer pump.Stop()
-	sweep := f.Clock.NewTicker(sweepEvery)
+	sweep := f.Clock.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-pump.Chan():
-			f.pump()
+			f.deliverDecisions()
 		case <-sweep.Chan():
 			f.Sender.CloseExpired()
-			f.logTallies()
+			f.logOutcomes()
 		}
 	}
 }
 
-// Apply takes news of a controller, with whole holdings.
+// Apply applies a state update of a controller, with complete holdings.
 func (f *Forwarder) Apply(controller string, res *wire.SyncResponse) {
 	now := f.Clock.Now()
 	f.mu.Lock()
@@ -159,13 +159,13 @@
 			close(f.tableKnown)
 		}
 		f.table = matcher.New(t)
-		f.forgetRoutes(t)
+		f.pruneAgeEstimators(t)
 		if f.QuotaEnforcer != nil {
 			f.QuotaEnforcer.SetCustomers(t.GetCustomers())
 		}
-		f.Log.Info("a table is in force", "Version", t.GetVersion(), "Controller", controller, "Routes", len(t.GetRoutes()))
+		f.Log.Info("applied a routing table", "Version", t.GetVersion(), "Controller", controller, "Routes", len(t.GetRoutes()))
 	}
-	f.announced(now, res.GetAnnouncements())
+	f.applyAnnouncements(now, res.GetAnnouncements())
 	for _, v := range res.GetVersions() {
 		f.balancer.SetVersion(v)
 	}
@@ -179,8 +179,9 @@
 		f.balancer.SetLoads(res.GetLoads())
 	}
 	if res.GetLeads() {
-		// A leader that has just begun has not heard from all; the highest number is safe.
-		f.gateways = max(f.gateways, res.GetGateways())
+		// A new leader has not received reports from all gateways yet; the highest number is
+		// safe.
+		f.gatewayCount = max(f.gatewayCount, res.GetGateways())
 	}
 	if res.GetLeads() && res.GetSuspectsRevision() != 0 {
 		f.Isolator.SetSuspects(res.GetSuspectsRevision(), res.GetSuspects())
@@ -190,11 +191,11 @@
 	}
 	f.mu.Unlock()
 	f.Granter.ReceiveLimits(res.GetRequestLimits(), throttler.News)
-	f.pump()
+	f.deliverDecisions()
 }
 
-// announced takes what is new of backend servers. The caller holds the lock.
-func (f *Forwarder) announced(now time.Time, list []*wire.Announcement) {
+// applyAnnouncements applies changes of backend servers. The caller holds the lock.
+func (f *Forwarder) applyAnnouncements(now time.Time, list []*wire.Announcement) {
 	for _, a := range list {
 		f.balancer.UpdateBackend(now, a)
 		f.Isolator.ObserveAnnouncement(a)
@@ -219,7 +220,7 @@
 	return f.table.Table().GetVersion()
 }
 
-// Limits returns the table's bounds on what callers send.
+// Limits returns the table's limits on what callers send.
 func (f *Forwarder) Limits() doorkeeper.Limits {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -242,14 +243,14 @@
 	return f.table != nil && f.balancer.Ready()
 }
 
-// Loads returns the requests under way at each backend server.
+// Loads returns the number of requests in progress at each backend server.
 func (f *Forwarder) Loads() []*wire.Load {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.balancer.Loads()
 }
 
-// TakeDemand returns and clears the requests for each adapter since the last call.
+// TakeDemand returns and clears the number of requests for each adapter since the last call.
 func (f *Forwarder) TakeDemand() []*wire.Demand {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -261,7 +262,7 @@
 	return list
 }
 
-// AddDemand takes the requests that other gateways have taken, to be told with this one's.
+// AddDemand adds the demand of other gateways, to be reported with this gateway's own.
 func (f *Forwarder) AddDemand(list []*wire.Demand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -270,8 +271,8 @@
 	}
 }
 
-// pump hands out decisions on waiting requests.
-func (f *Forwarder) pump() {
+// deliverDecisions delivers decisions to waiting requests.
+func (f *Forwarder) deliverDecisions() {
 	f.mu.Lock()
 	var wants []*wire.Want
 	if f.balancer.Waiting() > 0 {
--- a/gateway/forwarder/forwarder_test.go
+++ b/gateway/forwarder/forwarder_test.go
@@ -17,10 +17,10 @@
 	"bronzelead.example/platform"
 )
 
-func TestAnswersPassUnchanged(t *testing.T) {
+func TestResponsesPassUnchanged(t *testing.T) {
 	c := qt.New(t)
 	b := newBackend(c, "b1", runsAndAnswers(http.StatusOK, "the body"))
-	g := call(c, gateway(c, b), "/once/x%2Fy?q=1", "X-Own: kept", "Connection: X-Hop", "X-Hop: dropped")
+	g := call(c, startGateway(c, b), "/once/x%2Fy?q=1", "X-Own: kept", "Connection: X-Hop", "X-Hop: dropped")
 	c.Check(g.status, qt.Equals, http.StatusOK)
 	c.Check(g.body, qt.Equals, "the body")
 	received := platform.DecodeAnswer(&framer.ResponseHead{Status: g.status, Header: fields(g.header)})
@@ -33,7 +33,7 @@
 	c.Check(sent.Header.Get("X-Hop"), qt.Equals, "")
 	dispatch := platform.DecodeDispatch(fields(sent.Header))
 	c.Check(dispatch.Name, qt.Equals, "b1")
-	c.Check(dispatch.Left > 0 && dispatch.Left <= patience, qt.IsTrue)
+	c.Check(dispatch.Left > 0 && dispatch.Left <= clientTimeout, qt.IsTrue)
 }
 
 // How often a request may run follows from its route and from what the failure proves.
@@ -42,36 +42,36 @@
 	for name, test := range map[string]struct {
 		path  string
 		first handler
-		// status and runs are the caller's answer and how often the request ran in all.
+		// status and runs are the caller's answer and the total number of runs.
 		status int
 		runs   int32
 	}{
-		"a lost answer, idempotent":        {"/safe/", runsAndBreaks(""), 200, 2},
-		"a lost answer, once":              {"/once/", runsAndBreaks(""), 502, 1},
-		"a cut answer, idempotent":         {"/safe/", runsAndBreaks(signed("ID") + "Content-Length: 9\r\n\r\nhalf"), 200, 2},
-		"a cut answer, once":               {"/once/", runsAndBreaks(signed("ID") + "Content-Length: 9\r\n\r\nhalf"), 502, 1},
-		"no answer in the protocol, once":  {"/once/", runsAndBreaks("rubbish\r\n\r\n"), 502, 1},
-		"no signature, once":               {"/once/", runsAndBreaks("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), 502, 1},
-		"an encoded body, once":            {"/once/", runsAndBreaks(signed("ID") + "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok"), 502, 1},
-		"a failure of its own, idempotent": {"/safe/", runsAndAnswers(500, "no"), 200, 2},
-		"a failure of its own, once":       {"/once/", runsAndAnswers(500, "no"), 500, 1},
-		"full, once":                       {"/once/", refuses(503), 200, 1},
-		"another start, once":              {"/once/", refuses(421), 200, 1},
-		"a lost stream":                    {"/stream/", runsAndBreaks(""), 502, 1},
-		"a lost stream that resumes":       {"/resumable/", runsAndBreaks(""), 200, 2},
+		"a lost answer, idempotent":         {"/safe/", runsAndBreaks(""), 200, 2},
+		"a lost answer, once":               {"/once/", runsAndBreaks(""), 502, 1},
+		"an interrupted answer, idempotent": {"/safe/", runsAndBreaks(signed("ID") + "Content-Length: 9\r\n\r\nhalf"), 200, 2},
+		"an interrupted answer, once":       {"/once/", runsAndBreaks(signed("ID") + "Content-Length: 9\r\n\r\nhalf"), 502, 1},
+		"a malformed answer, once":          {"/once/", runsAndBreaks("rubbish\r\n\r\n"), 502, 1},
+		"no signature, once":                {"/once/", runsAndBreaks("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"), 502, 1},
+		"an encoded body, once":             {"/once/", runsAndBreaks(signed("ID") + "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok"), 502, 1},
+		"a failure of its own, idempotent":  {"/safe/", runsAndAnswers(500, "no"), 200, 2},
+		"a failure of its own, once":        {"/once/", runsAndAnswers(500, "no"), 500, 1},
+		"full, once":                        {"/once/", refuses(503), 200, 1},
+		"another incarnation, once":         {"/once/", refuses(421), 200, 1},
+		"a lost stream":                     {"/stream/", runsAndBreaks(""), 502, 1},
+		"a lost stream that resumes":        {"/resumable/", runsAndBreaks(""), 200, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			// Both fail their first request, so that it does not matter which one gets it.
 			var calls atomic.Int32
-			either := func(b *backendFake, req *http.Request, conn net.Conn) bool {
+			either := func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 				if calls.Add(1) == 1 {
 					return test.first(b, req, conn)
 				}
 				return ok(b, req, conn)
 			}
 			b1, b2 := newBackend(c, "b1", either), newBackend(c, "b2", either)
-			g := call(c, gateway(c, b1, b2), test.path)
+			g := call(c, startGateway(c, b1, b2), test.path)
 			c.Check(g.status, qt.Equals, test.status)
 			c.Check(b1.runs.Load()+b2.runs.Load(), qt.Equals, test.runs)
 			if g.status == http.StatusOK {
@@ -84,40 +84,40 @@
 func TestRefusalsNameARetryTime(t *testing.T) {
 	c := qt.New(t)
 	full := newBackend(c, "b1", refuses(503))
-	for name, address := range map[string]string{"no backend server": gateway(c), "all are full": gateway(c, full)} {
+	for name, address := range map[string]string{"no backend server": startGateway(c), "all are full": startGateway(c, full)} {
 		g := call(c, address, "/once/")
 		c.Check(g.status, qt.Equals, http.StatusServiceUnavailable, qt.Commentf(name))
 		c.Check(platform.RetryAfter(fields(g.header)) > 0, qt.IsTrue, qt.Commentf(name))
 	}
-	c.Check(call(c, gateway(c), "/none/").status, qt.Equals, http.StatusNotFound)
+	c.Check(call(c, startGateway(c), "/none/").status, qt.Equals, http.StatusNotFound)
 }
 
-// A second answer to the request before it must not be taken for this request's.
-func TestAnswersToOthersAreSkipped(t *testing.T) {
+// A second answer to the previous request must not be taken for this request's.
+func TestResponsesToOtherRequestsAreSkipped(t *testing.T) {
 	c := qt.New(t)
-	b := newBackend(c, "b1", func(b *backendFake, req *http.Request, conn net.Conn) bool {
+	b := newBackend(c, "b1", func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 		b.runs.Add(1)
 		_, _ = io.WriteString(conn, signed("another")+"Content-Length: 5\r\n\r\nother")
 		answer(conn, http.StatusOK, "own", platform.StandInAnswer(requestID(req), b.id))
 		return true
 	})
-	g := call(c, gateway(c, b), "/once/")
+	g := call(c, startGateway(c, b), "/once/")
 	c.Check(g.body, qt.Equals, "own")
 	c.Check(b.runs.Load(), qt.Equals, int32(1))
 }
 
-// A gateway that stops refuses new requests in time, and ends those that it took.
+// A stopping gateway refuses new requests, and completes those it accepted.
 func TestClosedForwarderRefuses(t *testing.T) {
 	c := qt.New(t)
 	began, release := make(chan struct{}), make(chan struct{})
-	b := newBackend(c, "b1", func(b *backendFake, req *http.Request, conn net.Conn) bool {
+	b := newBackend(c, "b1", func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 		close(began)
 		<-release
 		answer(conn, http.StatusOK, "done", platform.StandInAnswer(requestID(req), b.id))
 		return true
 	})
-	address, f := gatewayAndForwarder(c, b)
-	taken := make(chan got, 1)
+	address, f := startGatewayAndForwarder(c, b)
+	taken := make(chan clientResponse, 1)
 	go func() { taken <- call(c, address, "/once/") }()
 	<-began
 	f.Close()
@@ -128,14 +128,14 @@
 	c.Check((<-taken).body, qt.Equals, "done")
 }
 
-// The repeats of all gateways together stay within the slack, however few a new leader
-// has heard of, and before any leader was known.
-func TestTheBudgetIsShared(t *testing.T) {
+// The retries of all gateways together stay within the slack, however few gateways a new leader
+// knows, and before any leader is known.
+func TestRetryBudgetIsShared(t *testing.T) {
 	for name, test := range map[string]struct {
-		told []uint32
-		most int
+		reported []uint32
+		max      int
 	}{
-		"nobody was heard":         {nil, 1},
+		"nothing received":         {nil, 1},
 		"ten gateways":             {[]uint32{10}, 9},
 		"a new leader knows fewer": {[]uint32{10, 2}, 9},
 		"some were added":          {[]uint32{10, 20}, 4},
@@ -147,16 +147,16 @@
 				Budget: RetryBudget{Window: 10 * time.Second, Ratio: 0.2, Slack: 100},
 			}
 			f.Init()
-			for _, n := range test.told {
+			for _, n := range test.reported {
 				f.Apply("controller", &wire.SyncResponse{Leads: true, Gateways: n})
 			}
 			allowed := 0
 			for range 100 {
-				if f.mayRepeat("s") {
+				if f.takeRetry("s") {
 					allowed++
 				}
 			}
-			c.Check(allowed <= test.most && allowed >= test.most-1, qt.IsTrue, qt.Commentf("%d repeats", allowed))
+			c.Check(allowed <= test.max && allowed >= test.max-1, qt.IsTrue, qt.Commentf("%d repeats", allowed))
 		})
 	}
 }
--- a/gateway/forwarder/harness_test.go
+++ b/gateway/forwarder/harness_test.go
@@ -34,31 +34,31 @@
 		Version: 3,
 		Routes: []*wire.Route{
 			route("safe", wire.Repetition_REPETITION_IDEMPOTENT, false), route("once", wire.Repetition_REPETITION_ONCE, false),
-			prompts(route("prompt", wire.Repetition_REPETITION_STREAM, false)),
+			withPrompts(route("prompt", wire.Repetition_REPETITION_STREAM, false)),
 			route("stream", wire.Repetition_REPETITION_STREAM, false), route("resumable", wire.Repetition_REPETITION_STREAM, true),
 		},
 		Services: []*wire.RoutedService{{Name: "s"}},
 	}
 }
 
-func prompts(r *wire.Route) *wire.Route {
+func withPrompts(r *wire.Route) *wire.Route {
 	r.Prompts, r.PauseObjectiveMs, r.TimeoutMs = true, 300, 3600_000
 	return r
 }
 
-// gateway is a door with a forwarder behind it that knows some backend servers.
-func gateway(c *qt.C, backends ...*backendFake) string {
-	address, _ := gatewayAndForwarder(c, backends...)
+// startGateway starts an HTTP frontend and a forwarder that knows some backend servers.
+func startGateway(c *qt.C, backends ...*fakeBackend) string {
+	address, _ := startGatewayAndForwarder(c, backends...)
 	return address
 }
 
-func gatewayAndForwarder(c *qt.C, backends ...*backendFake) (string, *Forwarder) {
+func startGatewayAndForwarder(c *qt.C, backends ...*fakeBackend) (string, *Forwarder) {
 	address, f := newGateway(c, clockwork.NewRealClock())
 	f.Apply("controller", firstTable(backends...))
 	return address, f
 }
 
-// newGateway is a door with a forwarder behind it that has heard from no controller yet.
+// newGateway starts an HTTP frontend and a forwarder without any controller state.
 func newGateway(c *qt.C, clock clockwork.Clock) (string, *Forwarder) {
 	log := slog.New(slog.NewTextHandler(c.Output(), nil))
 	f := &Forwarder{
@@ -78,55 +78,55 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.Cleanup(cancel)
 	go f.Run(ctx)
-	door := &doorkeeper.Doorkeeper{Clock: clock, Log: log, Address: "127.0.0.1:0", Handle: f.Handle, Screen: f.Screen}
-	c.Assert(door.Start(), qt.IsNil)
-	c.Cleanup(func() { _ = door.Stop(ctx) })
-	return door.Addr(), f
+	frontend := &doorkeeper.Doorkeeper{Clock: clock, Log: log, Address: "127.0.0.1:0", Handle: f.Handle, Screen: f.Screen}
+	c.Assert(frontend.Start(), qt.IsNil)
+	c.Cleanup(func() { _ = frontend.Stop(ctx) })
+	return frontend.Addr(), f
 }
 
-// got is what a caller received.
-type got struct {
+// clientResponse is what a caller received.
+type clientResponse struct {
 	status   int
 	header   http.Header
 	body     string
 	complete bool
-	// heads is how many heads of answers came, also inside a body.
+	// heads counts the heads of answers received, also inside a body.
 	heads int
 }
 
-// patience is how long the tests' callers wait.
-const patience = 2500 * time.Millisecond
+// clientTimeout is the client timeout of the tests' callers.
+const clientTimeout = 2500 * time.Millisecond
 
-func call(c *qt.C, address, path string, header ...string) got {
-	return callFor(c, patience, address, path, header...)
+func call(c *qt.C, address, path string, header ...string) clientResponse {
+	return callFor(c, clientTimeout, address, path, header...)
 }
 
-// callFor is call for a caller that waits for another time.
-func callFor(c *qt.C, patience time.Duration, address, path string, header ...string) got {
+// callFor is call with another client timeout.
+func callFor(c *qt.C, timeout time.Duration, address, path string, header ...string) clientResponse {
 	conn, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
 	defer func() { _ = conn.Close() }()
-	head := "POST " + path + " HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n" + lines(platform.StandInRequest("r1", patience))
+	head := "POST " + path + " HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\n" + lines(platform.StandInRequest("r1", timeout))
 	_, err = io.WriteString(conn, head+strings.Join(append(header, ""), "\r\n")+"\r\nhi")
 	c.Assert(err, qt.IsNil)
 	var raw bytes.Buffer
 	received := bufio.NewReader(io.TeeReader(conn, &raw))
 	res, err := http.ReadResponse(received, nil)
 	if err != nil {
-		return got{}
+		return clientResponse{}
 	}
 	defer func() { _ = res.Body.Close() }()
 	body, err := io.ReadAll(res.Body)
 	if err != nil {
-		// What comes behind a broken body is counted too.
+		// Bytes behind a broken body are counted too.
 		_, _ = io.Copy(io.Discard, received)
 	}
 	heads := strings.Count(raw.String(), "HTTP/1.1 ")
-	return got{status: res.StatusCode, header: res.Header, body: string(body), complete: err == nil, heads: heads}
+	return clientResponse{status: res.StatusCode, header: res.Header, body: string(body), complete: err == nil, heads: heads}
 }
 
-// asked is the request that call sends, as the door reads it.
-func asked(target string) *doorkeeper.Request {
+// testRequest is the request that call sends, as the HTTP frontend reads it.
+func testRequest(target string) *doorkeeper.Request {
 	return &doorkeeper.Request{
 		Head: &framer.RequestHead{Method: "POST", Target: target, Header: framer.Header{{Name: "Host", Value: "h"}}},
 		Body: []byte("hi"), Caller: "127.0.0.1:1",
--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -12,21 +12,21 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// reasonHeld is what a caller hears whose request ends the backend servers that run it.
-const reasonHeld = "backend servers end when they run this request; it is held back"
+// reasonQuarantined is sent to a caller whose request crashes the backend servers that run it.
+const reasonQuarantined = "backend servers end when they run this request; it is held back"
 
-// maxPlace bounds the part of a path that is told to operators.
-const maxPlace = 200
+// maxRequestTarget bounds the request target that is reported to operators.
+const maxRequestTarget = 200
 
-// prints returns the fingerprints of the request. They are worked out at most once, and
-// only if they are asked for.
-func (j *job) prints() []string {
+// requestFingerprints returns the fingerprints of the request. They are computed at most once,
+// and only on demand.
+func (j *job) requestFingerprints() []string {
 	if j.fingerprints == nil {
-		asked := isolator.Request{
+		request := isolator.Request{
 			Method: j.req.Head.Method, Host: j.req.Head.Header.Get("Host"), Target: j.req.Head.Target,
 			Body: j.req.Body, Caller: callerOf(j.req),
 		}
-		j.fingerprints = asked.Fingerprints()
+		j.fingerprints = request.Fingerprints()
 	}
 	return j.fingerprints
 }
@@ -40,71 +40,71 @@
 	return caller
 }
 
-// place is where a request is asked for, without what its query says.
-func (j *job) place() string {
+// requestTarget returns the method, host and path of a request, without its query.
+func (j *job) requestTarget() string {
 	path, _, _ := strings.Cut(j.req.Head.Target, "?")
-	place := j.req.Head.Method + " " + j.req.Head.Header.Get("Host") + path
-	return place[:min(len(place), maxPlace)]
+	target := j.req.Head.Method + " " + j.req.Head.Header.Get("Host") + path
+	return target[:min(len(target), maxRequestTarget)]
 }
 
-// isolated refuses a request that ends backend servers, and reports whether it did.
-func (f *Forwarder) isolated(j *job) bool {
+// refuseQuarantined refuses a request that crashes backend servers, and reports whether it did.
+func (f *Forwarder) refuseQuarantined(j *job) bool {
 	if j.trial != "" {
 		return false
 	}
-	verdict := f.Isolator.Check(j.prints)
-	j.trial = verdict.Trial
-	if !verdict.Quarantined {
+	decision := f.Isolator.Check(j.requestFingerprints)
+	j.trial = decision.Trial
+	if !decision.Quarantined {
 		return false
 	}
 	f.Meter.Count("requests_held_back", "service", j.service)
-	f.giveUp(j, reasonHeld, verdict.Remaining)
+	f.giveUp(j, reasonQuarantined, decision.Remaining)
 	return true
 }
 
-// endTrial ends the trial of a request, if it was one.
+// endTrial ends the trial run of a request, if it was one.
 func (f *Forwarder) endTrial(j *job) {
 	if j.trial != "" {
 		f.Isolator.EndTrial(j.trial, j.sends > 0 && !j.completed)
 	}
 }
 
-// lostRun tells of a run that ended without a whole answer.
-func (f *Forwarder) lostRun(j *job, backend *wire.Announcement) {
-	f.Isolator.RecordLoss(j.prints, &wire.RunReport{
-		Service: j.service, Model: j.about.Model, Place: j.place(), Caller: callerOf(j.req),
-		Backend: backend.GetId(), Begun: j.begunAt == j.sends && j.sends > 0, RanMs: uint32(f.Clock.Since(j.sentAt).Milliseconds()),
+// reportLostRun reports a run that ended without a complete answer.
+func (f *Forwarder) reportLostRun(j *job, backend *wire.Announcement) {
+	f.Isolator.RecordLoss(j.requestFingerprints, &wire.RunReport{
+		Service: j.service, Model: j.meta.Model, Place: j.requestTarget(), Caller: callerOf(j.req),
+		Backend: backend.GetId(), Begun: j.begunAttempt == j.sends && j.sends > 0, RanMs: uint32(f.Clock.Since(j.sentAt).Milliseconds()),
 	}, backend.GetAddress())
 }
 
-// completedRun tells of a run that was answered whole.
-func (f *Forwarder) completedRun(j *job, backend *wire.Announcement) {
+// reportCompletedRun reports a run that was answered completely.
+func (f *Forwarder) reportCompletedRun(j *job, backend *wire.Announcement) {
 	j.completed = true
-	f.Isolator.RecordCompletion(j.prints, backend.GetId())
+	f.Isolator.RecordCompletion(j.requestFingerprints, backend.GetId())
 }
 
-// mayEndMore reports whether a request is better not sent again by the gateway itself: more
-// than one backend server has ended under it. Its caller may, and is served if it was not
-// the cause.
-func (f *Forwarder) mayEndMore(j *job) bool {
-	return j.trial != "" || f.Isolator.Suspected(j.prints)
+// mayCrashMore reports whether the gateway should not retry a request itself, since more than
+// one backend server has crashed while running it. Its caller may retry it, and is served if
+// the request was not the cause.
+func (f *Forwarder) mayCrashMore(j *job) bool {
+	return j.trial != "" || f.Isolator.Suspected(j.requestFingerprints)
 }
 
-// probeTimeout bounds the question whether anything listens at an address.
+// probeTimeout bounds the check whether anything listens at an address.
 const probeTimeout = time.Second
 
-// processEnded reports whether nothing listens any more at the address of a start.
-func (f *Forwarder) processEnded(ctx context.Context, backend, address string) bool {
+// processExited reports whether nothing listens any more at the address of an incarnation.
+func (f *Forwarder) processExited(ctx context.Context, backend, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return sender.IsConnectionRefused(f.Sender.Probe(ctx, backend, address))
 }
 
-// initIsolator prepares the isolator, and makes one if there is none.
+// initIsolator prepares the isolator, and creates one if there is none.
 func (f *Forwarder) initIsolator() {
 	if f.Isolator == nil {
 		f.Isolator = &isolator.Isolator{Clock: f.Clock, Log: f.Log}
 	}
-	f.Isolator.ConnectionRefused = f.processEnded
+	f.Isolator.ConnectionRefused = f.processExited
 	f.Isolator.Init()
 }
--- a/gateway/forwarder/isolation_test.go
+++ b/gateway/forwarder/isolation_test.go
@@ -12,60 +12,61 @@
 	"bronzelead.example/platform"
 )
 
-// held is a leader's word that a request is held back.
-func held(revision uint64, fingerprint string) *wire.SyncResponse {
+// quarantine is a leader's decision to quarantine a request.
+func quarantine(revision uint64, fingerprint string) *wire.SyncResponse {
 	return &wire.SyncResponse{
 		Leads: true, Term: 1, SuspectsRevision: revision,
 		Suspects: []*wire.Suspect{{Fingerprint: fingerprint, Held: true, LeftS: 3600}},
 	}
 }
 
-// endsWith is a backend server whose process ends when it begins to run a request.
-func endsWith(c *qt.C, id string) *backendFake {
-	return newBackend(c, id, func(b *backendFake, _ *http.Request, _ net.Conn) bool {
+// newCrashingBackend returns a backend server whose process exits when it begins to run a
+// request.
+func newCrashingBackend(c *qt.C, id string) *fakeBackend {
+	return newBackend(c, id, func(b *fakeBackend, _ *http.Request, _ net.Conn) bool {
 		b.runs.Add(1)
 		_ = b.listener.Close()
 		return false
 	})
 }
 
-// A request that is held back is refused at once, with a reason of its own and no invitation
-// to come back soon. It has not run, and the answer says so.
-func TestWhatIsHeldBackIsRefused(t *testing.T) {
+// A quarantined request is refused at once, with its own reason and a long retry time. It has
+// not run, and the answer says so.
+func TestQuarantinedRequestIsRefused(t *testing.T) {
 	c := qt.New(t)
 	b := newBackend(c, "b1", runsAndAnswers(http.StatusOK, "ok"))
-	address, f := gatewayAndForwarder(c, b)
+	address, f := startGatewayAndForwarder(c, b)
 	c.Assert(call(c, address, "/safe/x").status, qt.Equals, http.StatusOK)
-	f.Apply("controller", held(1, contentOf("/safe/x")))
+	f.Apply("controller", quarantine(1, contentFingerprint("/safe/x")))
 	refused := call(c, address, "/safe/x")
 	c.Check(refused.status, qt.Equals, http.StatusServiceUnavailable)
-	c.Check(refused.body, qt.Equals, reasonHeld+"\n")
+	c.Check(refused.body, qt.Equals, reasonQuarantined+"\n")
 	c.Check(platform.RetryAfter(fields(refused.header)), qt.Equals, time.Hour)
 	c.Check(b.runs.Load(), qt.Equals, int32(1))
 	c.Check(call(c, address, "/safe/y").status, qt.Equals, http.StatusOK)
 }
 
-// contentOf is the fingerprint of what the tests' callers ask for.
-func contentOf(target string) string {
-	return (&job{req: asked(target)}).prints()[0]
+// contentFingerprint is the fingerprint of the content that the tests' callers send.
+func contentFingerprint(target string) string {
+	return (&job{req: testRequest(target)}).requestFingerprints()[0]
 }
 
-// A gateway tells of a run that was lost with its process, by both of its fingerprints, and
-// of a later one that was answered; a lost answer of a process that goes on is not told.
-func TestLostRunsAreTold(t *testing.T) {
+// A gateway reports a run that was lost with its process, by both of its fingerprints. It does
+// not report a lost answer of a process that is still running.
+func TestLostRunsAreReported(t *testing.T) {
 	for name, test := range map[string]struct {
-		backend func(c *qt.C) *backendFake
+		backend func(c *qt.C) *fakeBackend
 		reports int
 	}{
-		"the process ends": {func(c *qt.C) *backendFake { return endsWith(c, "b1") }, 2},
-		"it goes on":       {func(c *qt.C) *backendFake { return newBackend(c, "b1", runsAndBreaks("")) }, 0},
+		"the process exits":         {func(c *qt.C) *fakeBackend { return newCrashingBackend(c, "b1") }, 2},
+		"the process keeps running": {func(c *qt.C) *fakeBackend { return newBackend(c, "b1", runsAndBreaks("")) }, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			b := test.backend(c)
-			address, f := gatewayAndForwarder(c, b)
+			address, f := startGatewayAndForwarder(c, b)
 			c.Assert(call(c, address, "/once/x").status, qt.Equals, http.StatusBadGateway)
-			// Another request finds out what listens there.
+			// Another request detects whether anything listens there.
 			call(c, address, "/once/y")
 			reports, _ := f.Isolator.Reports(0)
 			count := 0
@@ -79,21 +80,21 @@
 	}
 }
 
-// A request under which two backend servers have ended, by the leader's word, is not sent
-// again by the gateway, as one that was lost for any other reason is.
-func TestSuspectsAreNotRepeated(t *testing.T) {
+// The gateway does not retry a request that, by the leader's decision, has crashed two backend
+// servers; it does retry one that was lost for any other reason.
+func TestSuspectedRequestsAreNotRetried(t *testing.T) {
 	for name, test := range map[string]struct {
 		suspects []*wire.Suspect
 		runs     int32
 	}{
-		"nobody is":   {nil, 2},
-		"another one": {[]*wire.Suspect{{Fingerprint: contentOf("/safe/y")}}, 2},
-		"this one":    {[]*wire.Suspect{{Fingerprint: contentOf("/safe/x")}}, 1},
+		"no suspect":      {nil, 2},
+		"another request": {[]*wire.Suspect{{Fingerprint: contentFingerprint("/safe/y")}}, 2},
+		"this request":    {[]*wire.Suspect{{Fingerprint: contentFingerprint("/safe/x")}}, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			b1, b2 := endsWith(c, "b1"), endsWith(c, "b2")
-			address, f := gatewayAndForwarder(c, b1, b2)
+			b1, b2 := newCrashingBackend(c, "b1"), newCrashingBackend(c, "b2")
+			address, f := startGatewayAndForwarder(c, b1, b2)
 			f.Apply("controller", &wire.SyncResponse{Leads: true, Term: 1, SuspectsRevision: 1, Suspects: test.suspects})
 			c.Check(call(c, address, "/safe/x").status, qt.Equals, http.StatusBadGateway)
 			c.Check(b1.runs.Load()+b2.runs.Load(), qt.Equals, test.runs)
--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -14,94 +14,96 @@
 	"bronzelead.example/platform"
 )
 
-// job is one request on its way.
+// job is the state of one request.
 type job struct {
 	req   *doorkeeper.Request
 	reply *doorkeeper.Reply
-	about platform.Request
+	meta  platform.Request
 	route *wire.Route
-	// customer holds the request's key, by the table of the last look; nil if none does.
+	// customer is the holder of the request's key by the table checked last; nil if there is
+	// none.
 	customer *wire.RoutedCustomer
 	table    *matcher.Matcher
 	service  string
 	adapter  string
-	// askedAt is about when the caller first sent it, before any retry.
-	askedAt time.Time
-	// until is when the caller's patience or the route's timeout ends.
-	until time.Time
-	// patience is when the caller itself leaves; zero if it did not say.
-	patience time.Time
-	// leaves is when the caller of a stream leaves before its first event; zero if never.
-	leaves time.Time
-	avoid  []string
-	// sends counts the tries, and runs those that may have run; last is where the latest
-	// went, at sentAt.
-	sends  int
-	runs   int
-	last   *wire.Announcement
-	sentAt time.Time
-	// resume is the last event that the caller has got; empty before the first.
-	resume string
-	waited time.Duration
-	course course
-	// sendBy is when it is no use any more to send it.
+	// firstSentAt is the estimated time at which the caller first sent it, before any retry.
+	firstSentAt time.Time
+	// deadline is when the client timeout or the route's timeout ends.
+	deadline time.Time
+	// clientDeadline is when the client timeout ends; zero if the caller did not state one.
+	clientDeadline time.Time
+	// firstEventDeadline is when a stream's caller disconnects without a first event; zero if
+	// never.
+	firstEventDeadline time.Time
+	avoid              []string
+	// sends counts the attempts, and runs those that may have run; lastBackend received the
+	// latest one, at sentAt.
+	sends       int
+	runs        int
+	lastBackend *wire.Announcement
+	sentAt      time.Time
+	// lastEventID is the last event that the caller has received; empty before the first.
+	lastEventID string
+	waited      time.Duration
+	progress    streamProgress
+	// sendBy is the time after which sending it is of no use.
 	sendBy time.Time
-	// prompt is what its engine has to read; nil if it has none.
-	prompt *prompt
-	// fingerprints name it whichever attempt it is, once that was asked for.
+	// prompt is the granted prompt that its engine has to read; nil if it has none.
+	prompt *grantedPrompt
+	// fingerprints identify the request over all its attempts, once they were computed.
 	fingerprints []string
-	// begunAt is the try of which a part of the answer has come last, and completed is set
-	// once the answer was whole.
-	begunAt   int
-	completed bool
-	// trial is the fingerprint by which it is held back, if it runs once all the same to see
-	// whether that is still right.
+	// begunAttempt is the latest attempt of which a part of the answer arrived, and completed
+	// is set once the answer was complete.
+	begunAttempt int
+	completed    bool
+	// trial is the fingerprint by which it is quarantined, if it runs once nonetheless to test
+	// whether that is still justified.
 	trial  string
 	charge charge
-	grant  grant
-	// dispensed is set if its backend server's slots are given out. slotAsks counts those that
-	// had none for it, and slowAsks those that were too slow.
-	dispensed bool
-	slotAsks  int
-	slowAsks  int
-	// status is what the latest log line says that the caller gets; 0 for a connection that ends.
+	grant  limitGrant
+	// usesSlotGrants is set if its backend server's slots are granted. slotRequests counts the
+	// backend servers that had no slot for it, and slowSlotRequests those that were too slow.
+	usesSlotGrants   bool
+	slotRequests     int
+	slowSlotRequests int
+	// status is the caller's status by the latest log line; 0 for a connection that is closed.
 	status int
 }
 
 // Handle answers a request.
 func (f *Forwarder) Handle(ctx context.Context, req *doorkeeper.Request, reply *doorkeeper.Reply) {
-	j := &job{req: req, reply: reply, about: platform.DecodeRequest(req.Head.Header)}
+	j := &job{req: req, reply: reply, meta: platform.DecodeRequest(req.Head.Header)}
 	if !f.awaitTable(ctx, j) || !f.admit(j) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, j.until.Sub(f.Clock.Now()))
+	ctx, cancel := context.WithTimeout(ctx, j.deadline.Sub(f.Clock.Now()))
 	defer cancel()
-	defer f.releaseCharge(j)
-	if !f.within(ctx, j) || f.isolated(j) {
+	defer f.releaseQuota(j)
+	if !f.reserveQuota(ctx, j) || f.refuseQuarantined(j) {
 		return
 	}
-	f.backdate(j)
-	f.count(j)
+	f.estimateFirstSent(j)
+	f.countRequest(j)
 	defer f.endTrial(j)
-	defer f.tally(j)
-	for f.try(ctx, j) {
+	defer f.recordRequestOutcome(j)
+	for f.attempt(ctx, j) {
 	}
 }
 
-// Close refuses requests from here on; those that were taken go on.
+// Close refuses new requests; those already accepted are completed.
 func (f *Forwarder) Close() { f.closed.Store(true) }
 
-// admit finds the route and the time of a request, or refuses it.
+// admit determines the route and the deadline of a request, or refuses it.
 func (f *Forwarder) admit(j *job) bool {
 	if f.closed.Load() {
-		f.refuse(j, statusUnavailable, "this gateway stops", retryElsewhere)
+		f.refuse(j, statusUnavailable, "this gateway stops", retryAtOtherGateway)
 		return false
 	}
 	f.mu.Lock()
 	table := f.table
 	f.mu.Unlock()
 	if table == nil {
-		f.refuse(j, statusUnavailable, "no table is known yet", retryWithoutTable)
+		f.refuse(j, statusUnavailable, "no table is known yet", retryAfterNoTable)
 		return false
 	}
 	j.route = table.Match(j.req.Head.Header.Get("Host"), j.req.Head.Target)
@@ -109,38 +111,38 @@
 		f.refuse(j, statusNotFound, "no route matches", 0)
 		return false
 	}
-	if j.about.ID == "" {
+	if j.meta.ID == "" {
 		f.refuse(j, statusBadRequest, "the request has no id", 0)
 		return false
 	}
-	j.table, j.customer = table, table.CustomerByKey(j.about.Key)
+	j.table, j.customer = table, table.CustomerByKey(j.meta.Key)
 	if j.customer == nil && table.RequiresKey(j.route) {
 		f.refuseKey(j)
 		return false
 	}
 	j.service = matcher.PickService(j.route, rand.Float64())
-	if s := table.Service(j.service); s.GetEngine() != nil && isAdapter(j.about.Model) {
-		j.adapter = j.about.Model
+	if s := table.Service(j.service); s.GetEngine() != nil && isAdapter(j.meta.Model) {
+		j.adapter = j.meta.Model
 	}
-	j.until = j.req.ReceivedAt.Add(milliseconds(j.route.GetTimeoutMs()))
-	if j.about.Patience > 0 {
-		j.patience = j.req.ReceivedAt.Add(j.about.Patience)
-		if j.patience.Before(j.until) {
-			j.until = j.patience
+	j.deadline = j.req.ReceivedAt.Add(milliseconds(j.route.GetTimeoutMs()))
+	if j.meta.Patience > 0 {
+		j.clientDeadline = j.req.ReceivedAt.Add(j.meta.Patience)
+		if j.clientDeadline.Before(j.deadline) {
+			j.deadline = j.clientDeadline
 		}
 	}
 	if patience := milliseconds(j.route.GetPatienceMs()); patience > 0 {
-		j.leaves = j.req.ReceivedAt.Add(patience)
+		j.firstEventDeadline = j.req.ReceivedAt.Add(patience)
 	}
-	j.resume = j.about.Resumes
+	j.lastEventID = j.meta.Resumes
 	return true
 }
 
-// count counts a request that was let in.
-func (f *Forwarder) count(j *job) {
+// countRequest counts an admitted request.
+func (f *Forwarder) countRequest(j *job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.budget(j.service).RecordRequest(f.Clock.Now())
+	f.retryLimiter(j.service).RecordRequest(f.Clock.Now())
 	if j.adapter != "" {
 		f.demand[j.adapter]++
 	}
@@ -151,41 +153,41 @@
 	return adapter != ""
 }
 
-// budget returns the budget of a service. The caller holds the lock.
-func (f *Forwarder) budget(service string) *retrylimiter.Limiter {
-	b := f.budgets[service]
+// retryLimiter returns the retry limiter of a service. The caller holds the lock.
+func (f *Forwarder) retryLimiter(service string) *retrylimiter.Limiter {
+	b := f.retryLimiters[service]
 	if b == nil {
 		b = &retrylimiter.Limiter{Window: f.Budget.Window, Ratio: f.budgetMargin() * f.Budget.Ratio}
-		f.budgets[service] = b
+		f.retryLimiters[service] = b
 	}
 	return b
 }
 
-// mayRepeat takes a repeat from the budget, of which each gateway has a share.
-func (f *Forwarder) mayRepeat(service string) bool {
+// takeRetry takes a retry from the budget, of which each gateway has a share.
+func (f *Forwarder) takeRetry(service string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	gateways := f.gateways
+	gateways := f.gatewayCount
 	if gateways == 0 {
-		gateways = assumedGateways
+		gateways = assumedGatewayCount
 	}
 	slack := f.budgetMargin() * f.Budget.Slack / float64(gateways)
-	return f.budget(service).AllowRetry(f.Clock.Now(), slack)
+	return f.retryLimiter(service).AllowRetry(f.Clock.Now(), slack)
 }
 
-// repeats reports whether a request may be sent again by the budget, and counts it if not.
-func (f *Forwarder) repeats(j *job) bool {
-	if f.mayRepeat(j.service) {
+// mayRetry reports whether the budget allows a retry of a request, and counts a denial.
+func (f *Forwarder) mayRetry(j *job) bool {
+	if f.takeRetry(j.service) {
 		return true
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.addEnding(j, noRepeat)
+	f.countRequestOutcome(j, retryDenied)
 	return false
 }
 
-// budgetMargin is the part of the budget that is used: the gateways count by clocks of
-// their own, and a gateway that was added is not known to the others at once.
+// budgetMargin is the part of the budget that is used: gateways count by their own clocks, and
+// the others do not know of an added gateway at once.
 const budgetMargin = 0.9
 
 func (f *Forwarder) budgetMargin() float64 {
@@ -195,41 +197,42 @@
 	return budgetMargin
 }
 
-// assumedGateways is the number of gateways that is assumed before a leader has told it:
-// a high one, since the budget is shared by all.
-const assumedGateways = 100
+// assumedGatewayCount is assumed before a leader has reported the number of gateways. It is
+// high, since all gateways share the budget.
+const assumedGatewayCount = 100
 
-// waitObjectives is how many times the objective a stream's first try waits for a backend
-// server. What has not come by then is mostly an adapter behind many others; the caller
-// learns at once when to retry, and finds it loaded.
-const waitObjectives = 2
+// firstAttemptObjectives is how many times the objective a stream's first attempt waits for a
+// backend server. A request that waits longer mostly needs an adapter behind many others; the
+// caller learns early when to retry, and then finds the adapter loaded.
+const firstAttemptObjectives = 2
 
-// fresh reports whether a request is probably a caller's first try: later ones have less
-// time left than the route gives, and use all of it.
-func (j *job) fresh() bool {
+// isFirstAttempt reports whether a request is probably a caller's first attempt: later ones
+// have less time left than the route gives, and use all of it.
+func (j *job) isFirstAttempt() bool {
 	full := milliseconds(j.route.GetTimeoutMs())
-	return j.route.GetRepetition() == wire.Repetition_REPETITION_STREAM && j.about.Patience >= full-full/10
+	return j.route.GetRepetition() == wire.Repetition_REPETITION_STREAM && j.meta.Patience >= full-full/10
 }
 
-// reserve is the part of a request's time until then that is kept for its run.
-func reserve(j *job, until time.Time) time.Duration {
-	return min(until.Sub(j.req.ReceivedAt)/runReserve, maxRunReserve)
+// runReserve returns the part of a request's time up to the deadline that is reserved for its
+// run.
+func runReserve(j *job, until time.Time) time.Duration {
+	return min(until.Sub(j.req.ReceivedAt)/runReserveDivisor, maxRunReserve)
 }
 
 // choose waits for a backend server.
 func (f *Forwarder) choose(ctx context.Context, j *job) (balancer.Decision, bool) {
-	until := j.until
-	if !j.leaves.IsZero() && j.leaves.Before(until) {
-		until = j.leaves
+	until := j.deadline
+	if !j.firstEventDeadline.IsZero() && j.firstEventDeadline.Before(until) {
+		until = j.firstEventDeadline
 	}
-	j.sendBy = until.Add(-reserve(j, until))
-	if first := j.req.ReceivedAt.Add(waitObjectives * milliseconds(j.route.GetObjectiveMs())); j.fresh() && first.Before(until) {
+	j.sendBy = until.Add(-runReserve(j, until))
+	if first := j.req.ReceivedAt.Add(firstAttemptObjectives * milliseconds(j.route.GetObjectiveMs())); j.isFirstAttempt() && first.Before(until) {
 		until = first
 	}
 	w := &balancer.Waiter{
-		ID: j.about.ID, Service: j.service, Adapter: j.adapter, Urgency: j.urgency(),
-		Tokens: j.about.PromptTokens, Deadline: until.Add(-reserve(j, until)), Avoid: j.avoid,
-		UsesSlotGrants: j.dispensed,
+		ID: j.meta.ID, Service: j.service, Adapter: j.adapter, Urgency: j.urgency(),
+		Tokens: j.meta.PromptTokens, Deadline: until.Add(-runReserve(j, until)), Avoid: j.avoid,
+		UsesSlotGrants: j.usesSlotGrants,
 	}
 	decided := make(chan balancer.Decision, 1)
 	began := f.Clock.Now()
@@ -237,11 +240,11 @@
 	f.balancer.Enqueue(w)
 	f.waiting[w] = decided
 	f.mu.Unlock()
-	f.pump()
+	f.deliverDecisions()
 	select {
 	case d := <-decided:
 		j.waited += f.Clock.Since(began)
-		j.course.lacked = j.course.lacked || w.WaitedForAdapter()
+		j.progress.adapterMissing = j.progress.adapterMissing || w.WaitedForAdapter()
 		return d, true
 	case <-ctx.Done():
 	}
@@ -250,7 +253,7 @@
 	select {
 	case d := <-decided:
 		if d.Backend != nil {
-			f.balancer.Done(f.Clock.Now(), d.Backend.GetId(), j.adapter, j.about.PromptTokens, balancer.Abandoned)
+			f.balancer.Done(f.Clock.Now(), d.Backend.GetId(), j.adapter, j.meta.PromptTokens, balancer.Abandoned)
 		}
 	default:
 		f.balancer.Cancel(w)
@@ -259,13 +262,13 @@
 	return balancer.Decision{}, false
 }
 
-func (f *Forwarder) done(j *job, backend string, outcome balancer.Outcome) {
+func (f *Forwarder) recordOutcome(j *job, backend string, outcome balancer.Outcome) {
 	f.mu.Lock()
-	ejected := f.balancer.Done(f.Clock.Now(), backend, j.adapter, j.about.PromptTokens, outcome)
+	ejected := f.balancer.Done(f.Clock.Now(), backend, j.adapter, j.meta.PromptTokens, outcome)
 	f.mu.Unlock()
 	if ejected > 0 {
-		f.Log.Info("backend server ejected for its failures", "Backend", backend, "Service", j.service,
-			"For", ejected.Milliseconds(), "RequestID", j.about.ID)
+		f.Log.Info("ejected a failing backend server", "Backend", backend, "Service", j.service,
+			"For", ejected.Milliseconds(), "RequestID", j.meta.ID)
 	}
-	f.pump()
+	f.deliverDecisions()
 }
--- a/gateway/forwarder/key.go
+++ b/gateway/forwarder/key.go
@@ -8,29 +8,29 @@
 )
 
 const (
-	// certainFor is the age of the leader's word up to which a key that the table does not
-	// have counts as unknown. Behind an older word a newer table may have it.
-	certainFor = time.Second
-	// retryForKey is the retry time at a gateway that can't tell: about the time in
-	// which it hears of a table.
-	retryForKey = 300 * time.Millisecond
+	// maxCertainAge is the age of the leader's state up to which a key that is not in the table
+	// counts as unknown. With an older state a newer table may contain it.
+	maxCertainAge = time.Second
+	// retryAfterUnknownKey is the retry time at a gateway that can't decide: about the time in
+	// which it receives a table.
+	retryAfterUnknownKey = 300 * time.Millisecond
 )
 
 const (
 	reasonNoKey        = "no customer holds the request's key"
 	reasonKeyUncertain = "the key is not known here, but a newer table may have it"
-	reasonKeysOld      = "no controller was heard for so long that keys may have been taken away"
+	reasonKeysStale    = "no controller was heard for so long that keys may have been taken away"
 )
 
-// KeyPolicy says how keys are judged while no controller is heard.
+// KeyPolicy configures how keys are checked while no controller is reachable.
 type KeyPolicy struct {
-	// Strict refuses requests that need a key once the leader's word is older than StaleAfter.
+	// Strict refuses requests that need a key once the leader's state is older than StaleAfter.
 	Strict     bool
 	StaleAfter time.Duration
 }
 
-// Screen refuses a request by its head alone if its route needs a key and no customer holds
-// its own. It reports whether it did.
+// Screen refuses a request by its head alone if its route requires a key and no customer holds
+// the request's key. It reports whether it did.
 func (f *Forwarder) Screen(req *doorkeeper.Request, reply *doorkeeper.Reply) bool {
 	f.mu.Lock()
 	table := f.table
@@ -42,10 +42,10 @@
 	if route == nil || !table.RequiresKey(route) {
 		return false
 	}
-	if table.CustomerByKey(platform.DecodeKey(req.Head.Header)) != nil && !f.keysAreOld() {
+	if table.CustomerByKey(platform.DecodeKey(req.Head.Header)) != nil && !f.keysAreStale() {
 		return false
 	}
-	j := &job{req: req, reply: reply, about: platform.DecodeRequest(req.Head.Header), route: route, table: table}
+	j := &job{req: req, reply: reply, meta: platform.DecodeRequest(req.Head.Header), route: route, table: table}
 	f.refuseKey(j)
 	return true
 }
@@ -53,31 +53,31 @@
 // refuseKey refuses a request whose key can't be relied on. It has not run.
 func (f *Forwarder) refuseKey(j *job) {
 	switch {
-	case f.keysAreOld():
-		f.giveUp(j, reasonKeysOld, retryForKey)
-	case f.wordAge() > certainFor:
-		f.giveUp(j, reasonKeyUncertain, retryForKey)
+	case f.keysAreStale():
+		f.giveUp(j, reasonKeysStale, retryAfterUnknownKey)
+	case f.leaderAge() > maxCertainAge:
+		f.giveUp(j, reasonKeyUncertain, retryAfterUnknownKey)
 	default:
 		f.refuse(j, statusNoKey, reasonNoKey, 0)
 	}
 }
 
-// wordAge returns how old the leader's word is; 0 if nobody asks.
-func (f *Forwarder) wordAge() time.Duration {
+// leaderAge returns the age of the leader's state; 0 without a LeaderAge function.
+func (f *Forwarder) leaderAge() time.Duration {
 	if f.LeaderAge == nil {
 		return 0
 	}
 	return f.LeaderAge()
 }
 
-func (f *Forwarder) keysAreOld() bool {
-	return f.Keys.Strict && f.wordAge() > f.Keys.StaleAfter
+func (f *Forwarder) keysAreStale() bool {
+	return f.Keys.Strict && f.leaderAge() > f.Keys.StaleAfter
 }
 
-// keyHolds looks again at the key of a request that is about to be sent, by the table that
-// is in force now: its key may have been taken away while it waited. An answer that has
-// begun is finished.
-func (f *Forwarder) keyHolds(j *job) bool {
+// revalidateKey checks the key of a request again before it is sent, against the table now in
+// force: the key may have been revoked while the request waited. An answer that has begun is
+// completed.
+func (f *Forwarder) revalidateKey(j *job) bool {
 	f.mu.Lock()
 	table := f.table
 	f.mu.Unlock()
@@ -85,9 +85,9 @@
 		return true
 	}
 	if table != j.table {
-		j.table, j.customer = table, table.CustomerByKey(j.about.Key)
+		j.table, j.customer = table, table.CustomerByKey(j.meta.Key)
 	}
-	if j.customer != nil && !f.keysAreOld() {
+	if j.customer != nil && !f.keysAreStale() {
 		return true
 	}
 	if j.runs > 0 {
@@ -98,7 +98,7 @@
 	return false
 }
 
-// urgency is the customer's priority, or the route's where it has none; 0 goes first.
+// urgency is the customer's priority, or the route's where it has none; 0 is served first.
 func (j *job) urgency() uint32 {
 	if j.customer != nil && j.customer.Priority != nil {
 		return j.customer.GetPriority()
--- a/gateway/forwarder/key_test.go
+++ b/gateway/forwarder/key_test.go
@@ -19,8 +19,8 @@
 	"bronzelead.example/platform"
 )
 
-// keyed is the table of the tests with two customers and an open route.
-func keyed(version uint64, keys ...string) *wire.RoutingTable {
+// tableWithKeys is the test table with two customers and an open route.
+func tableWithKeys(version uint64, keys ...string) *wire.RoutingTable {
 	t := testTable()
 	t.Version, t.KeysRequired = version, true
 	open := proto.CloneOf(t.Routes[0])
@@ -35,20 +35,20 @@
 
 func withKey(key string) string { return strings.TrimSuffix(lines(platform.StandInKey(key)), "\r\n") }
 
-func claims(customer string) string {
+func withClaimedCustomer(customer string) string {
 	return strings.TrimSuffix(lines(platform.StandInClaimedCustomer(customer)), "\r\n")
 }
 
-func keyedGateway(c *qt.C, age time.Duration, backends ...*backendFake) (string, *Forwarder) {
-	address, f := gatewayAndForwarder(c, backends...)
+func keyedGateway(c *qt.C, age time.Duration, backends ...*fakeBackend) (string, *Forwarder) {
+	address, f := startGatewayAndForwarder(c, backends...)
 	f.LeaderAge = func() time.Duration { return age }
-	f.Apply("controller", &wire.SyncResponse{Table: keyed(4, "k1", "k2")})
+	f.Apply("controller", &wire.SyncResponse{Table: tableWithKeys(4, "k1", "k2")})
 	return address, f
 }
 
-// What a backend server gets bears the name of the key's customer, whatever the caller says
-// of itself, and never a key.
-func TestCustomersAreNamedByTheirKeys(t *testing.T) {
+// A backend server receives the name of the key's customer, whatever the caller claims, and
+// never a key.
+func TestCustomerIsIdentifiedByKey(t *testing.T) {
 	for name, test := range map[string]struct {
 		path   string
 		header []string
@@ -56,15 +56,15 @@
 		want   string
 	}{
 		"a key":                       {"/safe/", []string{withKey("k1")}, 200, "c1"},
-		"a key and a claim":           {"/safe/", []string{claims("c9"), withKey("k2")}, 200, "c2"},
+		"a key and a claim":           {"/safe/", []string{withClaimedCustomer("c9"), withKey("k2")}, 200, "c2"},
 		"no key":                      {"/safe/", nil, 401, ""},
 		"an unknown key":              {"/safe/", []string{withKey("k3")}, 401, ""},
 		"two keys":                    {"/safe/", []string{withKey("k1"), withKey("k2")}, 401, ""},
-		"only a claim":                {"/safe/", []string{claims("c1")}, 401, ""},
+		"only a claim":                {"/safe/", []string{withClaimedCustomer("c1")}, 401, ""},
 		"an open route":               {"/open/", nil, 200, ""},
-		"an open route and a claim":   {"/open/", []string{claims("c1")}, 200, ""},
+		"an open route and a claim":   {"/open/", []string{withClaimedCustomer("c1")}, 200, ""},
 		"an open route and a key":     {"/open/", []string{withKey("k2")}, 200, "c2"},
-		"an open route, unknown key":  {"/open/", []string{withKey("k3"), claims("c1")}, 200, ""},
+		"an open route, unknown key":  {"/open/", []string{withKey("k3"), withClaimedCustomer("c1")}, 200, ""},
 		"a route that does not exist": {"/none/", nil, 404, ""},
 		"a stream":                    {"/resumable/", []string{withKey("k1")}, 200, "c1"},
 	} {
@@ -85,20 +85,20 @@
 	}
 }
 
-// A gateway says that a key is unknown only if no newer table can have it.
-func TestKeysAreUnknownOnlyForCertain(t *testing.T) {
+// A gateway rejects a key as unknown only if no newer table can contain it.
+func TestKeyIsRejectedOnlyIfTableIsCurrent(t *testing.T) {
 	for name, test := range map[string]struct {
 		age    time.Duration
 		strict bool
 		key    string
 		want   int
 	}{
-		"young word":                {100 * time.Millisecond, false, "k3", 401},
-		"old word":                  {2 * time.Second, false, "k3", 503},
-		"old word, known key":       {time.Minute, false, "k1", 200},
-		"old word, strict":          {time.Minute, true, "k1", 503},
-		"young word, strict":        {100 * time.Millisecond, true, "k1", 200},
-		"young word, strict, other": {100 * time.Millisecond, true, "k3", 401},
+		"recent state":                {100 * time.Millisecond, false, "k3", 401},
+		"old state":                   {2 * time.Second, false, "k3", 503},
+		"old state, known key":        {time.Minute, false, "k1", 200},
+		"old state, strict":           {time.Minute, true, "k1", 503},
+		"recent state, strict":        {100 * time.Millisecond, true, "k1", 200},
+		"recent state, strict, other": {100 * time.Millisecond, true, "k3", 401},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -110,9 +110,9 @@
 	}
 }
 
-// A key holds for a request, not for a connection; and a request whose key is not known
-// leaves its connection usable, its body unread by anybody.
-func TestKeysOfOneConnection(t *testing.T) {
+// A key is valid for a request, not for a connection; and a request with an unknown key leaves
+// its connection usable, although nothing has read its body.
+func TestKeyIsCheckedPerRequest(t *testing.T) {
 	c := qt.New(t)
 	b := newBackend(c, "b", runsAndAnswers(200, "x"))
 	address, f := keyedGateway(c, 0, b)
@@ -122,7 +122,7 @@
 	reader := bufio.NewReader(conn)
 	send := func(key string) int {
 		_, err := io.WriteString(conn, "POST /once/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"+
-			lines(platform.StandInRequest("r1", patience))+lines(platform.StandInKey(key))+"\r\nabc")
+			lines(platform.StandInRequest("r1", clientTimeout))+lines(platform.StandInKey(key))+"\r\nabc")
 		c.Assert(err, qt.IsNil)
 		res, err := http.ReadResponse(reader, nil)
 		c.Assert(err, qt.IsNil)
@@ -136,38 +136,38 @@
 	}{{"k1", 200}, {"k3", 401}, {"", 401}, {strings.Repeat("k", 8000), 401}, {"k2", 200}} {
 		c.Check(send(step.key), qt.Equals, step.want)
 	}
-	f.Apply("controller", &wire.SyncResponse{Table: keyed(5, "k2")})
+	f.Apply("controller", &wire.SyncResponse{Table: tableWithKeys(5, "k2")})
 	c.Check(send("k1"), qt.Equals, 401)
 	c.Check(send("k2"), qt.Equals, 200)
 	c.Check(platform.DecodeDispatch(fields(b.requests()[2].Header)).Customer, qt.Equals, "c1")
 }
 
-// A request whose key is taken away while it waits for a backend server is not sent.
-func TestAKeyIsTakenAwayWhileItsRequestWaits(t *testing.T) {
+// A request whose key is revoked while it waits for a backend server is not sent.
+func TestKeyRevokedWhileRequestWaits(t *testing.T) {
 	c := qt.New(t)
 	release := make(chan struct{})
-	b := newBackend(c, "b", func(b *backendFake, req *http.Request, conn net.Conn) bool {
+	b := newBackend(c, "b", func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 		<-release
 		return runsAndAnswers(200, "x")(b, req, conn)
 	})
 	address, f := keyedGateway(c, 0)
-	// It waits here, and not for a slot that is given out elsewhere.
+	// Requests wait here, and not for a slot that is granted by another gateway.
 	f.Off = ablator.Without(ablator.Dispensing)
 	announced := b.announcement("s")
 	announced.Slots = 1
 	f.Apply("controller", &wire.SyncResponse{Announcements: []*wire.Announcement{announced}})
 	answers := make(chan int, 64)
-	ask := func(key string) { answers <- call(c, address, "/once/", withKey(key)).status }
+	send := func(key string) { answers <- call(c, address, "/once/", withKey(key)).status }
 	for range 48 {
-		go ask("k1")
+		go send("k1")
 	}
-	// Until there is no room left at the backend server, so that others wait here.
+	// Wait until the backend server has no room left, so that further requests wait here.
 	eventually(c, func() bool {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		return f.balancer.Waiting() > 0 && len(b.requests())+f.balancer.Waiting() == 48
 	})
-	f.Apply("controller", &wire.SyncResponse{Table: keyed(5, "k2")})
+	f.Apply("controller", &wire.SyncResponse{Table: tableWithKeys(5, "k2")})
 	close(release)
 	counts := map[int]int{}
 	for range 48 {
--- a/gateway/forwarder/limit_test.go
+++ b/gateway/forwarder/limit_test.go
@@ -15,28 +15,28 @@
 	"bronzelead.example/platform"
 )
 
-// bank lends of the tests' limits without a network.
-type bank struct{ lender *quotaallocator.Allocator }
+// localLimits grants quota of the tests' limits without a network.
+type localLimits struct{ allocator *quotaallocator.Allocator }
 
-func (b bank) Borrow(_ context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
-	return &wire.BorrowResponse{Borrowers: []*wire.BorrowerCredit{b.lender.Allocate(time.Now(), req.GetBorrowers()[0])}}, nil
+func (b localLimits) Borrow(_ context.Context, req *wire.BorrowRequest) (*wire.BorrowResponse, error) {
+	return &wire.BorrowResponse{Borrowers: []*wire.BorrowerCredit{b.allocator.Allocate(time.Now(), req.GetBorrowers()[0])}}, nil
 }
 
-func (b bank) ListLimits(context.Context, *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
-	return &wire.ListLimitsResponse{Limits: b.lender.Statuses(time.Now(), true)}, nil
+func (b localLimits) ListLimits(context.Context, *wire.ListLimitsRequest) (*wire.ListLimitsResponse, error) {
+	return &wire.ListLimitsResponse{Limits: b.allocator.Statuses(time.Now(), true)}, nil
 }
 
-// limitedGateway is a gateway for one customer that may send a number of units in a window
-// of an hour.
-func limitedGateway(c *qt.C, unit wire.LimitUnit, units float64, backends ...*backendFake) (string, *Forwarder) {
+// limitedGateway is a gateway for one customer that may send a number of units in a window of
+// an hour.
+func limitedGateway(c *qt.C, unit wire.LimitUnit, units float64, backends ...*fakeBackend) (string, *Forwarder) {
 	address, f := newGateway(c, clockwork.NewRealClock())
-	table := keyed(4, "k1")
+	table := tableWithKeys(4, "k1")
 	table.Customers[0].Limit = &wire.CustomerLimit{Unit: unit, Burst: units, PlainTokens: 40}
 	l := &quotaallocator.Allocator{Rule: quotaallocator.Rule{Window: time.Hour, Slack: 1000}}
 	l.Begin(time.Now().Add(-2*time.Hour), 1, table.Customers)
 	f.QuotaEnforcer = &quotaenforcer.Enforcer{
 		Clock: f.Clock, Log: slog.New(slog.DiscardHandler), Gateway: "g", Upstream: func() string { return "leader" },
-		Client: func(string) wire.Limits { return bank{l} },
+		Client: func(string) wire.Limits { return localLimits{l} },
 	}
 	f.QuotaEnforcer.Init()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -47,9 +47,9 @@
 	return address, f
 }
 
-// served counts the requests that are served before the first that hears that its customer
-// is beyond its limit.
-func served(c *qt.C, address, path string, header ...string) int {
+// countServed counts the requests that are served before the first one is refused because its
+// customer is beyond its limit.
+func countServed(c *qt.C, address, path string, header ...string) int {
 	for n := range 1000 {
 		res := call(c, address, path, append(header, withKey("k1"))...)
 		if res.status == 429 {
@@ -61,7 +61,7 @@
 	return -1
 }
 
-func TestRequestsCountByTheirUnit(t *testing.T) {
+func TestLimitUnits(t *testing.T) {
 	sized := lines(platform.StandInPrompt(20))
 	for name, test := range map[string]struct {
 		unit   wire.LimitUnit
@@ -77,14 +77,15 @@
 			c := qt.New(t)
 			b := newBackend(c, "b", runsAndAnswers(200, "x"))
 			address, _ := limitedGateway(c, test.unit, test.units, b)
-			c.Check(served(c, address, "/once/", test.header...), qt.Equals, test.want)
+			c.Check(countServed(c, address, "/once/", test.header...), qt.Equals, test.want)
 			c.Check(int(b.runs.Load()), qt.Equals, test.want)
 		})
 	}
 }
 
-// Each run counts, also the repeats that a gateway makes; what has certainly not run does not.
-func TestEachRunCounts(t *testing.T) {
+// Each run counts, also the retries by a gateway; a request that has certainly not run does
+// not.
+func TestEachRunCountsTowardsLimit(t *testing.T) {
 	for name, test := range map[string]struct {
 		path   string
 		handle handler
@@ -103,7 +104,7 @@
 				call(c, address, test.path, withKey("k1"))
 			}
 			c.Check(int(one.runs.Load()+other.runs.Load()), qt.Equals, test.want)
-			// The caller has its answer before the gateway has let go of the request.
+			// The caller has its answer before the gateway has released the request's quota.
 			eventually(c, func() bool { return f.QuotaEnforcer.Status("c1").Held == 0 })
 		})
 	}
--- a/gateway/forwarder/prompt_test.go
+++ b/gateway/forwarder/prompt_test.go
@@ -13,42 +13,42 @@
 	"bronzelead.example/platform"
 )
 
-// A prompt that does not fit beside another is sent once the other's first event has come,
+// A prompt that does not fit beside another is sent once the other's first event has arrived,
 // or once the other has ended in any other way.
-func TestPromptsWaitForEachOther(t *testing.T) {
+func TestPromptsArePaced(t *testing.T) {
 	const event = "id: 1\ndata: a\n\n"
 	large := strings.TrimSuffix(lines(platform.StandInPrompt(4000)), "\r\n")
 	for name, first := range map[string]string{
 		"its first event":     streamHead() + chunk(event),
-		"a failure":           whole("500 X", lines(platform.StandInAnswer("ID", "x")), "no"),
-		"a refusal":           whole("503 X", lines(platform.StandInRefusal("ID")), ""),
+		"a failure":           wholeResponse("500 X", lines(platform.StandInAnswer("ID", "x")), "no"),
+		"a refusal":           wholeResponse("503 X", lines(platform.StandInRefusal("ID")), ""),
 		"a closed connection": "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			arrived, proceed := make(chan struct{}, 16), make(chan struct{})
-			b := newBackend(c, "b1", func(_ *backendFake, req *http.Request, conn net.Conn) bool {
+			b := newBackend(c, "b1", func(_ *fakeBackend, req *http.Request, conn net.Conn) bool {
 				arrived <- struct{}{}
 				<-proceed
 				_, _ = io.WriteString(conn, strings.ReplaceAll(first, "ID", requestID(req)))
 				if strings.HasPrefix(first, streamHead()) {
 					<-proceed
 				}
-				// A connection that is closed behind a whole answer may be used once more before the
-				// gateway notices, and what is sent on it is lost.
+				// A connection that is closed behind a complete answer may be reused once
+				// before the gateway notices, and a request sent on it is lost.
 				return strings.Contains(first, "Content-Length")
 			})
-			address, f := gatewayAndForwarder(c, b)
-			need := f.need("s")
+			address, f := startGatewayAndForwarder(c, b)
+			activation := f.pacingActivation("s")
 			for range 100 {
-				need.ObserveStream(f.Clock.Now(), true)
+				activation.ObserveStream(f.Clock.Now(), true)
 			}
-			ended := make(chan got, 2)
+			ended := make(chan clientResponse, 2)
 			go func() { ended <- callFor(c, time.Hour, address, "/prompt/", large) }()
 			<-arrived
 			go func() { ended <- callFor(c, time.Hour, address, "/prompt/", large) }()
 			for f.Regulator.Waiting() == 0 {
-				// The second waits for the first, and is not at the engine.
+				// The second waits for the first, and was not sent to the engine.
 				c.Assert(arrived, qt.HasLen, 0)
 			}
 			proceed <- struct{}{}
--- a/gateway/forwarder/retried_test.go
+++ b/gateway/forwarder/retried_test.go
@@ -17,31 +17,32 @@
 
 const (
 	longObjective = 20 * time.Second
-	fullPatience  = 60 * time.Second
-	// restPatience is what a caller has left that first sent its request beyond the objective ago.
-	restPatience = 35 * time.Second
+	fullTimeout   = 60 * time.Second
+	// remainingTimeout is left to a caller that first sent its request longer ago than the
+	// objective.
+	remainingTimeout = 35 * time.Second
 )
 
-// keptCaller sends requests over one connection, each with its whole patience.
-type keptCaller struct {
+// persistentClient sends requests over one connection, each with its full timeout.
+type persistentClient struct {
 	c      *qt.C
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func newKeptCaller(c *qt.C, address string) *keptCaller {
+func newPersistentClient(c *qt.C, address string) *persistentClient {
 	conn, err := net.Dial("tcp", address)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = conn.Close() })
-	return &keptCaller{c: c, conn: conn, reader: bufio.NewReader(conn)}
+	return &persistentClient{c: c, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-func (k *keptCaller) send(path string) {
-	_, err := io.WriteString(k.conn, "GET "+path+" HTTP/1.1\r\nHost: h\r\n"+lines(platform.StandInRequest("r1", fullPatience))+"\r\n")
+func (k *persistentClient) send(path string) {
+	_, err := io.WriteString(k.conn, "GET "+path+" HTTP/1.1\r\nHost: h\r\n"+lines(platform.StandInRequest("r1", fullTimeout))+"\r\n")
 	k.c.Assert(err, qt.IsNil)
 }
 
-func (k *keptCaller) call(path string) int {
+func (k *persistentClient) call(path string) int {
 	k.send(path)
 	res, err := http.ReadResponse(k.reader, nil)
 	k.c.Assert(err, qt.IsNil)
@@ -50,13 +51,13 @@
 	return res.StatusCode
 }
 
-// holdingBackend runs requests below "/safe/held" until they are released by their path.
-func holdingBackend(c *qt.C, paths ...string) (b *backendFake, release map[string]chan struct{}) {
+// newBlockingBackend blocks requests for the given paths until they are released by their path.
+func newBlockingBackend(c *qt.C, paths ...string) (b *fakeBackend, release map[string]chan struct{}) {
 	release = map[string]chan struct{}{}
 	for _, path := range paths {
 		release[path] = make(chan struct{})
 	}
-	return newBackend(c, "b", func(b *backendFake, req *http.Request, conn net.Conn) bool {
+	return newBackend(c, "b", func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 		b.runs.Add(1)
 		if held := release[req.URL.Path]; held != nil {
 			<-held
@@ -66,16 +67,16 @@
 	}), release
 }
 
-// A retry whose answer would be late for its caller must not take a slot from a request that can
-// still be in time.
-func TestRetriesDoNotDisplaceFirstTries(t *testing.T) {
+// A retry whose answer would be late for its caller must not take a slot from a request that
+// can still be on time.
+func TestLateRetriesDoNotDisplaceFirstAttempts(t *testing.T) {
 	c := qt.New(t)
-	b, release := holdingBackend(c, "/safe/held/1", "/safe/held/2", "/safe/held/3", "/safe/retry", "/safe/first")
+	b, release := newBlockingBackend(c, "/safe/held/1", "/safe/held/2", "/safe/held/3", "/safe/retry", "/safe/first")
 	address, f := newGateway(c, clockwork.NewRealClock())
 	table := firstTable(b)
 	table.Announcements[0].Slots = 1
 	for _, r := range table.GetTable().GetRoutes() {
-		r.ObjectiveMs, r.TimeoutMs = uint32(longObjective.Milliseconds()), uint32(2*fullPatience.Milliseconds())
+		r.ObjectiveMs, r.TimeoutMs = uint32(longObjective.Milliseconds()), uint32(2*fullTimeout.Milliseconds())
 	}
 	f.Apply("controller", table)
 	released := map[string]bool{}
@@ -91,16 +92,16 @@
 		}
 	})
 
-	first := newKeptCaller(c, address)
+	first := newPersistentClient(c, address)
 	for range 50 {
 		c.Assert(first.call("/safe/short"), qt.Equals, 200)
 	}
 	arrived := func(n int) func() bool { return func() bool { return len(b.requests()) == n } }
 	for i, path := range []string{"/safe/held/1", "/safe/held/2", "/safe/held/3"} {
-		newKeptCaller(c, address).send(path)
+		newPersistentClient(c, address).send(path)
 		eventually(c, arrived(51+i))
 	}
-	go func() { callFor(c, restPatience, address, "/safe/retry") }()
+	go func() { callFor(c, remainingTimeout, address, "/safe/retry") }()
 	eventually(c, func() bool { return f.Regulator.Waiting() == 1 })
 	first.send("/safe/first")
 	eventually(c, func() bool { return f.Regulator.Waiting() == 2 })
--- a/gateway/forwarder/story.go
+++ b/gateway/forwarder/story.go
@@ -7,38 +7,38 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// sampleServed is how many answered requests there are for each one that is logged.
-// Failures and refusals are all logged.
-const sampleServed = 50
+// servedSampleInterval is the number of answered requests for each one that is logged. Failures
+// and refusals are all logged.
+const servedSampleInterval = 50
 
-// event logs a decision on a request that was not simply served.
-func (f *Forwarder) event(j *job, backend *wire.Announcement, outcome string, status int) {
+// logEvent logs a decision on a request that was not simply served.
+func (f *Forwarder) logEvent(j *job, backend *wire.Announcement, outcome string, status int) {
 	j.status = status
-	f.Log.Info("request", f.attributes(j, backend, "Outcome", outcome, "Status", status)...)
+	f.Log.Info("request", f.logAttributes(j, backend, "Outcome", outcome, "Status", status)...)
 	f.Meter.Count("requests_not_served", "outcome", outcomeLabel(status))
 }
 
-// served logs an answer that was passed on whole: all failures of backend servers, and a
+// logServed logs an answer that was relayed completely: all failures of backend servers, and a
 // sample of the others.
-func (f *Forwarder) served(j *job, backend *wire.Announcement, status int) {
+func (f *Forwarder) logServed(j *job, backend *wire.Announcement, status int) {
 	j.status = status
 	f.Meter.Ended(j.service, j.route.GetName(), "Served", f.Clock.Since(j.req.ReceivedAt))
 	if status >= http.StatusInternalServerError {
-		f.event(j, backend, "the backend server failed", status)
+		f.logEvent(j, backend, "the backend server failed", status)
 		return
 	}
-	if hash(j.about.ID)%sampleServed == 0 {
-		f.Log.Info("request", f.attributes(j, backend, "Outcome", "served", "Status", status, "SampledOneIn", sampleServed)...)
+	if hash(j.meta.ID)%servedSampleInterval == 0 {
+		f.Log.Info("request", f.logAttributes(j, backend, "Outcome", "served", "Status", status, "SampledOneIn", servedSampleInterval)...)
 	}
 }
 
-func (f *Forwarder) attributes(j *job, backend *wire.Announcement, more ...any) []any {
+func (f *Forwarder) logAttributes(j *job, backend *wire.Announcement, more ...any) []any {
 	list := []any{
-		"RequestID", j.about.ID, "Took", f.Clock.Since(j.req.ReceivedAt).Milliseconds(),
+		"RequestID", j.meta.ID, "Took", f.Clock.Since(j.req.ReceivedAt).Milliseconds(),
 		"Waited", j.waited.Milliseconds(), "Sends", j.sends,
-		"Patience", j.about.Patience.Milliseconds(), "SlotAsks", j.slotAsks,
+		"Patience", j.meta.Patience.Milliseconds(), "SlotAsks", j.slotRequests,
 	}
-	if retriedAfter := j.req.ReceivedAt.Sub(j.askedAt); !j.askedAt.IsZero() && retriedAfter > 0 {
+	if retriedAfter := j.req.ReceivedAt.Sub(j.firstSentAt); !j.firstSentAt.IsZero() && retriedAfter > 0 {
 		list = append(list, "RetriedAfter", retriedAfter.Milliseconds())
 	}
 	if f.LeaderAge != nil {
@@ -55,14 +55,14 @@
 		list = append(list, "Size", j.charge.size, "Credit", s.Unspent, "Held", s.Held, "Allowance", s.Allowance, "CreditAge", s.Age.Milliseconds())
 	}
 	if backend == nil {
-		backend = j.last
+		backend = j.lastBackend
 	}
 	if backend != nil {
 		list = append(list, "Backend", backend.GetId(), "Sequence", backend.GetSequence())
 	}
 	list = append(list, f.limitAttributes(j, backend.GetId())...)
 	if j.sends > 0 {
-		list = append(list, "Fingerprint", j.prints()[0], "SinceSent", f.Clock.Since(j.sentAt).Milliseconds())
+		list = append(list, "Fingerprint", j.requestFingerprints()[0], "SinceSent", f.Clock.Since(j.sentAt).Milliseconds())
 	}
 	return append(list, more...)
 }
@@ -74,7 +74,7 @@
 	return strconv.Itoa(status)
 }
 
-// hash spreads ids evenly, so that the sampled ones are the same on all instances.
+// hash spreads IDs evenly, so that all instances sample the same requests.
 func hash(id string) uint32 {
 	h := uint32(2166136261)
 	for i := range len(id) {
--- a/gateway/forwarder/stream_test.go
+++ b/gateway/forwarder/stream_test.go
@@ -24,22 +24,22 @@
 	for name, test := range map[string]struct {
 		path    string
 		written string
-		// resumed is what the second run is asked to follow on, "" for no second run.
+		// resumed is the event ID that the second run resumes from, "" for no second run.
 		resumed  string
 		body     string
 		complete bool
 	}{
-		"whole":                      {"/stream/", streamHead() + chunk(one) + chunk(two+three) + "0\r\n\r\n", "", one + two + three, true},
-		"in odd pieces":              {"/stream/", streamHead() + chunk(one[:4]) + chunk(one[4:]+two[:3]) + chunk(two[3:]) + "0\r\n\r\n", "", one + two, true},
-		"cut between events":         {"/stream/", streamHead() + chunk(one), "", one, false},
-		"cut inside an event":        {"/stream/", streamHead() + chunk(one+two[:5]), "", one, false},
-		"ended inside an event":      {"/stream/", streamHead() + chunk(one+two[:5]) + "0\r\n\r\n", "", one, false},
-		"cut, and goes on elsewhere": {"/resumable/", streamHead() + chunk(one+two[:5]), "1", one + two, true},
+		"whole":                       {"/stream/", streamHead() + chunk(one) + chunk(two+three) + "0\r\n\r\n", "", one + two + three, true},
+		"in fragments":                {"/stream/", streamHead() + chunk(one[:4]) + chunk(one[4:]+two[:3]) + chunk(two[3:]) + "0\r\n\r\n", "", one + two, true},
+		"interrupted between events":  {"/stream/", streamHead() + chunk(one), "", one, false},
+		"interrupted inside an event": {"/stream/", streamHead() + chunk(one+two[:5]), "", one, false},
+		"ended inside an event":       {"/stream/", streamHead() + chunk(one+two[:5]) + "0\r\n\r\n", "", one, false},
+		"interrupted, then resumed":   {"/resumable/", streamHead() + chunk(one+two[:5]), "1", one + two, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			var calls atomic.Int32
-			either := func(b *backendFake, req *http.Request, conn net.Conn) bool {
+			either := func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 				written := test.written
 				if calls.Add(1) == 2 {
 					c.Check(platform.DecodeDispatch(fields(req.Header)).Resumes, qt.Equals, test.resumed)
@@ -47,7 +47,7 @@
 				}
 				return runsAndBreaks(written)(b, req, conn)
 			}
-			g := call(c, gateway(c, newBackend(c, "b1", either), newBackend(c, "b2", either)), test.path)
+			g := call(c, startGateway(c, newBackend(c, "b1", either), newBackend(c, "b2", either)), test.path)
 			c.Check(g.status, qt.Equals, http.StatusOK)
 			c.Check(g.body, qt.Equals, test.body)
 			c.Check(g.complete, qt.Equals, test.complete)
@@ -56,19 +56,19 @@
 	}
 }
 
-// A caller that leaves ends the run: the connection to the backend server is closed.
-func TestLeavingCallerEndsTheRun(t *testing.T) {
+// A caller that disconnects ends the run: the connection to the backend server is closed.
+func TestClientDisconnectEndsRun(t *testing.T) {
 	c := qt.New(t)
 	began, ended := make(chan struct{}), make(chan struct{})
-	b := newBackend(c, "b1", func(_ *backendFake, _ *http.Request, conn net.Conn) bool {
+	b := newBackend(c, "b1", func(_ *fakeBackend, _ *http.Request, conn net.Conn) bool {
 		close(began)
 		_, _ = conn.Read(make([]byte, 1))
 		close(ended)
 		return false
 	})
-	conn, err := net.Dial("tcp", gateway(c, b))
+	conn, err := net.Dial("tcp", startGateway(c, b))
 	c.Assert(err, qt.IsNil)
-	_, err = io.WriteString(conn, "POST /once/ HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n"+lines(platform.StandInRequest("r", patience))+"\r\n")
+	_, err = io.WriteString(conn, "POST /once/ HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n"+lines(platform.StandInRequest("r", clientTimeout))+"\r\n")
 	c.Assert(err, qt.IsNil)
 	<-began
 	c.Assert(conn.Close(), qt.IsNil)
--- a/gateway/forwarder/tally.go
+++ b/gateway/forwarder/tally.go
@@ -9,64 +9,66 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// ending says how a request that is not a stream ended for its caller.
-type ending string
+// requestOutcome is the outcome, for its caller, of a request that is not a stream.
+type requestOutcome string
 
 const (
-	endedInTime  ending = "InTime"
-	endedLate    ending = "Late"
-	endedRefused ending = "Refused"
-	// endedHeld is a refusal after more than an eighth of the objective.
-	endedHeld   ending = "RefusedLate"
-	endedFailed ending = "Failed"
-	// noRepeat counts, beside the endings, tries that the repeat budget did not allow.
-	noRepeat ending = "RepeatsDenied"
+	requestOnTime  requestOutcome = "InTime"
+	requestLate    requestOutcome = "Late"
+	requestRefused requestOutcome = "Refused"
+	// requestRefusedLate is a refusal after more than an eighth of the objective.
+	requestRefusedLate requestOutcome = "RefusedLate"
+	requestFailed      requestOutcome = "Failed"
+	// retryDenied counts, beside the outcomes, retries that the retry budget did not allow.
+	retryDenied requestOutcome = "RepeatsDenied"
 )
 
-// heldShare is the part, as a divisor, of the objective from which a refusal counts as late.
-const heldShare = 8
+// lateRefusalDivisor gives the part of the objective from which a refusal counts as late.
+const lateRefusalDivisor = 8
 
-// endingOf judges a request by the status that its caller got and the time that it took.
-func endingOf(status int, took, objective time.Duration) ending {
+// classifyRequest returns the outcome for the status that a caller got and the time taken.
+func classifyRequest(status int, took, objective time.Duration) requestOutcome {
 	switch {
 	case status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests:
-		if took > objective/heldShare {
-			return endedHeld
+		if took > objective/lateRefusalDivisor {
+			return requestRefusedLate
 		}
-		return endedRefused
+		return requestRefused
 	case status == 0 || status >= http.StatusInternalServerError:
-		return endedFailed
+		return requestFailed
 	case took > objective:
-		return endedLate
+		return requestLate
 	}
-	return endedInTime
+	return requestOnTime
 }
 
-// tally counts a request that has ended. Streams are judged by their events instead.
-func (f *Forwarder) tally(j *job) {
+// recordRequestOutcome counts a request that has ended. Streams are classified by their events
+// instead.
+func (f *Forwarder) recordRequestOutcome(j *job) {
 	if j.route.GetRepetition() == wire.Repetition_REPETITION_STREAM {
 		return
 	}
-	e := endingOf(j.status, f.Clock.Since(j.req.ReceivedAt), milliseconds(j.route.GetObjectiveMs()))
+	e := classifyRequest(j.status, f.Clock.Since(j.req.ReceivedAt), milliseconds(j.route.GetObjectiveMs()))
 	f.Meter.Count("plain_requests", "ending", string(e))
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.addEnding(j, e)
+	f.countRequestOutcome(j, e)
 }
 
-// addEnding counts for the next log line. The caller holds the lock.
-func (f *Forwarder) addEnding(j *job, e ending) {
+// countRequestOutcome counts an outcome for the next log line. The caller holds the lock.
+func (f *Forwarder) countRequestOutcome(j *job, e requestOutcome) {
 	name := j.route.GetName()
-	if f.endings[name] == nil {
-		f.endings[name] = map[ending]int{}
+	if f.requestOutcomes[name] == nil {
+		f.requestOutcomes[name] = map[requestOutcome]int{}
 	}
-	f.endings[name][e]++
+	f.requestOutcomes[name][e]++
 }
 
-// logEndings logs by route how requests ended since the last time. The caller holds the lock.
-func (f *Forwarder) logEndings() {
-	for _, name := range slices.Sorted(maps.Keys(f.endings)) {
-		f.Log.Info("plain requests", "Route", name, "Ended", f.endings[name])
+// logRequestOutcomes logs the outcomes by route since the last log line. The caller holds the
+// lock.
+func (f *Forwarder) logRequestOutcomes() {
+	for _, name := range slices.Sorted(maps.Keys(f.requestOutcomes)) {
+		f.Log.Info("plain requests", "Route", name, "Ended", f.requestOutcomes[name])
 	}
-	clear(f.endings)
+	clear(f.requestOutcomes)
 }
--- a/gateway/forwarder/throttle_test.go
+++ b/gateway/forwarder/throttle_test.go
@@ -14,22 +14,22 @@
 	"bronzelead.example/platform"
 )
 
-// limits runs requests and names a limit in its answers.
-func limits(status int, field framer.Field) handler {
-	return func(b *backendFake, req *http.Request, conn net.Conn) bool {
+// respondWithLimit runs requests and announces a limit in its answers.
+func respondWithLimit(status int, field framer.Field) handler {
+	return func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 		b.runs.Add(1)
 		answer(conn, status, "x", append(platform.StandInAnswer(requestID(req), b.id), field))
 		return true
 	}
 }
 
-// A backend server that takes no requests for now gets none while another one can serve them,
-// whatever kind of answer has said so.
-func TestRequestsGoElsewhereWithoutAGrant(t *testing.T) {
+// A backend server that currently accepts no requests gets none while another one can serve
+// them, whatever kind of answer announced the limit.
+func TestRequestsUseOtherBackendWithoutGrant(t *testing.T) {
 	for name, handle := range map[string]handler{
-		"an answer":            limits(200, platform.StandInRequestLimit(0)),
-		"a failure of its own": limits(500, platform.StandInRequestLimit(0)),
-		"a refusal": func(_ *backendFake, req *http.Request, conn net.Conn) bool {
+		"an answer":            respondWithLimit(200, platform.StandInRequestLimit(0)),
+		"a failure of its own": respondWithLimit(500, platform.StandInRequestLimit(0)),
+		"a refusal": func(_ *fakeBackend, req *http.Request, conn net.Conn) bool {
 			answer(conn, 503, "", append(platform.StandInRefusal(requestID(req)), platform.StandInRequestLimit(0)))
 			return true
 		},
@@ -37,7 +37,7 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			limited, other := newBackend(c, "limited", handle), newBackend(c, "other", runsAndAnswers(200, "y"))
-			address, f := gatewayAndForwarder(c, limited, other)
+			address, f := startGatewayAndForwarder(c, limited, other)
 			eventually(c, func() bool {
 				call(c, address, "/safe/")
 				return f.Granter.Limited("limited")
@@ -53,11 +53,11 @@
 	}
 }
 
-// Where nobody else can serve it, a request is refused at once, and told when to come again.
+// Where no other backend server can serve it, a request is refused at once with a retry time.
 func TestRequestsBeyondTheLimitOfAllAreRefused(t *testing.T) {
 	c := qt.New(t)
-	b := newBackend(c, "b", limits(200, platform.StandInRequestLimit(0)))
-	address, f := gatewayAndForwarder(c, b)
+	b := newBackend(c, "b", respondWithLimit(200, platform.StandInRequestLimit(0)))
+	address, f := startGatewayAndForwarder(c, b)
 	f.Granter.Self = "self"
 	f.Granter.Ranked = func(string) (owner, deputy string) { return "self", "" }
 	c.Assert(call(c, address, "/once/").status, qt.Equals, 200)
@@ -69,28 +69,28 @@
 	c.Check(len(b.requests()), qt.Equals, 1)
 }
 
-// What can't be read changes nothing, and what another start answers neither.
+// An unreadable limit changes nothing, nor does an answer of another incarnation.
 func TestWhichAnswersNameALimit(t *testing.T) {
 	for name, test := range map[string]struct {
 		status int
 		answer platform.Answer
 		want   throttler.Limit
 	}{
-		"signed, another value": {200, platform.Answer{Signed: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(7)},
-		"signed, none":          {200, platform.Answer{Signed: true}, throttler.Limit{}},
-		"signed, unreadable":    {200, platform.Answer{Signed: true, LimitFault: "NotDecimal"}, throttler.LimitOf(5)},
-		"a refusal with one":    {503, platform.Answer{NotRun: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(7)},
-		"a refusal without":     {503, platform.Answer{NotRun: true}, throttler.LimitOf(5)},
-		"of another start":      {421, platform.Answer{NotRun: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(5)},
-		"not signed":            {200, platform.Answer{RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(5)},
+		"signed, another value":  {200, platform.Answer{Signed: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(7)},
+		"signed, none":           {200, platform.Answer{Signed: true}, throttler.Limit{}},
+		"signed, unreadable":     {200, platform.Answer{Signed: true, LimitFault: "NotDecimal"}, throttler.LimitOf(5)},
+		"a refusal with one":     {503, platform.Answer{NotRun: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(7)},
+		"a refusal without":      {503, platform.Answer{NotRun: true}, throttler.LimitOf(5)},
+		"of another incarnation": {421, platform.Answer{NotRun: true, RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(5)},
+		"not signed":             {200, platform.Answer{RequestLimit: throttler.LimitOf(7)}, throttler.LimitOf(5)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			_, f := gatewayAndForwarder(c)
+			_, f := startGatewayAndForwarder(c)
 			f.Granter.Observe("b", throttler.LimitOf(5), "r", 0)
-			f.observeLimit(&job{last: &wire.Announcement{Id: "b"}}, test.status, test.answer)
-			standing, _ := f.Granter.Status("b")
-			c.Check(standing.Limit, qt.Equals, test.want)
+			f.observeLimit(&job{lastBackend: &wire.Announcement{Id: "b"}}, test.status, test.answer)
+			status, _ := f.Granter.Status("b")
+			c.Check(status.Limit, qt.Equals, test.want)
 		})
 	}
 }
