--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -56,7 +56,7 @@
 		return
 	}
 	if !s.Router.HasBackend(j.BaseModel, j.Want.Service) {
-		s.refuse(now, j, &Refusal{Reason: NoBackend, RetryAfter: noBackendFor})
+		s.refuse(now, j, &Refusal{Reason: NoBackend, RetryAfter: retryWithoutBackend})
 		return
 	}
 	s.waiting = append(s.waiting, j)
@@ -102,7 +102,7 @@
 func (s *Scheduler) completeAttempt(now time.Time, j *Job, failed, missing bool) {
 	s.Router.End(now, j.candidate, failed)
 	if missing {
-		s.Router.RecordMissing(j.current)
+		s.Router.RecordMissing(j.candidate)
 	}
 	if j.Want.Adapter != "" {
 		s.Router.RecordEnd(j.Want.Adapter)
@@ -204,9 +204,9 @@
 		s.refuseQueued(r)
 	}
 	s.retryWaiting(now)
-	s.advance(now)
+	s.admitQueued(now)
 	s.Router.ReleaseIdle(now)
-	if s.admitter.Unmet() || s.Router.HasWaiting() {
+	if s.admitter.HasUnmetDemand() || s.Router.HasWaiting() {
 		s.RequestRenewal()
 	}
 }
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -21,7 +21,7 @@
 func (s *Scheduler) BeginSession(id uint64, lease time.Duration) {
 	s.callAndWait(func(time.Time) {
 		s.session = session{id: id, lease: lease, revision: s.session.revision}
-		s.current.Store(id)
+		s.sessionID.Store(id)
 		s.Router.DropLeases()
 		for _, d := range s.admitter.Demands(true) {
 			s.admitter.SetShare(d.Customer, 0)
