--- a/gateway/sender/dial.go
+++ b/gateway/sender/dial.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func (s *Sender) dial(ctx context.Context, address string) (*link, error) {
+func (s *Sender) dial(ctx context.Context, address string) (*connection, error) {
 	dialer := &net.Dialer{Timeout: s.DialTimeout, KeepAlive: -1}
 	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -17,7 +17,7 @@
 	if tcp, ok := c.(*net.TCPConn); ok {
 		setUserTimeout(tcp, s.UserTimeout)
 	}
-	return &link{Conn: c, reader: bufio.NewReaderSize(c, readBuffer)}, nil
+	return &connection{Conn: c, reader: bufio.NewReaderSize(c, readBufferSize)}, nil
 }
 
 // Probe opens a connection to a backend server, which the next request there uses.
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	s.keep(backend, l, 0)
+	s.keepIdle(backend, l, 0)
 	return nil
 }
 
@@ -38,7 +38,7 @@
 	if err != nil || d == 0 {
 		return
 	}
-	// Without the option a dead connection is only noticed later.
+	// Without the option a dead connection is only detected later.
 	_ = raw.Control(func(fd uintptr) {
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(d.Milliseconds()))
 	})
--- a/gateway/sender/dial_test.go
+++ b/gateway/sender/dial_test.go
@@ -10,19 +10,19 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// A probe tells whether a process still listens, and what it opens is used: the next request
-// there needs no connection of its own.
-func TestAProbeKeepsItsConnection(t *testing.T) {
+// A probe checks whether a process still listens, and its connection is reused: the next
+// request there needs no new one.
+func TestProbedConnectionIsReused(t *testing.T) {
 	c := qt.New(t)
 	s := &Sender{Clock: clockwork.NewRealClock(), DialTimeout: time.Minute, MaxIdle: time.Minute}
-	address, _ := silentServer(c)
+	address, _ := newUnresponsiveServer(c)
 	c.Assert(s.Probe(context.Background(), "b", address), qt.IsNil)
-	c.Check(s.take("b"), qt.Not(qt.IsNil))
-	c.Check(s.take("b"), qt.IsNil)
+	c.Check(s.takeIdle("b"), qt.Not(qt.IsNil))
+	c.Check(s.takeIdle("b"), qt.IsNil)
 }
 
-// Only where nothing listens the process has ended; a caller that gives up has learnt nothing.
-func TestWhereNothingListensAConnectionIsRefused(t *testing.T) {
+// Only a refused connection proves that the process has exited; a canceled dial proves nothing.
+func TestConnectionRefusedWithoutListener(t *testing.T) {
 	c := qt.New(t)
 	s := &Sender{Clock: clockwork.NewRealClock(), DialTimeout: time.Minute, MaxIdle: time.Minute}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
--- a/gateway/sender/fault.go
+++ b/gateway/sender/fault.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// Kind says what is known of a request that got no answer.
+// Kind classifies what is known about a request that got no answer.
 type Kind int
 
 // The kinds of errors.
@@ -15,7 +15,7 @@
 	KindNotSent Kind = iota + 1
 	// KindLost means that the request may have run.
 	KindLost
-	// KindMalformed means that what came was no valid answer; the request may have run.
+	// KindMalformed means that the answer was invalid; the request may have run.
 	KindMalformed
 )
 
@@ -32,7 +32,7 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// KindOf returns the kind of an error, or 0 of one of another package.
+// KindOf returns the kind of an error, or 0 for one of another package.
 func KindOf(err error) Kind {
 	var e *Error
 	if errors.As(err, &e) {
@@ -41,7 +41,8 @@
 	return 0
 }
 
-// IsConnectionRefused reports whether nothing listens at an address: the process there has ended.
+// IsConnectionRefused reports whether nothing listens at an address: the process there has
+// exited.
 func IsConnectionRefused(err error) bool { return errors.Is(err, syscall.ECONNREFUSED) }
 
 func wrap(operation string, kind Kind, err error) error {
--- a/gateway/sender/sender.go
+++ b/gateway/sender/sender.go
@@ -1,5 +1,5 @@
-// Package sender keeps connections to backend servers and sends single requests over
-// them. It never sends a request twice, and tells exactly what is known of its fate.
+// Package sender pools connections to backend servers and sends single requests over them. It
+// never sends a request twice, and its errors state exactly what is known of a request.
 package sender
 
 import (
@@ -19,46 +19,47 @@
 )
 
 const (
-	readBuffer = 4 << 10
+	readBufferSize = 4 << 10
 	// maxHeadBytes bounds the head of a backend server's answer.
 	maxHeadBytes = 64 << 10
-	// maxSkipped is how many answers to earlier requests are skipped before one's own.
-	maxSkipped = 2
+	// maxSkippedResponses is how many answers to earlier requests are skipped before the
+	// request's own.
+	maxSkippedResponses = 2
 )
 
-// Sender keeps connections. Set the exported fields before use.
+// Sender pools connections. Set the exported fields before use.
 type Sender struct {
 	Clock clockwork.Clock
 	// DialTimeout bounds the opening of a connection.
 	DialTimeout time.Duration
-	// MaxIdle is how long an unused connection is kept at most.
+	// MaxIdle is the maximum time an unused connection is kept.
 	MaxIdle time.Duration
-	// IdleMargin is taken off the time for which a backend server says that it keeps a
-	// connection, since its close may already be on the way.
+	// IdleMargin is subtracted from the idle timeout that a backend server announces, since it
+	// may already be closing the connection.
 	IdleMargin time.Duration
-	// UserTimeout is how long sent bytes may stay unacknowledged before a connection
-	// counts as dead.
+	// UserTimeout is how long sent bytes may stay unacknowledged before a connection counts as
+	// dead.
 	UserTimeout time.Duration
 	// IsOwnResponse reports whether an answer belongs to the request with an id, and for how
 	// long the connection may then stay idle; 0 if unknown.
 	IsOwnResponse func(head *framer.ResponseHead, requestID string) (own bool, idle time.Duration)
 
 	mu   sync.Mutex
-	idle map[string][]*link
+	idle map[string][]*connection
 	// busy are the connections with a request, for each backend server.
-	busy map[string]map[*link]struct{}
+	busy map[string]map[*connection]struct{}
 }
 
-// link is one connection to a backend server.
-type link struct {
+// connection is one connection to a backend server.
+type connection struct {
 	net.Conn
-	reader *bufio.Reader
-	until  time.Time
+	reader    *bufio.Reader
+	idleUntil time.Time
 }
 
 // Request is a request to be sent.
 type Request struct {
-	// Backend and Address name the backend server.
+	// Backend and Address identify the backend server.
 	Backend string
 	Address string
 	// RequestID is echoed by the answer.
@@ -67,37 +68,36 @@
 	Target    string
 	Header    framer.Header
 	Body      []byte
-	// NewConnection asks for a connection of its own.
+	// NewConnection forces a new connection.
 	NewConnection bool
 }
 
-// Response is an answer that has begun.
+// Response is an answer whose head has been read.
 type Response struct {
 	Head *framer.ResponseHead
 	Body *framer.Body
 
 	sender  *Sender
-	link    *link
+	conn    *connection
 	backend string
 	idle    time.Duration
 	stop    func() bool
 	written <-chan error
 }
 
-// Send sends a request and returns the answer's head. When ctx ends the connection is
-// closed, which tells the backend server to stop. The error says what is known of the
-// request.
+// Send sends a request and returns the answer's head. When ctx ends the connection is closed,
+// which makes the backend server stop. The error states what is known of the request.
 func (s *Sender) Send(ctx context.Context, out *Request) (*Response, error) {
 	l, err := s.connect(ctx, out)
 	if err != nil {
 		return nil, err
 	}
-	s.begin(out.Backend, l)
+	s.markBusy(out.Backend, l)
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	in, err := s.exchange(l, out)
 	if err != nil {
 		stop()
-		s.end(out.Backend, l)
+		s.unmarkBusy(out.Backend, l)
 		_ = l.Close()
 		return nil, err
 	}
@@ -105,12 +105,12 @@
 	return in, nil
 }
 
-func (s *Sender) exchange(l *link, out *Request) (*Response, error) {
+func (s *Sender) exchange(l *connection, out *Request) (*Response, error) {
 	written, err := write(l, out)
 	if err != nil {
 		return nil, err
 	}
-	for range maxSkipped + 1 {
+	for range maxSkippedResponses + 1 {
 		in, own, err := s.receive(l, out)
 		if err != nil {
 			return nil, err
@@ -119,7 +119,7 @@
 			in.written = written
 			return in, nil
 		}
-		// A second answer to an earlier request, which comes where this one's was due.
+		// A second answer to an earlier request, in place of this request's answer.
 		if _, err := io.Copy(io.Discard, in.Body); err != nil || !in.Body.Ended() {
 			return nil, fail(KindLost, "an answer to another request ended early")
 		}
@@ -127,13 +127,13 @@
 	return nil, fail(KindLost, "only answers to other requests came")
 }
 
-// largeBody is the size from which a body is written beside the reading, since an
-// answer may come before the body was taken in.
-const largeBody = 16 << 10
+// asyncBodySize is the size above which a body is written concurrently with reading, since an
+// answer may arrive before the whole body was read.
+const asyncBodySize = 16 << 10
 
-func write(l *link, out *Request) (<-chan error, error) {
+func write(l *connection, out *Request) (<-chan error, error) {
 	head := encode(out)
-	if len(out.Body) <= largeBody {
+	if len(out.Body) <= asyncBodySize {
 		n, err := l.Write(append(head, out.Body...))
 		if err != nil && n == 0 {
 			return nil, fail(KindNotSent, "%v", err)
@@ -158,7 +158,7 @@
 }
 
 func encode(out *Request) []byte {
-	buf := make([]byte, 0, 1024+min(len(out.Body), largeBody))
+	buf := make([]byte, 0, 1024+min(len(out.Body), asyncBodySize))
 	buf = append(buf, out.Method...)
 	buf = append(buf, ' ')
 	buf = append(buf, out.Target...)
@@ -178,11 +178,11 @@
 }
 
 // receive reads one head, skipping interim answers.
-func (s *Sender) receive(l *link, out *Request) (*Response, bool, error) {
+func (s *Sender) receive(l *connection, out *Request) (*Response, bool, error) {
 	for {
 		raw, err := framer.ReadHead(l.reader, maxHeadBytes)
 		if err != nil {
-			return nil, false, wrap("Send", kindOf(err), err)
+			return nil, false, wrap("Send", readErrorKind(err), err)
 		}
 		head, err := framer.ParseResponse(raw)
 		if err != nil {
@@ -196,29 +196,29 @@
 			return nil, false, wrap("Send", KindMalformed, err)
 		}
 		own, idle := s.IsOwnResponse(head, out.RequestID)
-		return &Response{Head: head, Body: body, sender: s, link: l, backend: out.Backend, idle: idle}, own, nil
+		return &Response{Head: head, Body: body, sender: s, conn: l, backend: out.Backend, idle: idle}, own, nil
 	}
 }
 
-func kindOf(err error) Kind {
+func readErrorKind(err error) Kind {
 	if framer.Is(err, framer.KindMalformed) || framer.Is(err, framer.KindTooLarge) {
 		return KindMalformed
 	}
 	return KindLost
 }
 
-// Close gives the connection back if the answer was read to its end and nothing else
-// came with it, and closes it otherwise.
+// Close returns the connection to the pool if the answer was read to its end and no other data
+// followed, and closes it otherwise.
 func (in *Response) Close() {
 	running := in.stop()
-	in.sender.end(in.backend, in.link)
+	in.sender.unmarkBusy(in.backend, in.conn)
 	reusable := running && in.Body.Ended() && in.Body.Framing != framer.FramingClose &&
-		in.Head.KeepAlive() && in.link.reader.Buffered() == 0 && in.bodyWritten()
+		in.Head.KeepAlive() && in.conn.reader.Buffered() == 0 && in.bodyWritten()
 	if !reusable {
-		_ = in.link.Close()
+		_ = in.conn.Close()
 		return
 	}
-	in.sender.keep(in.backend, in.link, in.idle)
+	in.sender.keepIdle(in.backend, in.conn, in.idle)
 }
 
 func (in *Response) bodyWritten() bool {
@@ -234,17 +234,17 @@
 	}
 }
 
-func (s *Sender) connect(ctx context.Context, out *Request) (*link, error) {
+func (s *Sender) connect(ctx context.Context, out *Request) (*connection, error) {
 	if !out.NewConnection {
-		if l := s.take(out.Backend); l != nil {
+		if l := s.takeIdle(out.Backend); l != nil {
 			return l, nil
 		}
 	}
 	return s.dial(ctx, out.Address)
 }
 
-// take returns the connection that was used last, if it is still alive.
-func (s *Sender) take(backend string) *link {
+// takeIdle returns the most recently used idle connection that is still usable.
+func (s *Sender) takeIdle(backend string) *connection {
 	now := s.Clock.Now()
 	for {
 		s.mu.Lock()
@@ -256,15 +256,15 @@
 		l := links[len(links)-1]
 		s.idle[backend] = links[:len(links)-1]
 		s.mu.Unlock()
-		if now.Before(l.until) && isQuiet(l.Conn) {
+		if now.Before(l.idleUntil) && isUsable(l.Conn) {
 			return l
 		}
 		_ = l.Close()
 	}
 }
 
-// isQuiet reports whether a connection is open and nothing unasked has come.
-func isQuiet(c net.Conn) bool {
+// isUsable reports whether a connection is open and has received no unsolicited data.
+func isUsable(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return true
@@ -273,16 +273,16 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	usable := false
 	var b [1]byte
 	err = raw.Control(func(fd uintptr) {
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN)
+		usable = errors.Is(err, syscall.EAGAIN)
 	})
-	return err == nil && quiet
+	return err == nil && usable
 }
 
-func (s *Sender) keep(backend string, l *link, announced time.Duration) {
+func (s *Sender) keepIdle(backend string, l *connection, announced time.Duration) {
 	idle := s.MaxIdle
 	if announced > 0 {
 		idle = min(idle, announced-s.IdleMargin)
@@ -291,49 +291,49 @@
 		_ = l.Close()
 		return
 	}
-	l.until = s.Clock.Now().Add(idle)
+	l.idleUntil = s.Clock.Now().Add(idle)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.idle == nil {
-		s.idle = map[string][]*link{}
+		s.idle = map[string][]*connection{}
 	}
 	s.idle[backend] = append(s.idle[backend], l)
 }
 
-// CloseExpired closes connections that have been idle for too long. Call it now and then.
+// CloseExpired closes connections that have been idle for too long. Call it periodically.
 func (s *Sender) CloseExpired() {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for backend, links := range s.idle {
-		kept := links[:0]
+		open := links[:0]
 		for _, l := range links {
-			if now.Before(l.until) {
-				kept = append(kept, l)
+			if now.Before(l.idleUntil) {
+				open = append(open, l)
 				continue
 			}
 			_ = l.Close()
 		}
-		s.idle[backend] = kept
-		if len(kept) == 0 {
+		s.idle[backend] = open
+		if len(open) == 0 {
 			delete(s.idle, backend)
 		}
 	}
 }
 
-func (s *Sender) begin(backend string, l *link) {
+func (s *Sender) markBusy(backend string, l *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.busy == nil {
-		s.busy = map[string]map[*link]struct{}{}
+		s.busy = map[string]map[*connection]struct{}{}
 	}
 	if s.busy[backend] == nil {
-		s.busy[backend] = map[*link]struct{}{}
+		s.busy[backend] = map[*connection]struct{}{}
 	}
 	s.busy[backend][l] = struct{}{}
 }
 
-func (s *Sender) end(backend string, l *link) {
+func (s *Sender) unmarkBusy(backend string, l *connection) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.busy[backend], l)
@@ -342,9 +342,9 @@
 	}
 }
 
-// CloseAll closes all connections to a start of a backend server that has ended, also those
-// with a request: nothing more comes on them, and without a reset a request would wait for
-// it until its time is over.
+// CloseAll closes all connections to an exited incarnation of a backend server, also those with
+// a request: no more data arrives on them, and without a reset a request would wait until its
+// deadline.
 func (s *Sender) CloseAll(backend string) {
 	s.CloseIdle(backend)
 	s.mu.Lock()
--- a/gateway/sender/sender_test.go
+++ b/gateway/sender/sender_test.go
@@ -13,8 +13,9 @@
 	"bronzelead.example/pkg/framer"
 )
 
-// silentServer accepts connections, tells of each request that begins, and never answers.
-func silentServer(c *qt.C) (address string, began <-chan struct{}) {
+// newUnresponsiveServer accepts connections, reports each request that begins, and never
+// answers.
+func newUnresponsiveServer(c *qt.C) (address string, began <-chan struct{}) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = listener.Close() })
@@ -35,15 +36,16 @@
 	return listener.Addr().String(), requests
 }
 
-// A start that was replaced without a word never answers. Its requests must learn so when
-// the gateway does, not when their time is over; those of other starts go on.
-func TestRequestsOfAReplacedStartEnd(t *testing.T) {
+// An incarnation that was replaced without an exit notice never answers. Its requests must fail
+// when the gateway learns of the replacement, not at their deadline; those of other
+// incarnations continue.
+func TestRequestsOfReplacedIncarnationFail(t *testing.T) {
 	c := qt.New(t)
 	s := &Sender{
 		Clock: clockwork.NewRealClock(), DialTimeout: time.Minute, MaxIdle: time.Minute,
 		IsOwnResponse: func(*framer.ResponseHead, string) (bool, time.Duration) { return true, 0 },
 	}
-	address, began := silentServer(c)
+	address, began := newUnresponsiveServer(c)
 	ctx, cancel := context.WithCancel(context.Background())
 	send := func(backend string) <-chan Kind {
 		ended := make(chan Kind, 1)
@@ -56,11 +58,11 @@
 	}
 	earlier, other := send("i-1~1"), send("i-2~1")
 	s.CloseAll("i-1~1")
-	// It may have run; only its answer is lost for certain.
+	// It may have run; only the loss of its answer is certain.
 	c.Check(<-earlier, qt.Equals, KindLost)
 	select {
 	case <-other:
-		c.Error("the request of another start has ended")
+		c.Error("the request of another incarnation has ended")
 	default:
 	}
 	cancel()
