--- a/gateway/dispatcher/dispatcher_test.go
+++ b/gateway/dispatcher/dispatcher_test.go
@@ -14,18 +14,18 @@
 	"bronzelead.example/pkg/translator"
 )
 
-// An engine ended while it ran a completion, and its next start, which had never seen it,
-// vouched that it did not run. Only the start that the request went to can know.
-func TestOnlyTheStartThatGotARequestVouchesForIt(t *testing.T) {
+// An engine exited while it ran a completion, and its next incarnation, which never received
+// it, stated that it did not run. Only the incarnation that received the request can know.
+func TestOnlyTheReceivingIncarnationConfirmsNotRun(t *testing.T) {
 	for name, test := range map[string]struct {
 		cancelled string
 		want      Ran
 	}{
-		"the same start":        {`{"Ran":"no","Incarnation":"first"}`, RanNo},
-		"a later start":         {`{"Ran":"no","Incarnation":"second"}`, RanUnknown},
-		"one that doesn't tell": {`{"Ran":"no"}`, RanUnknown},
-		"it ran":                {`{"Ran":"partly","Incarnation":"first"}`, RanUnknown},
-		"no answer in the form": {`no`, RanUnknown},
+		"the same incarnation": {`{"Ran":"no","Incarnation":"first"}`, RanNo},
+		"a later incarnation":  {`{"Ran":"no","Incarnation":"second"}`, RanUnknown},
+		"no incarnation named": {`{"Ran":"no"}`, RanUnknown},
+		"it ran":               {`{"Ran":"partly","Incarnation":"first"}`, RanUnknown},
+		"a malformed answer":   {`no`, RanUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			engine := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/gateway/dispatcher/services.go
+++ b/gateway/dispatcher/services.go
@@ -16,7 +16,7 @@
 	RequestID string
 	Address   string
 	Method    string
-	// Path has the query, and starts with a slash.
+	// Path includes the query, and starts with a slash.
 	Path     string
 	Header   http.Header
 	Body     []byte
@@ -24,7 +24,7 @@
 	Session  uint64
 	// NonIdempotent marks a request that must not run twice.
 	NonIdempotent bool
-	// MaxBuffered is how much of an answer is read before any of it is passed on.
+	// MaxBuffered is how much of an answer is read before any of it is relayed.
 	MaxBuffered int
 }
 
@@ -33,31 +33,31 @@
 	Ran    Ran
 	Status int
 	Header http.Header
-	// Body is the whole answer, if Rest is nil, else its beginning.
+	// Body is the complete answer, if Rest is nil, else its beginning.
 	Body []byte
-	// Rest is what follows Body. It has to be closed.
+	// Rest is what follows Body. It must be closed.
 	Rest io.ReadCloser
 	Err  error
 }
 
-// hopHeaders belong to one connection and are not passed on.
-func hopHeaders() []string {
+// hopByHopHeaders belong to one connection or to the gateway, and are not relayed.
+func hopByHopHeaders() []string {
 	return []string{
 		"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 		"Transfer-Encoding", "Upgrade", "Authorization", "Idempotency-Key", "X-Idempotency-Key",
 	}
 }
 
-// Call carries out a request to a plain service. Silence can't be probed, since a
-// plain service can't be asked what became of a request. So each call goes out on a
-// connection of its own, which no earlier use can have left silent.
+// Call performs a request to a plain service. A plain service can't be asked what became of a
+// request, so a silent connection can't be detected. So each call uses a new connection, which
+// no earlier use can have left silent.
 func (d *Dispatcher) Call(ctx context.Context, c *ServiceCall) *ServiceResponse {
 	req, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Address+c.Path, nil)
 	if err != nil {
 		return &ServiceResponse{Ran: RanNo, Err: errors.Wrap(err, "dispatcher")}
 	}
 	req.Header = c.Header.Clone()
-	for _, name := range hopHeaders() {
+	for _, name := range hopByHopHeaders() {
 		req.Header.Del(name)
 	}
 	req.Header.Set(translator.RequestIDHeader, c.RequestID)
@@ -68,13 +68,13 @@
 	}
 	res, err := d.UnpooledSessionTransport.RoundTrip(req)
 	if err != nil {
-		return &ServiceResponse{Ran: ranAfter(err), Err: errors.Wrap(err, "dispatcher")}
+		return &ServiceResponse{Ran: ranAfterError(err), Err: errors.Wrap(err, "dispatcher")}
 	}
 	return c.read(res)
 }
 
-// read takes in the beginning of an answer, so that a short one is known to be whole
-// before any of it is passed on.
+// read reads the beginning of an answer, so that a short one is known to be complete before any
+// of it is relayed.
 func (c *ServiceCall) read(res *http.Response) *ServiceResponse {
 	a := &ServiceResponse{Ran: RanYes, Status: res.StatusCode, Header: res.Header}
 	if got := res.Header.Get(translator.RequestIDHeader); got != "" && got != c.RequestID {
@@ -84,13 +84,13 @@
 	if res.Header.Get(translator.RanHeader) == translator.RanNo && res.StatusCode >= http.StatusInternalServerError {
 		a.Ran = RanNo
 	}
-	for _, name := range hopHeaders() {
+	for _, name := range hopByHopHeaders() {
 		a.Header.Del(name)
 	}
 	body, err := io.ReadAll(io.LimitReader(res.Body, int64(c.MaxBuffered)))
 	if err != nil {
 		_ = res.Body.Close()
-		return &ServiceResponse{Ran: RanUnknown, Err: errors.Wrap(err, "dispatcher: the answer was cut")}
+		return &ServiceResponse{Ran: RanUnknown, Err: errors.Wrap(err, "dispatcher: the answer was interrupted")}
 	}
 	a.Body = body
 	if len(body) < c.MaxBuffered {
--- a/gateway/dispatcher/watch.go
+++ b/gateway/dispatcher/watch.go
@@ -13,50 +13,50 @@
 	"bronzelead.example/pkg/translator"
 )
 
-// watch ends a call when nothing has arrived for a while.
-type watch struct {
+// silenceTimer cancels a call when nothing has arrived for a while.
+type silenceTimer struct {
 	timer   clockwork.Timer
 	cancel  context.CancelFunc
-	silence time.Duration
+	timeout time.Duration
 }
 
-// watchSilence returns a context that ends when the call goes silent.
-func watchSilence(ctx context.Context, d *Dispatcher) (context.Context, *watch) {
-	watched, cancel := context.WithCancel(ctx)
-	return watched, &watch{
-		timer: d.Clock.AfterFunc(d.SilenceTimeout, cancel), cancel: cancel, silence: d.SilenceTimeout,
+// newSilenceTimer returns a context that ends when the call goes silent.
+func newSilenceTimer(ctx context.Context, d *Dispatcher) (context.Context, *silenceTimer) {
+	timedCtx, cancel := context.WithCancel(ctx)
+	return timedCtx, &silenceTimer{
+		timer: d.Clock.AfterFunc(d.SilenceTimeout, cancel), cancel: cancel, timeout: d.SilenceTimeout,
 	}
 }
 
-func (w *watch) heard() { w.timer.Reset(w.silence) }
+func (w *silenceTimer) reset() { w.timer.Reset(w.timeout) }
 
-func (w *watch) stop() {
+func (w *silenceTimer) stop() {
 	w.timer.Stop()
 	w.cancel()
 }
 
-// watchedBody tells the watch of each piece that arrives.
-type watchedBody struct {
+// timedBody resets the timer for each piece that arrives.
+type timedBody struct {
 	reader io.Reader
-	watch  *watch
+	timer  *silenceTimer
 }
 
-func (b *watchedBody) Read(p []byte) (int, error) {
+func (b *timedBody) Read(p []byte) (int, error) {
 	n, err := b.reader.Read(p)
 	if n > 0 {
-		b.watch.heard()
+		b.timer.reset()
 	}
 	return n, err
 }
 
-// isDial reports whether a call failed before there was a connection.
-func isDial(err error) bool {
+// isDialError reports whether a call failed before there was a connection.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// parseCancellation returns what a start of an engine says of a request that went to another
-// one, or to itself.
+// parseCancellation returns what an incarnation of an engine states about a request that was
+// sent to the incarnation sentTo.
 func parseCancellation(body []byte, sentTo string) Ran {
 	c := &translator.Cancellation{}
 	if err := json.Unmarshal(body, c); err == nil && c.Ran == translator.RanNo && c.Incarnation == sentTo {
