--- a/gateway/registrar/registrar.go
+++ b/gateway/registrar/registrar.go
@@ -1,5 +1,5 @@
-// Package registrar holds the contracts that are in force at a gateway, for quick
-// look-ups by many goroutines. Each change makes a new directory.
+// Package registrar holds the contracts in force at a gateway, for fast look-ups by many
+// goroutines. Each change creates a new directory.
 package registrar
 
 import (
@@ -12,7 +12,7 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Terms is one customer's contract, arranged for look-ups.
+// Terms is one customer's contract, indexed for look-ups.
 type Terms struct {
 	Contract *wire.Contract
 	// models maps the names that callers use to adapters.
@@ -21,13 +21,13 @@
 	classes  map[string]*wire.ClassTerms
 }
 
-// Directory is all contracts at one moment. It does not change.
+// Directory holds all contracts at one moment. It does not change.
 type Directory struct {
 	customers map[string]*Terms
 	keys      map[authenticator.Digest]*Terms
 }
 
-// Registrar holds the present directory. The zero value is empty.
+// Registrar holds the current directory. The zero value is empty.
 type Registrar struct {
 	current atomic.Pointer[Directory]
 }
@@ -107,7 +107,7 @@
 // Models returns the model names that the customer may call.
 func (t *Terms) Models() []string { return slices.Sorted(maps.Keys(t.models)) }
 
-// Priority returns a class's priority. An unknown class has none.
+// Priority returns a class's priority, 0 for an unknown class.
 func (t *Terms) Priority(class string) int32 { return t.classes[class].GetPriority() }
 
 // HasClass reports whether the contract names a class.
--- a/gateway/registrar/registrar_bench_test.go
+++ b/gateway/registrar/registrar_bench_test.go
@@ -9,7 +9,7 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// BenchmarkApply times one changed contract of 100 adapters among many customers.
+// BenchmarkApply measures one changed contract of 100 adapters among many customers.
 func BenchmarkApply(b *testing.B) {
 	for _, customers := range []int{2, 200, 2000} {
 		b.Run(fmt.Sprintf("customers=%d", customers), func(b *testing.B) {
