--- a/gateway/renewer/isolation.go
+++ b/gateway/renewer/isolation.go
@@ -7,53 +7,53 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// never is the age of a leader's word before the first.
-const never = time.Hour
+// neverContactedAge is the age of a leader's state before the first contact.
+const neverContactedAge = time.Hour
 
-// LeaderAge returns how old the leader's word is. It may be called from any goroutine.
+// LeaderAge returns the age of the leader's state. It may be called from any goroutine.
 func (r *Renewer) LeaderAge() time.Duration {
-	heard := r.heard.Load()
-	if heard == 0 {
-		return never
+	lastContact := r.lastContactAt.Load()
+	if lastContact == 0 {
+		return neverContactedAge
 	}
-	return r.Clock.Since(time.Unix(0, heard))
+	return r.Clock.Since(time.Unix(0, lastContact))
 }
 
-// report adds to a renewal what the leader has not been told of runs that ended, and returns
-// the number of the last report in it.
-func (r *Renewer) report(req *wire.RenewRequest) uint64 {
-	reports, last := r.Isolator.Reports(r.reported)
+// addReports adds the reports of lost runs that the leader does not have yet to a renewal, and
+// returns the number of the last one.
+func (r *Renewer) addReports(req *wire.RenewRequest) uint64 {
+	reports, last := r.Isolator.Reports(r.lastReport)
 	req.RunReports, req.SuspectsRevision = reports, r.Isolator.SuspectsRevision()
 	return last
 }
 
-// noteAnswer takes what a leader says of requests and backend servers. Another leader than
-// before knows none of the reports but those of this renewal, so that all are told again.
-func (r *Renewer) noteAnswer(res *wire.RenewResponse, reported uint64) {
-	r.heard.Store(r.Clock.Now().UnixNano())
+// applyResponse applies a leader's state of requests and backend servers. A new leader has none
+// of the reports except those of this renewal, so all are sent again.
+func (r *Renewer) applyResponse(res *wire.RenewResponse, reported uint64) {
+	r.lastContactAt.Store(r.Clock.Now().UnixNano())
 	if res.GetTerm() != r.term {
 		r.term, reported = res.GetTerm(), 0
 	}
-	r.reported = reported
+	r.lastReport = reported
 	if res.GetSuspectsRevision() != 0 {
 		r.Isolator.SetSuspects(res.GetSuspectsRevision(), res.GetSuspects())
 	}
 	for _, b := range res.GetBackends() {
-		r.noteStart(b)
+		r.observeBackend(b)
 	}
 }
 
-// noteStart takes what is announced of a backend server. A new incarnation means that the
-// one before it has ended.
-func (r *Renewer) noteStart(b *wire.Backend) {
-	if r.starts == nil {
-		r.starts = map[string]string{}
+// observeBackend records an announced backend server. A new incarnation means that the previous
+// one has exited.
+func (r *Renewer) observeBackend(b *wire.Backend) {
+	if r.incarnations == nil {
+		r.incarnations = map[string]string{}
 	}
-	before := r.starts[b.GetName()]
-	if before != "" && before != b.GetIncarnation() {
-		r.Isolator.ObserveAnnouncement(&wire.Announcement{Id: isolator.IncarnationID(b.GetName(), before), Gone: true})
+	previous := r.incarnations[b.GetName()]
+	if previous != "" && previous != b.GetIncarnation() {
+		r.Isolator.ObserveAnnouncement(&wire.Announcement{Id: isolator.IncarnationID(b.GetName(), previous), Gone: true})
 	}
-	r.starts[b.GetName()] = b.GetIncarnation()
+	r.incarnations[b.GetName()] = b.GetIncarnation()
 	if b.GetLeaving() {
 		r.Isolator.ObserveAnnouncement(&wire.Announcement{Id: isolator.IncarnationID(b.GetName(), b.GetIncarnation()), Draining: true})
 	}
--- a/gateway/renewer/isolation_test.go
+++ b/gateway/renewer/isolation_test.go
@@ -23,26 +23,26 @@
 	return &Renewer{Clock: clock, Isolator: i}
 }
 
-// loses lets a start end that another one follows, by the leader's word.
-func (r *Renewer) loses(c *qt.C) {
-	r.noteAnswer(&wire.RenewResponse{Term: r.term, Backends: []*wire.Backend{{Name: "e", Incarnation: "1"}}}, r.reported)
+// loseRun records a lost run of an incarnation that, by the leader's state, has been replaced.
+func (r *Renewer) loseRun(c *qt.C) {
+	r.applyResponse(&wire.RenewResponse{Term: r.term, Backends: []*wire.Backend{{Name: "e", Incarnation: "1"}}}, r.lastReport)
 	lost := &wire.RunReport{Backend: isolator.IncarnationID("e", "1")}
 	r.Isolator.RecordLoss(func() []string { return []string{"f"} }, lost, "address")
-	r.noteAnswer(&wire.RenewResponse{Term: r.term, Backends: []*wire.Backend{{Name: "e", Incarnation: "2"}}}, r.reported)
+	r.applyResponse(&wire.RenewResponse{Term: r.term, Backends: []*wire.Backend{{Name: "e", Incarnation: "2"}}}, r.lastReport)
 	reports, _ := r.Isolator.Reports(0)
 	c.Assert(reports, qt.HasLen, 1)
 }
 
-// A leader is told once of each run that was lost; one that has just begun is told of all.
-func TestEachLeaderIsToldOfAllRuns(t *testing.T) {
+// A leader receives each report of a lost run once; a new leader receives all of them.
+func TestEachLeaderReceivesAllReports(t *testing.T) {
 	c := qt.New(t)
 	r := newRenewer()
 	r.term = 1
-	r.loses(c)
+	r.loseRun(c)
 	renew := func(term uint64) int {
 		req := &wire.RenewRequest{}
-		reported := r.report(req)
-		r.noteAnswer(&wire.RenewResponse{Term: term}, reported)
+		reported := r.addReports(req)
+		r.applyResponse(&wire.RenewResponse{Term: term}, reported)
 		return len(req.GetRunReports())
 	}
 	c.Check(renew(1), qt.Equals, 1)
@@ -52,12 +52,12 @@
 	c.Check(renew(2), qt.Equals, 0)
 }
 
-// The leader's word is as old as its last answer.
-func TestTheAgeOfTheLeadersWord(t *testing.T) {
+// The leader's state is as old as its last answer.
+func TestLeaderAge(t *testing.T) {
 	c := qt.New(t)
 	r := newRenewer()
-	c.Check(r.LeaderAge(), qt.Equals, never)
-	r.noteAnswer(&wire.RenewResponse{}, 0)
+	c.Check(r.LeaderAge(), qt.Equals, neverContactedAge)
+	r.applyResponse(&wire.RenewResponse{}, 0)
 	r.Clock.(*clockwork.FakeClock).Advance(3 * time.Second)
 	c.Check(r.LeaderAge(), qt.Equals, 3*time.Second)
 }
--- a/gateway/renewer/renewer.go
+++ b/gateway/renewer/renewer.go
@@ -1,6 +1,5 @@
-// Package renewer keeps a gateway's session with the controllers' leader alive. Each
-// renewal carries what changed at the gateway and brings back what changed at the
-// leader.
+// Package renewer renews a gateway's session with the controllers' leader. Each renewal sends
+// what changed at the gateway and returns what changed at the leader.
 package renewer
 
 import (
@@ -19,12 +18,12 @@
 )
 
 const (
-	// After a failure the next controller is tried this much later.
-	retryAfter = 50 * time.Millisecond
-	// Renewals that were asked for keep this distance, growing while nothing comes
-	// of them.
-	minGap = 3 * time.Millisecond
-	maxGap = 50 * time.Millisecond
+	// Delay before the next controller is tried after a failure.
+	retryDelay = 50 * time.Millisecond
+	// Requested renewals keep this distance, which grows with each further request until an
+	// interval passes without one.
+	minRenewalGap = 3 * time.Millisecond
+	maxRenewalGap = 50 * time.Millisecond
 )
 
 // Renewer renews the session. Set the exported fields, then call Run.
@@ -32,7 +31,7 @@
 	Clock     clockwork.Clock
 	Log       *slog.Logger
 	Scheduler *scheduler.Scheduler
-	// Isolator knows the requests that end backend servers.
+	// Isolator quarantines the requests that crash backend servers.
 	Isolator    *isolator.Isolator
 	Controllers *connector.Controllers
 	Client      *connector.Client
@@ -45,24 +44,24 @@
 	// Leave ends the session gracefully when closed.
 	Leave <-chan struct{}
 
-	wake chan struct{}
-	gap  time.Duration
-	// heard is when the leader answered last, in ns of Unix time.
-	heard atomic.Int64
-	// reported is the number of the last report that the leader of a term has.
-	reported uint64
-	term     uint64
-	// starts are the incarnations of backend servers that are known, by name.
-	starts map[string]string
+	requested chan struct{}
+	gap       time.Duration
+	// lastContactAt is when the leader last answered, in ns of Unix time.
+	lastContactAt atomic.Int64
+	// lastReport is the number of the last report that the leader of a term has received.
+	lastReport uint64
+	term       uint64
+	// incarnations are the known incarnations of backend servers, by name.
+	incarnations map[string]string
 }
 
-// Init prepares the renewer for Wake.
-func (r *Renewer) Init() { r.wake = make(chan struct{}, 1) }
+// Init prepares the renewer for RequestRenewal.
+func (r *Renewer) Init() { r.requested = make(chan struct{}, 1) }
 
-// RequestRenewal asks for a renewal soon.
+// RequestRenewal requests a renewal soon.
 func (r *Renewer) RequestRenewal() {
 	select {
-	case r.wake <- struct{}{}:
+	case r.requested <- struct{}{}:
 	default:
 	}
 }
@@ -70,52 +69,52 @@
 // Run opens sessions and renews them until Leave is closed or ctx ends.
 func (r *Renewer) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		id, ok := r.open(ctx)
+		id, ok := r.openSession(ctx)
 		if !ok {
 			return
 		}
-		if left := r.keep(ctx, id); left {
+		if left := r.renewUntilEnd(ctx, id); left {
 			return
 		}
 	}
 }
 
-// open asks for a session until it gets one.
-func (r *Renewer) open(ctx context.Context) (uint64, bool) {
+// openSession requests a session until it gets one.
+func (r *Renewer) openSession(ctx context.Context) (uint64, bool) {
 	req := &wire.OpenRequest{Instance: r.Instance, Zone: r.Zone, Nonce: rand.Text(), Address: r.Address}
 	for {
 		address := r.Controllers.Current()
-		res, err := r.control(address).Open(ctx, req)
+		res, err := r.controlClient(address).Open(ctx, req)
 		if err == nil {
 			r.Scheduler.BeginSession(res.GetSession(), time.Duration(res.GetLeaseNs()))
-			r.Log.Info("a session is open", "Session", res.GetSession())
+			r.Log.Info("opened a session", "Session", res.GetSession())
 			return res.GetSession(), true
 		}
-		r.Log.Debug("no session could be opened", "Controller", address, "Error", err.Error())
+		r.Log.Debug("could not open a session", "Controller", address, "Error", err.Error())
 		r.Controllers.MarkFailed(address)
-		if !r.pause(ctx, retryAfter) {
+		if !r.sleep(ctx, retryDelay) {
 			return 0, false
 		}
 	}
 }
 
-// keep renews a session until it has ended. It returns true after a graceful end.
-func (r *Renewer) keep(ctx context.Context, id uint64) bool {
+// renewUntilEnd renews a session until it has ended. It returns true after a graceful end.
+func (r *Renewer) renewUntilEnd(ctx context.Context, id uint64) bool {
 	full := true
 	for {
 		sent := r.Clock.Now()
 		req := r.Scheduler.BuildRenewal(full)
-		reported := r.report(req)
+		reported := r.addReports(req)
 		address := r.Controllers.Current()
-		res, err := r.control(address).Renew(ctx, req)
+		res, err := r.controlClient(address).Renew(ctx, req)
 		switch {
 		case err != nil:
-			// The leader may have taken the renewal in all the same, so the next one
-			// lists all that is held.
+			// The leader may have applied the renewal nonetheless, so the next one lists all
+			// that is held.
 			full = true
 			r.Controllers.MarkFailed(address)
-			r.Log.Debug("a renewal failed", "Controller", address, "Error", err.Error())
-			if !r.pause(ctx, retryAfter) {
+			r.Log.Debug("renewal failed", "Controller", address, "Error", err.Error())
+			if !r.sleep(ctx, retryDelay) {
 				return true
 			}
 			continue
@@ -124,54 +123,54 @@
 			r.Scheduler.EndSession()
 			return false
 		}
-		r.noteAnswer(res, reported)
+		r.applyResponse(res, reported)
 		r.Scheduler.ApplyRenewal(sent, res)
 		full = res.GetNeedFull()
 		if full {
 			continue
 		}
-		if left, done := r.rest(ctx, id); done {
+		if left, done := r.waitForNext(ctx, id); done {
 			return left
 		}
 	}
 }
 
-// rest waits for the next renewal. Done is set when there is none.
-func (r *Renewer) rest(ctx context.Context, id uint64) (left, done bool) {
+// waitForNext waits for the next renewal. Done is set when there is none.
+func (r *Renewer) waitForNext(ctx context.Context, id uint64) (left, done bool) {
 	timer := r.Clock.NewTimer(r.Interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return true, true
 	case <-r.Leave:
-		r.close(ctx, id)
+		r.closeSession(ctx, id)
 		return true, true
 	case <-timer.Chan():
-		r.gap = minGap
-	case <-r.wake:
-		r.gap = min(max(r.gap, minGap)*3/2, maxGap)
-		return false, !r.pause(ctx, r.gap)
+		r.gap = minRenewalGap
+	case <-r.requested:
+		r.gap = min(max(r.gap, minRenewalGap)*3/2, maxRenewalGap)
+		return false, !r.sleep(ctx, r.gap)
 	}
 	return false, false
 }
 
-// close hands the session back.
-func (r *Renewer) close(ctx context.Context, id uint64) {
-	pause := func(int) bool { return r.pause(ctx, retryAfter) }
+// closeSession closes the session at the controllers.
+func (r *Renewer) closeSession(ctx context.Context, id uint64) {
+	pause := func(int) bool { return r.sleep(ctx, retryDelay) }
 	err := r.Controllers.Try(ctx, pause, func(address string) error {
-		_, err := r.control(address).Close(ctx, &wire.CloseRequest{Session: id})
+		_, err := r.controlClient(address).Close(ctx, &wire.CloseRequest{Session: id})
 		return err
 	})
 	if err != nil {
-		r.Log.Warn("the session was not handed back", "Error", err.Error())
+		r.Log.Warn("could not close the session", "Error", err.Error())
 	}
 }
 
-func (r *Renewer) control(address string) wire.Control {
+func (r *Renewer) controlClient(address string) wire.Control {
 	return wire.NewControlProtobufClient("http://"+address, r.Client)
 }
 
-func (r *Renewer) pause(ctx context.Context, d time.Duration) bool {
+func (r *Renewer) sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
