--- a/pkg/router/demand.go
+++ b/pkg/router/demand.go
@@ -7,20 +7,20 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// AddWaiting notes that a request waits for an adapter; the planner hears of it.
+// AddWaiting records that a request waits for an adapter, for the report to the planner.
 func (r *Router) AddWaiting(adapter, base string) { r.demandOf(adapter, base).add(1, 0) }
 
-// RemoveWaiting takes that back.
+// RemoveWaiting reverts AddWaiting.
 func (r *Router) RemoveWaiting(adapter string) { r.demandOf(adapter, "").add(-1, 0) }
 
-// RecordStart notes that a request for an adapter has begun.
+// RecordStart records that a request for an adapter has started.
 func (r *Router) RecordStart(adapter, base string) {
 	d := r.demandOf(adapter, base)
 	d.add(0, 1)
 	d.started++
 }
 
-// RecordEnd notes that a request for an adapter has ended.
+// RecordEnd records that a request for an adapter has ended.
 func (r *Router) RecordEnd(adapter string) { r.demandOf(adapter, "").add(0, -1) }
 
 func (r *Router) demandOf(adapter, base string) *demand {
@@ -44,8 +44,8 @@
 	d.changed = true
 }
 
-// TakeDemands returns the adapters whose demand changed since the last call or for
-// which requests wait.
+// TakeDemands returns the adapters whose demand changed since the last call or for which
+// requests wait, or all of them.
 func (r *Router) TakeDemands(all bool) []*wire.AdapterDemand {
 	var list []*wire.AdapterDemand
 	for _, name := range slices.Sorted(maps.Keys(r.demand)) {
@@ -74,7 +74,7 @@
 	return false
 }
 
-// TakeReleased returns the leases that were given back since the last call.
+// TakeReleased returns the leases that were released since the last call.
 func (r *Router) TakeReleased() []uint64 {
 	released := r.released
 	r.released = nil
--- a/pkg/router/prefixes.go
+++ b/pkg/router/prefixes.go
@@ -4,32 +4,32 @@
 	prefixesPerBackend = 4096
 )
 
-// prefixCache remembers which beginnings of prompts were lately sent to which
-// backend server. It is a hint: engines forget on their own.
+// prefixCache records which prompt prefixes were recently sent to which backend server. It is a
+// hint: engines evict prefixes on their own.
 type prefixCache struct {
-	seen map[string]*recent
+	sent map[string]*recentSet
 }
 
-// recent is a set that forgets its oldest member when it is full.
-type recent struct {
+// recentSet is a set that evicts its oldest member when it is full.
+type recentSet struct {
 	members map[uint64]bool
 	order   []uint64
 	next    int
 }
 
 func (p *prefixCache) has(backend string, prefix uint64) bool {
-	r := p.seen[backend]
+	r := p.sent[backend]
 	return r != nil && r.members[prefix]
 }
 
 func (p *prefixCache) add(backend string, prefix uint64) {
-	if p.seen == nil {
-		p.seen = map[string]*recent{}
+	if p.sent == nil {
+		p.sent = map[string]*recentSet{}
 	}
-	r := p.seen[backend]
+	r := p.sent[backend]
 	if r == nil {
-		r = &recent{members: map[uint64]bool{}}
-		p.seen[backend] = r
+		r = &recentSet{members: map[uint64]bool{}}
+		p.sent[backend] = r
 	}
 	if r.members[prefix] {
 		return
--- a/pkg/router/router.go
+++ b/pkg/router/router.go
@@ -1,10 +1,9 @@
-// Package router chooses the backend server for a request, among those that the
-// gateway may use: engines on which it holds a lease for the adapter, and the
-// replicas of a plain service.
+// Package router chooses the backend server for a request, among those that the gateway may
+// use: engines on which it holds a lease for the adapter, and the replicas of a plain service.
 //
-// It is pure: reports and the time go in, choices come out. Loads are hints; a
-// gateway corrects each lagged report by what it has itself sent since. It is not
-// safe for concurrent use.
+// It is pure: it performs no I/O and receives the time as an argument. Loads are hints; a
+// gateway corrects each lagged report by what it has itself sent since. It is not safe for
+// concurrent use.
 package router
 
 import (
@@ -16,33 +15,32 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// LeaseID names a lease on an adapter at an engine.
+// LeaseID identifies a lease on an adapter at an engine.
 type LeaseID uint64
 
 // Policy holds the weights of a choice.
 type Policy struct {
-	// BatchWeight counts the places that stay empty in an engine's steps.
+	// BatchWeight weights the slots that stay empty in an engine's batch.
 	BatchWeight float64
-	// StallWeight counts the work that waits before a request.
+	// StallWeight weights the work that waits before a request.
 	StallWeight float64
-	// PrefixWeight counts a prompt's beginning that the engine has cached.
+	// PrefixWeight weights a prompt prefix that the engine has cached.
 	PrefixWeight float64
-	// ZoneWeight counts leaving the gateway's availability zone.
+	// ZoneWeight weights leaving the gateway's availability zone.
 	ZoneWeight float64
-	// SuspectPeriod is how long a backend server that failed is tried last.
+	// SuspectPeriod is how long a backend server that failed is chosen last.
 	SuspectPeriod time.Duration
 	// MaxLeaseIdle is how long an unused lease is kept.
 	MaxLeaseIdle time.Duration
 }
 
-// Router knows the backend servers and leases of one gateway. Set the exported
-// fields before use.
+// Router holds the backend servers and leases of one gateway. Set the exported fields before
+// use.
 type Router struct {
 	Policy Policy
 	// Zone is the gateway's availability zone.
 	Zone string
-	// Choose overrides the policy's choice among candidates; the baselines of a
-	// bench use it.
+	// Choose overrides the policy's choice among candidates; benchmark baselines use it.
 	Choose func(candidates []*Candidate) *Candidate
 
 	backends map[string]*backend
@@ -56,10 +54,11 @@
 type backend struct {
 	info    *wire.Backend
 	drained bool
-	// own counts the gateway's requests there; sent those since the last report.
-	own      int
-	sent     int
-	suspects time.Time
+	// inFlight counts the gateway's requests there; sentSinceReport those since the last
+	// report.
+	inFlight        int
+	sentSinceReport int
+	suspectedUntil  time.Time
 }
 
 type lease struct {
@@ -78,11 +77,11 @@
 	changed bool
 }
 
-// Candidate is a backend server that could take a request.
+// Candidate is a backend server that could serve a request.
 type Candidate struct {
 	Backend *wire.Backend
 	Lease   LeaseID
-	// Load is the number of requests thought to be there.
+	// Load is the estimated number of requests there.
 	Load int
 	// Score is better when lower.
 	Score        float64
@@ -91,7 +90,7 @@
 	SameZone     bool
 }
 
-// Request is what a request needs.
+// Request holds the routing requirements of a request.
 type Request struct {
 	// Adapter is the model name with its version; empty for a plain service.
 	Adapter string
@@ -102,9 +101,9 @@
 	Avoid []string
 }
 
-// Update takes in what is known of backend servers. With whole set, those that
-// aren't named are gone.
-func (r *Router) Update(list []*wire.Backend, gone, drained []string, whole bool) {
+// Update applies the known state of backend servers. With whole set, those that aren't listed
+// are removed.
+func (r *Router) Update(list []*wire.Backend, removed, drained []string, whole bool) {
 	if r.backends == nil {
 		r.backends = map[string]*backend{}
 	}
@@ -117,10 +116,10 @@
 			r.backends[info.GetName()] = b
 		}
 		b.info = info
-		b.sent = 0
+		b.sentSinceReport = 0
 	}
 	for name, b := range r.backends {
-		if whole && !named[name] || slices.Contains(gone, name) {
+		if whole && !named[name] || slices.Contains(removed, name) {
 			delete(r.backends, name)
 			continue
 		}
@@ -148,18 +147,18 @@
 	}
 }
 
-// Recall starts to give leases back: no new request uses them, and each is released
-// when its last request has ended.
+// Recall starts to release leases: no new request uses them, and each is released when its last
+// request has ended.
 func (r *Router) Recall(ids []uint64) {
 	for _, id := range ids {
 		l := r.leases[LeaseID(id)]
 		if l == nil {
-			// It was released, or never arrived; the leader shall know either way.
+			// It was released, or never arrived; the leader must be notified either way.
 			r.released = append(r.released, id)
 			continue
 		}
 		l.recalled = true
-		r.releaseIfDone(LeaseID(id), l)
+		r.releaseIfUnused(LeaseID(id), l)
 	}
 }
 
@@ -168,25 +167,25 @@
 	for id, l := range r.leases {
 		if l.inUse == 0 && now.Sub(l.lastUsed) > r.Policy.MaxLeaseIdle {
 			l.recalled = true
-			r.releaseIfDone(id, l)
+			r.releaseIfUnused(id, l)
 		}
 	}
 }
 
-// DropLeases drops all leases, when the session they were held under has ended.
+// DropLeases drops all leases when the session that held them has ended.
 func (r *Router) DropLeases() {
 	r.leases, r.adapters, r.released = nil, nil, nil
 }
 
-func (r *Router) releaseIfDone(id LeaseID, l *lease) {
+func (r *Router) releaseIfUnused(id LeaseID, l *lease) {
 	if !l.recalled || l.inUse > 0 {
 		return
 	}
-	r.drop(id, l)
+	r.removeLease(id, l)
 	r.released = append(r.released, uint64(id))
 }
 
-func (r *Router) drop(id LeaseID, l *lease) {
+func (r *Router) removeLease(id LeaseID, l *lease) {
 	delete(r.leases, id)
 	delete(r.adapters[l.grant.GetAdapter()], id)
 	if len(r.adapters[l.grant.GetAdapter()]) == 0 {
@@ -194,10 +193,9 @@
 	}
 }
 
-// Pick returns the best backend server for a request, or nil when there is none
-// that may be used.
-func (r *Router) Pick(now time.Time, w Request) *Candidate {
-	candidates := r.candidates(now, w)
+// Pick returns the best backend server for a request, or nil when none may be used.
+func (r *Router) Pick(now time.Time, req Request) *Candidate {
+	candidates := r.candidates(now, req)
 	if len(candidates) == 0 {
 		return nil
 	}
@@ -209,23 +207,23 @@
 	})
 }
 
-func (r *Router) candidates(now time.Time, w Request) []*Candidate {
+func (r *Router) candidates(now time.Time, req Request) []*Candidate {
 	var candidates []*Candidate
 	add := func(b *backend, id LeaseID) {
-		if b == nil || b.info.GetLeaving() || b.drained || slices.Contains(w.Avoid, b.info.GetName()) {
+		if b == nil || b.info.GetLeaving() || b.drained || slices.Contains(req.Avoid, b.info.GetName()) {
 			return
 		}
-		candidates = append(candidates, r.candidate(now, w, b, id))
+		candidates = append(candidates, r.candidate(now, req, b, id))
 	}
-	if w.Service != "" {
+	if req.Service != "" {
 		for _, name := range slices.Sorted(maps.Keys(r.backends)) {
-			if b := r.backends[name]; b.info.GetService() == w.Service {
+			if b := r.backends[name]; b.info.GetService() == req.Service {
 				add(b, 0)
 			}
 		}
 		return candidates
 	}
-	for id, l := range r.adapters[w.Adapter] {
+	for id, l := range r.adapters[req.Adapter] {
 		b := r.backends[l.grant.GetBackend()]
 		if !l.recalled && b != nil && b.info.GetIncarnation() == l.grant.GetIncarnation() {
 			add(b, id)
@@ -234,19 +232,19 @@
 	return candidates
 }
 
-func (r *Router) candidate(now time.Time, w Request, b *backend, id LeaseID) *Candidate {
+func (r *Router) candidate(now time.Time, req Request, b *backend, id LeaseID) *Candidate {
 	c := &Candidate{
 		Backend: b.info, Lease: id, Load: b.load(),
-		Suspected: now.Before(b.suspects), SameZone: b.info.GetZone() == r.Zone,
-		PrefixCached: w.Prefix != 0 && r.prefixes.has(b.info.GetName(), w.Prefix),
+		Suspected: now.Before(b.suspectedUntil), SameZone: b.info.GetZone() == r.Zone,
+		PrefixCached: req.Prefix != 0 && r.prefixes.has(b.info.GetName(), req.Prefix),
 	}
 	c.Score = r.score(c)
 	return c
 }
 
-const suspectScore = 1000
+const suspectPenalty = 1000
 
-// score weighs lost places in a batch against waiting behind a full one.
+// score weighs empty batch slots against waiting behind a full batch.
 func (r *Router) score(c *Candidate) float64 {
 	batch := float64(max(1, c.Backend.GetBatch()))
 	fill := float64(c.Load) / batch
@@ -262,66 +260,66 @@
 		score += r.Policy.ZoneWeight
 	}
 	if c.Suspected {
-		score += suspectScore
+		score += suspectPenalty
 	}
 	return score
 }
 
-// load is the last report, and what this gateway has sent since.
+// load is the last report plus what this gateway has sent since, and at least its own requests.
 func (b *backend) load() int {
 	reported := int(b.info.GetRunning() + b.info.GetWaiting())
-	return max(reported+b.sent, b.own)
+	return max(reported+b.sentSinceReport, b.inFlight)
 }
 
-// Begin notes that a request goes to a candidate.
-func (r *Router) Begin(now time.Time, w Request, c *Candidate) {
+// Begin records that a request is sent to a candidate.
+func (r *Router) Begin(now time.Time, req Request, c *Candidate) {
 	if b := r.backends[c.Backend.GetName()]; b != nil {
-		b.own++
-		b.sent++
+		b.inFlight++
+		b.sentSinceReport++
 	}
 	if l := r.leases[c.Lease]; l != nil {
 		l.inUse++
 		l.lastUsed = now
 	}
-	if w.Prefix != 0 {
-		r.prefixes.add(c.Backend.GetName(), w.Prefix)
+	if req.Prefix != 0 {
+		r.prefixes.add(c.Backend.GetName(), req.Prefix)
 	}
 }
 
-// End notes that a request at a candidate has ended. Failed marks the backend
-// server as one to try last for a while.
+// End records that a request at a candidate has ended. With failed set, the backend server is
+// chosen last for a while.
 func (r *Router) End(now time.Time, c *Candidate, failed bool) {
 	b := r.backends[c.Backend.GetName()]
 	if b != nil && b.info.GetIncarnation() == c.Backend.GetIncarnation() {
-		b.own--
-		b.sent--
+		b.inFlight--
+		b.sentSinceReport--
 		if failed {
-			b.suspects = now.Add(r.Policy.SuspectPeriod)
+			b.suspectedUntil = now.Add(r.Policy.SuspectPeriod)
 		}
 	}
 	if l := r.leases[c.Lease]; l != nil {
 		l.inUse--
 		l.lastUsed = now
-		r.releaseIfDone(c.Lease, l)
+		r.releaseIfUnused(c.Lease, l)
 	}
 }
 
-// RecordMissing notes that an engine said it does not have an adapter after all.
+// RecordMissing records that an engine reported an adapter missing despite the lease.
 func (r *Router) RecordMissing(c *Candidate) {
 	if l := r.leases[c.Lease]; l != nil {
 		l.recalled = true
-		r.releaseIfDone(c.Lease, l)
+		r.releaseIfUnused(c.Lease, l)
 	}
 }
 
-// HasBackend reports whether there is any backend server that takes new work for a base
-// model or, if that is empty, for a service.
+// HasBackend reports whether any backend server accepts new work for a base model or, if that
+// is empty, for a service.
 func (r *Router) HasBackend(baseModel, service string) bool {
 	for _, b := range r.backends {
-		takes := !b.info.GetLeaving() && !b.drained
-		fits := baseModel != "" && b.info.GetBaseModel() == baseModel ||
+		accepts := !b.info.GetLeaving() && !b.drained
+		matches := baseModel != "" && b.info.GetBaseModel() == baseModel ||
 			baseModel == "" && b.info.GetService() == service
-		if takes && fits {
+		if accepts && matches {
 			return true
 		}
 	}
--- a/pkg/router/router_bench_test.go
+++ b/pkg/router/router_bench_test.go
@@ -8,8 +8,8 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// BenchmarkPick times the choice of an engine for a request among so many replicas of
-// its adapter, with its beginning and its end.
+// BenchmarkPick measures choosing an engine for a request among n replicas of its adapter,
+// including its beginning and end.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{1, 4, 16} {
 		b.Run(fmt.Sprintf("replicas=%d", n), func(b *testing.B) {
@@ -18,10 +18,10 @@
 				engines = append(engines, engine(fmt.Sprint("e", i), "here", 3))
 			}
 			r := newRouter(engines...)
-			want := router.Request{Adapter: "a@1", Prefix: 7}
+			req := router.Request{Adapter: "a@1", Prefix: 7}
 			for b.Loop() {
-				c := r.Pick(now(), want)
-				r.Begin(now(), want, c)
+				c := r.Pick(now(), req)
+				r.Begin(now(), req, c)
 				r.End(now(), c, false)
 			}
 		})
--- a/pkg/router/router_test.go
+++ b/pkg/router/router_test.go
@@ -35,23 +35,23 @@
 }
 
 func TestPick(t *testing.T) {
-	want := router.Request{Adapter: "a@1"}
+	req := router.Request{Adapter: "a@1"}
 	cases := map[string]struct {
 		set  func(r *router.Router)
-		want router.Request
+		req  router.Request
 		pick string
 	}{
 		"the fuller batch, while it has room": {
-			set:  func(r *router.Router) { r.Update([]*wire.Backend{engine("e2", "here", 5)}, nil, nil, false) },
-			want: want, pick: "e2",
+			set: func(r *router.Router) { r.Update([]*wire.Backend{engine("e2", "here", 5)}, nil, nil, false) },
+			req: req, pick: "e2",
 		},
 		"not behind a full one": {
-			set:  func(r *router.Router) { r.Update([]*wire.Backend{engine("e2", "here", 40)}, nil, nil, false) },
-			want: want, pick: "e1",
+			set: func(r *router.Router) { r.Update([]*wire.Backend{engine("e2", "here", 40)}, nil, nil, false) },
+			req: req, pick: "e1",
 		},
 		"its own zone first": {
-			set:  func(r *router.Router) { r.Update([]*wire.Backend{engine("e1", "there", 0)}, nil, nil, false) },
-			want: want, pick: "e2",
+			set: func(r *router.Router) { r.Update([]*wire.Backend{engine("e1", "there", 0)}, nil, nil, false) },
+			req: req, pick: "e2",
 		},
 		"not one that is leaving": {
 			set: func(r *router.Router) {
@@ -59,11 +59,11 @@
 				e.Leaving = true
 				r.Update([]*wire.Backend{e}, nil, nil, false)
 			},
-			want: want, pick: "e2",
+			req: req, pick: "e2",
 		},
 		"not one that is drained": {
-			set:  func(r *router.Router) { r.Update(nil, nil, []string{"e1"}, false) },
-			want: want, pick: "e2",
+			set: func(r *router.Router) { r.Update(nil, nil, []string{"e1"}, false) },
+			req: req, pick: "e2",
 		},
 		"not one that has restarted": {
 			set: func(r *router.Router) {
@@ -71,27 +71,27 @@
 				e.Incarnation = "2"
 				r.Update([]*wire.Backend{e}, nil, nil, false)
 			},
-			want: want, pick: "e2",
+			req: req, pick: "e2",
 		},
 		"not under a recalled lease": {
-			set: func(r *router.Router) { r.Recall([]uint64{1}) }, want: want, pick: "e2",
+			set: func(r *router.Router) { r.Recall([]uint64{1}) }, req: req, pick: "e2",
 		},
 		"not one that failed this request": {
-			set: func(*router.Router) {}, want: router.Request{Adapter: "a@1", Avoid: []string{"e1"}}, pick: "e2",
+			set: func(*router.Router) {}, req: router.Request{Adapter: "a@1", Avoid: []string{"e1"}}, pick: "e2",
 		},
-		"one that failed lately comes last": {
+		"one that failed recently comes last": {
 			set: func(r *router.Router) {
-				c := r.Pick(now(), want)
-				r.Begin(now(), want, c)
+				c := r.Pick(now(), req)
+				r.Begin(now(), req, c)
 				r.End(now(), c, true)
 			},
-			want: want, pick: "e2",
+			req: req, pick: "e2",
 		},
-		"nobody has the version": {
-			set: func(*router.Router) {}, want: router.Request{Adapter: "a@2"},
+		"no engine has the version": {
+			set: func(*router.Router) {}, req: router.Request{Adapter: "a@2"},
 		},
-		"without a lease nobody": {
-			set: func(r *router.Router) { r.DropLeases() }, want: want,
+		"no engine without a lease": {
+			set: func(r *router.Router) { r.DropLeases() }, req: req,
 		},
 	}
 	for name, tc := range cases {
@@ -99,7 +99,7 @@
 			c := qt.New(t)
 			r := newRouter(engine("e1", "here", 0), engine("e2", "here", 0))
 			tc.set(r)
-			got := r.Pick(now(), tc.want)
+			got := r.Pick(now(), tc.req)
 			if tc.pick == "" {
 				c.Assert(got, qt.IsNil)
 				return
@@ -112,12 +112,12 @@
 func TestRecalledLeaseIsReleasedAfterItsLastRequest(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(engine("e1", "here", 0))
-	want := router.Request{Adapter: "a@1"}
-	first, second := r.Pick(now(), want), r.Pick(now(), want)
-	r.Begin(now(), want, first)
-	r.Begin(now(), want, second)
+	req := router.Request{Adapter: "a@1"}
+	first, second := r.Pick(now(), req), r.Pick(now(), req)
+	r.Begin(now(), req, first)
+	r.Begin(now(), req, second)
 	r.Recall([]uint64{1})
-	c.Assert(r.Pick(now(), want), qt.IsNil)
+	c.Assert(r.Pick(now(), req), qt.IsNil)
 	c.Assert(r.TakeReleased(), qt.HasLen, 0)
 	r.End(now(), first, false)
 	c.Assert(r.TakeReleased(), qt.HasLen, 0)
@@ -129,13 +129,13 @@
 func TestLaggedReportIsCorrected(t *testing.T) {
 	c := qt.New(t)
 	r := newRouter(engine("e1", "here", 6), engine("e2", "here", 6))
-	want := router.Request{Adapter: "a@1"}
+	req := router.Request{Adapter: "a@1"}
 	picked := map[string]int{}
 	for range 10 {
-		candidate := r.Pick(now(), want)
+		candidate := r.Pick(now(), req)
 		picked[candidate.Backend.GetName()]++
-		r.Begin(now(), want, candidate)
+		r.Begin(now(), req, candidate)
 	}
-	// Neither report has changed, yet the second gets its part once the first is full.
+	// Neither report has changed, yet the second gets its share once the first is full.
 	c.Assert(picked["e1"] >= 2 && picked["e2"] >= 2, qt.IsTrue, qt.Commentf("%v", picked))
 }
