--- a/pkg/matcher/customers_test.go
+++ b/pkg/matcher/customers_test.go
@@ -32,7 +32,7 @@
 	return t
 }
 
-func TestHolderOfAKey(t *testing.T) {
+func TestCustomerByKey(t *testing.T) {
 	c := qt.New(t)
 	m := New(customers(customer("a", "k1", "k2"), customer("b", "k3")))
 	c.Check(m.CustomerByKey("k2").GetName(), qt.Equals, "a")
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestRoutesThatNeedKeys(t *testing.T) {
+func TestRequiresKey(t *testing.T) {
 	c := qt.New(t)
 	open := route("open", "h", "/open/", func(r *wire.Route) { r.Open = true })
 	closed := route("closed", "h", "/closed/")
@@ -52,7 +52,7 @@
 	c.Check(New(&wire.RoutingTable{}).RequiresKey(closed), qt.IsFalse)
 }
 
-func TestEachFaultOfCustomersIsNamed(t *testing.T) {
+func TestCustomerFaults(t *testing.T) {
 	tokens := wire.LimitUnit_LIMIT_UNIT_TOKENS
 	for name, test := range map[string]struct {
 		customers []*wire.RoutedCustomer
@@ -82,7 +82,7 @@
 	}
 }
 
-func BenchmarkHolder(b *testing.B) {
+func BenchmarkCustomerByKey(b *testing.B) {
 	var list []*wire.RoutedCustomer
 	for i := range 500 {
 		var keys []string
--- a/pkg/matcher/matcher.go
+++ b/pkg/matcher/matcher.go
@@ -1,5 +1,5 @@
-// Package matcher checks a table of routes and finds the route of a request. It is
-// pure: a compiled table never changes.
+// Package matcher validates a routing table and finds the route of a request. It is pure: a
+// compiled table never changes.
 package matcher
 
 import (
@@ -14,17 +14,17 @@
 
 // Matcher is a compiled table.
 type Matcher struct {
-	table    *wire.RoutingTable
-	hosts    map[string][]*wire.Route
-	services map[string]*wire.RoutedService
-	holders  map[authenticator.Digest]*wire.RoutedCustomer
+	table          *wire.RoutingTable
+	hosts          map[string][]*wire.Route
+	services       map[string]*wire.RoutedService
+	customersByKey map[authenticator.Digest]*wire.RoutedCustomer
 }
 
 // New compiles a table that has no faults.
 func New(table *wire.RoutingTable) *Matcher {
 	m := &Matcher{
 		table: table, hosts: map[string][]*wire.Route{}, services: map[string]*wire.RoutedService{},
-		holders: map[authenticator.Digest]*wire.RoutedCustomer{},
+		customersByKey: map[authenticator.Digest]*wire.RoutedCustomer{},
 	}
 	for _, r := range table.GetRoutes() {
 		host := strings.ToLower(r.GetHost())
@@ -40,7 +40,7 @@
 	}
 	for _, customer := range table.GetCustomers() {
 		for _, digest := range customer.GetKeyDigests() {
-			m.holders[authenticator.Digest(digest)] = customer
+			m.customersByKey[authenticator.Digest(digest)] = customer
 		}
 	}
 	return m
@@ -48,10 +48,10 @@
 
 // CustomerByKey returns the customer that holds a key, or nil.
 func (m *Matcher) CustomerByKey(key string) *wire.RoutedCustomer {
-	if key == "" || len(m.holders) == 0 {
+	if key == "" || len(m.customersByKey) == 0 {
 		return nil
 	}
-	return m.holders[authenticator.DigestOf(key)]
+	return m.customersByKey[authenticator.DigestOf(key)]
 }
 
 // RequiresKey reports whether requests on a route must carry the key of a customer.
@@ -63,8 +63,7 @@
 // Service returns a service by its name, or nil.
 func (m *Matcher) Service(name string) *wire.RoutedService { return m.services[name] }
 
-// Match returns the route with the longest prefix that begins the target's path, or
-// nil.
+// Match returns the route with the longest prefix of the target's path, or nil.
 func (m *Matcher) Match(host, target string) *wire.Route {
 	path, _, _ := strings.Cut(target, "?")
 	for _, r := range m.hosts[hostname(host)] {
@@ -75,14 +74,14 @@
 	return nil
 }
 
-// hostname leaves out the port and the case of a Host field.
+// hostname removes the port of a Host field and converts it to lower case.
 func hostname(host string) string {
 	name, _, _ := strings.Cut(host, ":")
 	return strings.ToLower(name)
 }
 
-// PickService returns the service for a request of a route: point, in [0, 1), falls into
-// one of the shares.
+// PickService returns the service for a request of a route: point, in [0, 1), selects one of
+// the shares.
 func PickService(r *wire.Route, point float64) string {
 	total := uint32(0)
 	for _, s := range r.GetShares() {
@@ -98,8 +97,8 @@
 	return ""
 }
 
-// Faults returns everything that is wrong with a table; none means that it may come
-// into force.
+// Faults returns everything that is wrong with a table; it may come into force only without
+// faults.
 func Faults(table *wire.RoutingTable) []string {
 	var faults []string
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
@@ -110,16 +109,16 @@
 		}
 		services[s.GetName()] = true
 	}
-	places := map[string]string{}
+	routeKeys := map[string]string{}
 	for _, r := range table.GetRoutes() {
 		for _, problem := range routeFaults(r, services) {
 			fault("route %q: %s", r.GetName(), problem)
 		}
-		place := strings.ToLower(r.GetHost()) + r.GetPathPrefix()
-		if other, taken := places[place]; taken {
+		key := strings.ToLower(r.GetHost()) + r.GetPathPrefix()
+		if other, taken := routeKeys[key]; taken {
 			fault("route %q: route %q has the same host and prefix", r.GetName(), other)
 		}
-		places[place] = r.GetName()
+		routeKeys[key] = r.GetName()
 	}
 	return append(faults, customerFaults(table.GetCustomers())...)
 }
@@ -130,7 +129,7 @@
 		faults = append(faults, fmt.Sprintf("customer %q: %s", c.GetName(), fmt.Sprintf(format, args...)))
 	}
 	names := map[string]bool{}
-	holders := map[string]string{}
+	keyOwners := map[string]string{}
 	for i, c := range customers {
 		if c.GetName() == "" {
 			fault(c, "number %d has no name", i+1)
@@ -140,14 +139,14 @@
 		}
 		names[c.GetName()] = true
 		for _, digest := range c.GetKeyDigests() {
-			other, taken := holders[string(digest)]
+			other, taken := keyOwners[string(digest)]
 			switch {
 			case len(digest) != len(authenticator.Digest{}):
 				fault(c, "a key is empty, or begins or ends with a space")
 			case taken && other != c.GetName():
 				fault(c, "customer %q has the same key", other)
 			}
-			holders[string(digest)] = c.GetName()
+			keyOwners[string(digest)] = c.GetName()
 		}
 		for _, problem := range limitFaults(c.GetLimit()) {
 			fault(c, "%s", problem)
--- a/pkg/matcher/matcher_test.go
+++ b/pkg/matcher/matcher_test.go
@@ -60,13 +60,13 @@
 		table *wire.RoutingTable
 		want  []string
 	}{
-		"a valid table":      {table(route("a", "h", "/x/"), route("b", "h", "/y/")), nil},
-		"the same place":     {table(route("a", "h", "/x/"), route("b", "H", "/x/")), []string{"same host and prefix"}},
-		"an unknown service": {table(route("a", "h", "/x/", func(r *wire.Route) { r.Shares[0].Service = "u" })), []string{`service "u" is unknown`}},
-		"no weight":          {table(route("a", "h", "/x/", func(r *wire.Route) { r.Shares[0].Weight = 0 })), []string{"add up to 0"}},
-		"no timeout":         {table(route("a", "h", "/x/", func(r *wire.Route) { r.TimeoutMs = 0 })), []string{"the timeout is 0"}},
-		"an unknown kind":    {table(route("a", "h", "/x/", func(r *wire.Route) { r.Repetition = 0 })), []string{"kind is not known"}},
-		"a bad prefix":       {table(route("a", "h", "x/")), []string{"begin and end with a slash"}},
+		"a valid table":            {table(route("a", "h", "/x/"), route("b", "h", "/y/")), nil},
+		"the same host and prefix": {table(route("a", "h", "/x/"), route("b", "H", "/x/")), []string{"same host and prefix"}},
+		"an unknown service":       {table(route("a", "h", "/x/", func(r *wire.Route) { r.Shares[0].Service = "u" })), []string{`service "u" is unknown`}},
+		"no weight":                {table(route("a", "h", "/x/", func(r *wire.Route) { r.Shares[0].Weight = 0 })), []string{"add up to 0"}},
+		"no timeout":               {table(route("a", "h", "/x/", func(r *wire.Route) { r.TimeoutMs = 0 })), []string{"the timeout is 0"}},
+		"an unknown kind":          {table(route("a", "h", "/x/", func(r *wire.Route) { r.Repetition = 0 })), []string{"kind is not known"}},
+		"a bad prefix":             {table(route("a", "h", "x/")), []string{"begin and end with a slash"}},
 		"two faults": {
 			table(route("a", "h", "/x/", func(r *wire.Route) { r.TimeoutMs, r.Shares[0].Service = 0, "u" })),
 			[]string{"the timeout is 0", `service "u" is unknown`},
