--- a/pkg/connector/connector.go
+++ b/pkg/connector/connector.go
@@ -1,9 +1,8 @@
-// Package connector makes the HTTP clients with which bronzelead's processes call
-// each other and backend servers.
+// Package connector creates the HTTP clients with which bronzelead's processes call each other
+// and backend servers.
 //
-// A connection can go silent for good while new ones work. So each call has a
-// deadline, and after a call that ran into it all idle connections are given up:
-// the next call goes out on a new one.
+// A connection can go silent permanently while new ones work. So each call has a deadline, and
+// after a call that exceeded it all idle connections are closed: the next call uses a new one.
 package connector
 
 import (
@@ -18,33 +17,33 @@
 )
 
 const (
-	// defaultDialTimeout is many round trips within a region. A first packet that is lost,
-	// or that reached an instance before it was up, is sent again by the kernel only after a
-	// second: dialling anew is quicker.
-	defaultDialTimeout = 200 * time.Millisecond
-	defaultIdle        = 5 * time.Second
-	defaultIdleConns   = 256
+	// defaultDialTimeout is many round trips within a region. A first packet that is lost, or
+	// that reached an instance before it was up, is sent again by the kernel only after a
+	// second: dialling again is quicker.
+	defaultDialTimeout  = 200 * time.Millisecond
+	defaultIdleTimeout  = 5 * time.Second
+	defaultMaxIdleConns = 256
 )
 
-// Client calls other processes. Set the exported fields, then call Do. It serves
-// as the client of generated twirp code.
+// Client calls other processes. Set the exported fields, then call Do. It serves as the client
+// of generated twirp code.
 type Client struct {
 	// Timeout bounds a call until its answer has been read.
 	Timeout time.Duration
 	// Key is sent as a bearer token.
 	Key string
-	// Forwarded marks calls that were passed on by another controller.
+	// Forwarded marks calls that were forwarded by another controller.
 	Forwarded bool
-	// Transport may be shared between clients; nil makes one.
+	// Transport may be shared between clients. It must be set.
 	Transport *http.Transport
 }
 
-// ForwardedHeader marks a call that must not be passed on again.
+// ForwardedHeader marks a call that must not be forwarded again.
 const ForwardedHeader = "Bronzelead-Forwarded"
 
-// NewTransport returns a transport whose connections are dialled quickly and do
-// not stay idle for long. Guard, if not nil, is asked before each write to a
-// connection, and its error fails the write.
+// NewTransport returns a transport whose connections are dialled quickly and do not stay idle
+// for long. Guard, if not nil, is called before the first write of each request, and its error
+// fails the write.
 func NewTransport(guard func() error) *http.Transport {
 	dialer := &net.Dialer{Timeout: defaultDialTimeout}
 	return &http.Transport{
@@ -55,37 +54,37 @@
 			}
 			return &guardedConn{Conn: conn, guard: guard}, nil
 		},
-		MaxIdleConnsPerHost: defaultIdleConns,
-		IdleConnTimeout:     defaultIdle,
+		MaxIdleConnsPerHost: defaultMaxIdleConns,
+		IdleConnTimeout:     defaultIdleTimeout,
 		DisableCompression:  true,
 	}
 }
 
-// guardedConn asks its guard directly before the first byte of each request is
-// written, so that nothing that happened since an earlier check is overlooked. The
-// rest of a request that has begun is always written: a request of which nothing was
-// written certainly did not run, one that was cut in the middle might have.
+// guardedConn calls its guard directly before the first byte of each request is written, so
+// that no event since an earlier check is missed. The rest of a request that has begun is
+// always written: a request of which nothing was written certainly did not run, an interrupted
+// one might have.
 type guardedConn struct {
 	net.Conn
-	guard func() error
-	begun atomic.Bool
+	guard        func() error
+	requestBegun atomic.Bool
 }
 
 func (c *guardedConn) Write(b []byte) (int, error) {
-	if !c.begun.Load() {
+	if !c.requestBegun.Load() {
 		if err := c.guard(); err != nil {
 			return 0, err
 		}
-		c.begun.Store(true)
+		c.requestBegun.Store(true)
 	}
 	return c.Conn.Write(b)
 }
 
-// Read notes that an answer has come, after which the next write is a new request.
+// Read records that an answer has arrived, after which the next write is a new request.
 func (c *guardedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n > 0 {
-		c.begun.Store(false)
+		c.requestBegun.Store(false)
 	}
 	return n, err
 }
--- a/pkg/connector/controllers.go
+++ b/pkg/connector/controllers.go
@@ -8,8 +8,8 @@
 	"github.com/twitchtv/twirp"
 )
 
-// Controllers chooses the controller to call: the one that answered last, and after
-// a failure the next. Any controller passes a call on to the leader.
+// Controllers selects the controller to call: the one that answered last, and after a failure
+// the next. Any controller forwards a call to the leader.
 type Controllers struct {
 	// Addresses are those of all controllers.
 	Addresses []string
@@ -22,7 +22,7 @@
 	return c.Addresses[c.current.Load()%uint64(len(c.Addresses))]
 }
 
-// MarkFailed moves on to the next address, unless another caller did so already.
+// MarkFailed switches to the next address, unless another caller did so already.
 func (c *Controllers) MarkFailed(address string) {
 	n := c.current.Load()
 	if c.Addresses[n%uint64(len(c.Addresses))] == address {
@@ -30,8 +30,8 @@
 	}
 }
 
-// IsPermanent reports whether an error is an answer that another controller would give
-// too, so that trying again is of no use.
+// IsPermanent reports whether an error is an answer that another controller would give too, so
+// that a retry is of no use.
 func IsPermanent(err error) bool {
 	var answer twirp.Error
 	if !errors.As(err, &answer) {
@@ -44,8 +44,8 @@
 	return false
 }
 
-// Try calls f with one address after the other, until it succeeds, fails for good,
-// or ctx ends. Pause waits between rounds and returns false when ctx has ended.
+// Try calls f with one address after the other, until it succeeds, fails permanently, or ctx
+// ends. Pause waits between attempts and returns false when ctx has ended.
 func (c *Controllers) Try(ctx context.Context, pause func(attempt int) bool, f func(address string) error) error {
 	for attempt := 0; ; attempt++ {
 		address := c.Current()
