--- a/gateway/forwarder/arrival.go
+++ b/gateway/forwarder/arrival.go
@@ -23,13 +23,13 @@
 
 // tableWait returns how long a request may wait for the first table, given the time since the
 // gateway's start, the client timeout and the number of requests already waiting.
-func tableWait(age, patience time.Duration, parked int) time.Duration {
+func tableWait(age, clientTimeout time.Duration, parked int) time.Duration {
 	if parked >= maxParked {
 		return 0
 	}
 	wait := min(maxTableWait, max(0, tableExpectedWithin-age))
-	if patience > 0 {
-		wait = min(wait, patience/tableWaitDivisor)
+	if clientTimeout > 0 {
+		wait = min(wait, clientTimeout/tableWaitDivisor)
 	}
 	return wait
 }
--- a/gateway/forwarder/arrival_test.go
+++ b/gateway/forwarder/arrival_test.go
@@ -46,10 +46,10 @@
 
 func TestTableWait(t *testing.T) {
 	for name, test := range map[string]struct {
-		age      time.Duration
-		patience time.Duration
-		parked   int
-		want     time.Duration
+		age           time.Duration
+		clientTimeout time.Duration
+		parked        int
+		want          time.Duration
 	}{
 		"just started":               {0, 4 * time.Second, 0, maxTableWait},
 		"short client timeout":       {0, time.Second, 0, 500 * time.Millisecond},
@@ -60,7 +60,7 @@
 		"the last one that may wait": {0, 4 * time.Second, maxParked - 1, maxTableWait},
 	} {
 		t.Run(name, func(t *testing.T) {
-			qt.New(t).Check(tableWait(test.age, test.patience, test.parked), qt.Equals, test.want)
+			qt.New(t).Check(tableWait(test.age, test.clientTimeout, test.parked), qt.Equals, test.want)
 		})
 	}
 }
--- a/gateway/forwarder/continued_test.go
+++ b/gateway/forwarder/continued_test.go
@@ -33,7 +33,7 @@
 // incomplete, or is resumed at yet another engine.
 func TestBegunStreamReceivesOnlyItsEvents(t *testing.T) {
 	const one, two = "id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"
-	cut := streamHead() + chunk(one)
+	interrupted := streamHead() + chunk(one)
 	own := lines(platform.StandInAnswer("ID", "x"))
 	for name, second := range map[string]handler{
 		"a failure of its own":                writeResponse(wholeResponse("500 X", own, "no"), true),
@@ -56,7 +56,7 @@
 			var calls atomic.Int32
 			either := func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 				if calls.Add(1) == 1 {
-					return writeResponse(cut, false)(b, req, conn)
+					return writeResponse(interrupted, false)(b, req, conn)
 				}
 				return second(b, req, conn)
 			}
@@ -74,7 +74,7 @@
 		either := func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 			switch calls.Add(1) {
 			case 1:
-				return writeResponse(cut, false)(b, req, conn)
+				return writeResponse(interrupted, false)(b, req, conn)
 			case 2:
 				return refuses(http.StatusServiceUnavailable)(b, req, conn)
 			default:
--- a/gateway/forwarder/limit.go
+++ b/gateway/forwarder/limit.go
@@ -24,9 +24,9 @@
 type charge struct {
 	customer string
 	size     uint64
-	// held is set while its quota is reserved, and spent once it was sent.
-	held  bool
-	spent bool
+	// reserved is set while its quota is reserved, and spent once it was sent.
+	reserved bool
+	spent    bool
 }
 
 // sizeOf returns what a request counts towards a limit.
@@ -44,13 +44,13 @@
 // It refuses the request and reports false if there is none.
 func (f *Forwarder) reserveQuota(ctx context.Context, j *job) bool {
 	limit := j.customer.GetLimit()
-	if f.QuotaEnforcer == nil || limit == nil || j.charge.held {
+	if f.QuotaEnforcer == nil || limit == nil || j.charge.reserved {
 		return true
 	}
 	j.charge = charge{customer: j.customer.GetName(), size: sizeOf(j, limit)}
 	decision := f.QuotaEnforcer.Admit(ctx, j.charge.customer, limit, j.charge.size)
 	if decision.Admitted {
-		j.charge.held = true
+		j.charge.reserved = true
 		return true
 	}
 	f.Meter.Count("requests_beyond_limits", "customer", j.charge.customer)
@@ -69,9 +69,9 @@
 
 // spendQuota records that a request is sent.
 func (f *Forwarder) spendQuota(j *job) {
-	if j.charge.held {
+	if j.charge.reserved {
 		f.QuotaEnforcer.Spend(j.charge.customer, j.charge.size)
-		j.charge.held, j.charge.spent = false, true
+		j.charge.reserved, j.charge.spent = false, true
 	}
 }
 
@@ -79,14 +79,14 @@
 func (f *Forwarder) refundQuota(j *job) {
 	if j.charge.spent {
 		f.QuotaEnforcer.Refund(j.charge.customer, j.charge.size)
-		j.charge.held, j.charge.spent = true, false
+		j.charge.reserved, j.charge.spent = true, false
 	}
 }
 
 // releaseQuota releases the quota of a request that was not sent in the end.
 func (f *Forwarder) releaseQuota(j *job) {
-	if j.charge.held {
+	if j.charge.reserved {
 		f.QuotaEnforcer.Release(j.charge.customer, j.charge.size)
-		j.charge.held = false
+		j.charge.reserved = false
 	}
 }
--- a/gateway/forwarder/story.go
+++ b/gateway/forwarder/story.go
@@ -50,7 +50,7 @@
 	if j.customer != nil {
 		list = append(list, "Customer", j.customer.GetName())
 	}
-	if j.charge.size > 0 && !j.charge.held && !j.charge.spent {
+	if j.charge.size > 0 && !j.charge.reserved && !j.charge.spent {
 		s := f.QuotaEnforcer.Status(j.charge.customer)
 		list = append(list, "Size", j.charge.size, "Credit", s.Unspent, "Held", s.Held, "Allowance", s.Allowance, "CreditAge", s.Age.Milliseconds())
 	}
