--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -131,8 +131,8 @@
 			j.deadline = j.clientDeadline
 		}
 	}
-	if patience := milliseconds(j.route.GetPatienceMs()); patience > 0 {
-		j.firstEventDeadline = j.req.ReceivedAt.Add(patience)
+	if firstEventTimeout := milliseconds(j.route.GetPatienceMs()); firstEventTimeout > 0 {
+		j.firstEventDeadline = j.req.ReceivedAt.Add(firstEventTimeout)
 	}
 	j.lastEventID = j.meta.Resumes
 	return true
--- a/gateway/forwarder/retried_test.go
+++ b/gateway/forwarder/retried_test.go
@@ -59,8 +59,8 @@
 	}
 	return newBackend(c, "b", func(b *fakeBackend, req *http.Request, conn net.Conn) bool {
 		b.runs.Add(1)
-		if held := release[req.URL.Path]; held != nil {
-			<-held
+		if blocked := release[req.URL.Path]; blocked != nil {
+			<-blocked
 		}
 		answer(conn, 200, "x", platform.StandInAnswer(requestID(req), b.id))
 		return true
