--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -130,7 +130,7 @@
 			FailureBackoff: retrier.Backoff{Initial: time.Second, Max: time.Minute}, Evict: v.evict,
 		}},
 		router: &router.Router{Zone: "here", Policy: router.Policy{
-			BatchWeight: 1, StallWeight: 1, IdleLease: 10 * time.Second, SuspectFor: time.Second,
+			BatchWeight: 1, StallWeight: 1, MaxLeaseIdle: 10 * time.Second, SuspectPeriod: time.Second,
 		}},
 		zipf: rand.NewZipf(random, c.Skew, 1, uint64(c.Adapters-1)),
 	}
@@ -171,7 +171,7 @@
 	for ; m.due >= 1; m.due-- {
 		name := fmt.Sprintf("a%d@1", m.ranks[m.zipf.Uint64()])
 		m.waiting[name] = append(m.waiting[name], m.now)
-		m.router.Wait(name, "base")
+		m.router.AddWaiting(name, "base")
 		m.arrived++
 	}
 }
@@ -188,7 +188,7 @@
 			m.filled++
 			if r.left == 0 {
 				m.router.End(m.now, r.candidate, false)
-				m.router.Ended(r.adapter)
+				m.router.RecordEnd(r.adapter)
 				m.served++
 			}
 		}
@@ -215,17 +215,17 @@
 }
 
 func (m *market) plan() {
-	for _, lease := range m.router.Released() {
+	for _, lease := range m.router.TakeReleased() {
 		m.planner.Release(gatewayID, planner.LeaseID(lease))
 	}
-	for _, d := range m.router.Demands(false) {
+	for _, d := range m.router.TakeDemands(false) {
 		m.planner.RecordDemand(m.now, gatewayID, d)
 		if d.GetWaiting() > 0 || d.GetRunning() > 0 {
 			m.router.Grant(m.now, m.planner.GrantLeases(m.now, gatewayID, d.GetAdapter()))
 		}
 	}
 	m.router.Recall(m.planner.Recalls(gatewayID))
-	m.router.GiveBackIdle(m.now)
+	m.router.ReleaseIdle(m.now)
 	m.carry()
 	for _, o := range m.planner.Plan(m.now) {
 		took := virtualTick
@@ -262,7 +262,7 @@
 func (m *market) dispatch() {
 	for name, arrivals := range m.waiting {
 		for len(arrivals) > 0 {
-			want := router.Want{Adapter: name}
+			want := router.Request{Adapter: name}
 			candidate := m.router.Pick(m.now, want)
 			if candidate == nil {
 				break
@@ -270,8 +270,8 @@
 			m.stalls = append(m.stalls, m.now.Sub(arrivals[0]))
 			arrivals = arrivals[1:]
 			m.router.Begin(m.now, want, candidate)
-			m.router.Unwait(name)
-			m.router.Started(name, "base")
+			m.router.RemoveWaiting(name)
+			m.router.RecordStart(name, "base")
 			m.start(name, candidate)
 		}
 		m.waiting[name] = arrivals
--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -121,9 +121,9 @@
 		Router: &router.Router{Zone: s.Instance.Zone, Policy: router.Policy{
 			BatchWeight: s.Policy.BatchWeight, StallWeight: s.Policy.StallWeight,
 			PrefixWeight: s.Policy.PrefixWeight, ZoneWeight: s.Policy.ZoneWeight,
-			SuspectFor: s.Policy.SuspectFor, IdleLease: s.Policy.IdleLease,
+			SuspectPeriod: s.Policy.SuspectFor, MaxLeaseIdle: s.Policy.IdleLease,
 		}},
-		RequestRenewal: func() { a.renewer.Wake() },
+		RequestRenewal: func() { a.renewer.RequestRenewal() },
 	}
 	a.scheduler.Init()
 	address := s.Instance.Address
@@ -135,10 +135,10 @@
 	a.renewer = &renewer.Renewer{
 		Clock: a.Clock, Log: a.Log, Scheduler: a.scheduler, Isolator: a.isolator, Controllers: controllers, Client: client,
 		Instance: s.Instance.Name, Zone: s.Instance.Zone, Address: address,
-		Every: s.Controllers.RenewEvery, Leave: a.leave,
+		Interval: s.Controllers.RenewEvery, Leave: a.leave,
 	}
 	a.renewer.Init()
-	a.isolator.LeaderAge = a.renewer.WordAge
+	a.isolator.LeaderAge = a.renewer.LeaderAge
 	a.claimer = &claimer.Claimer{Clock: a.Clock, Log: a.Log, Client: client, Controllers: &connector.Controllers{
 		Addresses: s.Controllers.Addresses,
 	}}
@@ -176,8 +176,8 @@
 	freshWork := connector.NewTransport(a.scheduler.CheckSession)
 	freshWork.DisableKeepAlives = true
 	return &dispatcher.Dispatcher{
-		Clock: a.Clock, Work: connector.NewTransport(a.scheduler.CheckSession), Fresh: fresh, FreshWork: freshWork,
-		SilenceAfter: a.Settings.Requests.SilenceAfter,
+		Clock: a.Clock, SessionTransport: connector.NewTransport(a.scheduler.CheckSession), UnpooledTransport: fresh, UnpooledSessionTransport: freshWork,
+		SilenceTimeout: a.Settings.Requests.SilenceAfter,
 	}
 }
 
--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -120,16 +120,16 @@
 	}
 	r.enforcer.Init()
 	r.forwarder = &forwarder.Forwarder{
-		Regulator: r.regulator, Granter: r.granter, Isolator: r.isolator, Borrower: r.enforcer,
-		Clock: r.Clock, Log: r.Log, Zone: s.Instance.Zone, Meter: r.meter, Acquire: r.requestAdapters, Off: s.off(),
-		Budget: forwarder.Budget{Window: s.Budget.Window, Ratio: s.Budget.Ratio, Slack: s.Budget.Slack},
-		Keys:   forwarder.Keys{Strict: s.Keys.Strict, StaleAfter: s.Keys.StaleAfter},
+		Regulator: r.regulator, Granter: r.granter, Isolator: r.isolator, QuotaEnforcer: r.enforcer,
+		Clock: r.Clock, Log: r.Log, Zone: s.Instance.Zone, Meter: r.meter, RequestAdapters: r.requestAdapters, Off: s.off(),
+		Budget: forwarder.RetryBudget{Window: s.Budget.Window, Ratio: s.Budget.Ratio, Slack: s.Budget.Slack},
+		Keys:   forwarder.KeyPolicy{Strict: s.Keys.Strict, StaleAfter: s.Keys.StaleAfter},
 		Sender: &sender.Sender{
 			Clock: r.Clock, DialTimeout: s.Backends.DialTimeout, MaxIdle: s.Backends.MaxIdle,
-			IdleMargin: s.Backends.IdleMargin, Unacknowledged: s.Backends.Unacknowledged, OwnAnswer: isOwnResponse,
+			IdleMargin: s.Backends.IdleMargin, UserTimeout: s.Backends.Unacknowledged, IsOwnResponse: isOwnResponse,
 		},
 	}
-	r.regulator.OnPeerPauses = r.forwarder.HearOfPauses
+	r.regulator.OnPeerPauses = r.forwarder.ObservePeerPauses
 	r.forwarder.Init()
 	self := &wire.GatewayEntry{Address: s.meshAddress(), Zone: s.Instance.Zone}
 	r.relayer = &relayer.Relayer{
@@ -138,10 +138,10 @@
 		Granter: r.granter,
 	}
 	r.relayer.Init()
-	r.forwarder.NewsAge = r.relayer.LeaderAge
+	r.forwarder.LeaderAge = r.relayer.LeaderAge
 	r.synchronizer = &synchronizer.Synchronizer{
 		Clock: r.Clock, Log: r.Log, Gateway: s.Instance.Name, Self: self, Seeds: func() []string { return *r.seeds.Load() },
-		Relayer: r.relayer, Demand: r.forwarder.Demand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
+		Relayer: r.relayer, Demand: r.forwarder.TakeDemand, TableVersion: r.forwarder.TableVersion, RunReports: r.isolator.Reports,
 		Granter: r.granter,
 	}
 	r.frontend = &acceptor.Acceptor{
--- a/gateway/receiver/completions.go
+++ b/gateway/receiver/completions.go
@@ -57,7 +57,7 @@
 	}
 	job := &scheduler.Job{
 		BaseModel: terms.GetBaseModel(),
-		Want:      router.Want{Adapter: parsed.Model, Prefix: prefixOf(parsed)},
+		Want:      router.Request{Adapter: parsed.Model, Prefix: prefixOf(parsed)},
 	}
 	if problem := r.prepareJob(e, job); problem != nil {
 		return problem
@@ -126,7 +126,7 @@
 		return attemptResult{final: true}
 	}
 	r.Explainer.Record(e.id, e.terms.Customer(), "%s: %v, ran: %s, events passed on: %d, resumed %d times",
-		candidate.Backend.GetName(), out.Err, out.Ran, out.Events, out.Resumed)
+		candidate.Backend.GetName(), out.Err, out.Ran, out.Events, out.Resumes)
 	if out.Ran == dispatcher.RanUnknown {
 		r.recordLoss(e, candidate, c.started)
 	}
@@ -153,9 +153,9 @@
 	switch {
 	case out.Ran == dispatcher.RanNo && e.key != "":
 		r.release(ctx, e, requestID)
-		return attemptResult{backendFailed: !out.Missing, adapterMissing: out.Missing}
+		return attemptResult{backendFailed: !out.AdapterMissing, adapterMissing: out.AdapterMissing}
 	case out.Ran == dispatcher.RanNo && !callerLeft:
-		return attemptResult{backendFailed: !out.Missing, adapterMissing: out.Missing}
+		return attemptResult{backendFailed: !out.AdapterMissing, adapterMissing: out.AdapterMissing}
 	case e.runOnce:
 		r.store(e, requestID, &wire.Outcome{Unknown: true})
 	case !c.started && !callerLeft && r.mayRetry(ctx, e):
--- a/gateway/receiver/once.go
+++ b/gateway/receiver/once.go
@@ -63,7 +63,7 @@
 		res, err := r.Claimer.Claim(ctx, cmd)
 		if err != nil {
 			// The claim may be committed all the same, so it is released later.
-			r.Claimer.ReleaseLater(releaseOf(e, requestID))
+			r.Claimer.ReleaseAsync(releaseOf(e, requestID))
 			refusal := &scheduler.Refusal{Reason: scheduler.NoQuorum, RetryAfter: retryAfterFault}
 			return false, &existingClaim{problem: markRanUnknown(refused(refusal))}
 		}
@@ -167,7 +167,7 @@
 // it.
 func (r *Receiver) store(e *activeRequest, requestID string, o *wire.Outcome) {
 	if e.key != "" {
-		r.Claimer.FinishLater(finishOf(e, requestID, o))
+		r.Claimer.FinishAsync(finishOf(e, requestID, o))
 	}
 }
 
@@ -176,7 +176,7 @@
 	limited, cancel := context.WithTimeout(ctx, releaseTimeout)
 	defer cancel()
 	if err := r.Claimer.Release(limited, releaseOf(e, requestID)); err != nil {
-		r.Claimer.ReleaseLater(releaseOf(e, requestID))
+		r.Claimer.ReleaseAsync(releaseOf(e, requestID))
 	}
 }
 
--- a/gateway/receiver/services.go
+++ b/gateway/receiver/services.go
@@ -45,7 +45,7 @@
 	if problem := e.readServiceKey(terms); problem != nil {
 		return problem
 	}
-	if problem := r.prepareJob(e, &scheduler.Job{Want: router.Want{Service: name}}); problem != nil {
+	if problem := r.prepareJob(e, &scheduler.Job{Want: router.Request{Service: name}}); problem != nil {
 		return problem
 	}
 	if e.http.URL.RawQuery != "" {
@@ -115,7 +115,7 @@
 	answer := r.Dispatcher.Call(ctx, &dispatcher.ServiceCall{
 		RequestID: requestID, Address: candidate.Backend.GetAddress(), Method: e.http.Method,
 		Path: c.path, Header: e.http.Header, Body: e.body, Priority: e.job.Priority,
-		Session: r.Session(), Once: e.runOnce, Buffer: maxBufferedAnswer,
+		Session: r.Session(), NonIdempotent: e.runOnce, MaxBuffered: maxBufferedAnswer,
 	})
 	if answer.Err == nil && answer.Ran != dispatcher.RanNo {
 		r.recordCompletion(e, candidate)
@@ -128,7 +128,7 @@
 	return c.afterFailure(ctx, requestID, answer)
 }
 
-func (c *serviceCall) afterFailure(ctx context.Context, requestID string, answer *dispatcher.ServiceAnswer) attemptResult {
+func (c *serviceCall) afterFailure(ctx context.Context, requestID string, answer *dispatcher.ServiceResponse) attemptResult {
 	r, e := c.receiver, c.entry
 	switch {
 	case answer.Ran == dispatcher.RanNo:
@@ -145,7 +145,7 @@
 }
 
 // deliver forwards the service's answer and stores it for the key.
-func (c *serviceCall) deliver(requestID string, a *dispatcher.ServiceAnswer) attemptResult {
+func (c *serviceCall) deliver(requestID string, a *dispatcher.ServiceResponse) attemptResult {
 	r, e := c.receiver, c.entry
 	h := c.writer.Header()
 	for name, values := range a.Header {
@@ -165,7 +165,7 @@
 
 // streamBody forwards a long answer in pieces. A truncated answer is aborted, so that the
 // caller sees it as incomplete.
-func (c *serviceCall) streamBody(a *dispatcher.ServiceAnswer) attemptResult {
+func (c *serviceCall) streamBody(a *dispatcher.ServiceResponse) attemptResult {
 	defer func() { _ = a.Rest.Close() }()
 	c.writer.Header().Del("Content-Length")
 	c.writer.Header().Set("Transfer-Encoding", "chunked")
--- a/gateway/scheduler/jobs.go
+++ b/gateway/scheduler/jobs.go
@@ -55,13 +55,13 @@
 	if s.assign(now, j) {
 		return
 	}
-	if !s.Router.Knows(j.BaseModel, j.Want.Service) {
+	if !s.Router.HasBackend(j.BaseModel, j.Want.Service) {
 		s.refuse(now, j, &Refusal{Reason: NoBackend, RetryAfter: retryWithoutBackend})
 		return
 	}
 	s.waiting = append(s.waiting, j)
 	if j.Want.Adapter != "" {
-		s.Router.Wait(j.Want.Adapter, j.BaseModel)
+		s.Router.AddWaiting(j.Want.Adapter, j.BaseModel)
 	}
 	s.RequestRenewal()
 }
@@ -91,7 +91,7 @@
 	}
 	s.Router.Begin(now, j.Want, c)
 	if j.Want.Adapter != "" {
-		s.Router.Started(j.Want.Adapter, j.BaseModel)
+		s.Router.RecordStart(j.Want.Adapter, j.BaseModel)
 	}
 	j.phase, j.candidate, j.assigned = assigned, c, now
 	j.decided <- decision{candidate: c}
@@ -102,10 +102,10 @@
 func (s *Scheduler) completeAttempt(now time.Time, j *Job, failed, missing bool) {
 	s.Router.End(now, j.candidate, failed)
 	if missing {
-		s.Router.Missing(j.candidate)
+		s.Router.RecordMissing(j.candidate)
 	}
 	if j.Want.Adapter != "" {
-		s.Router.Ended(j.Want.Adapter)
+		s.Router.RecordEnd(j.Want.Adapter)
 	}
 }
 
@@ -152,7 +152,7 @@
 
 func (s *Scheduler) stopAwaitingAdapter(j *Job) {
 	if j.Want.Adapter != "" {
-		s.Router.Unwait(j.Want.Adapter)
+		s.Router.RemoveWaiting(j.Want.Adapter)
 	}
 }
 
@@ -205,8 +205,8 @@
 	}
 	s.retryWaiting(now)
 	s.admitQueued(now)
-	s.Router.GiveBackIdle(now)
-	if s.admitter.HasUnmetDemand() || s.Router.Unmet() {
+	s.Router.ReleaseIdle(now)
+	if s.admitter.HasUnmetDemand() || s.Router.HasWaiting() {
 		s.RequestRenewal()
 	}
 }
--- a/gateway/scheduler/session.go
+++ b/gateway/scheduler/session.go
@@ -22,7 +22,7 @@
 	s.callAndWait(func(time.Time) {
 		s.session = session{id: id, lease: lease, revision: s.session.revision}
 		s.sessionID.Store(id)
-		s.Router.Void()
+		s.Router.DropLeases()
 		for _, d := range s.admitter.Demands(true) {
 			s.admitter.SetShare(d.Customer, 0)
 		}
@@ -41,10 +41,10 @@
 			req.Announced = append(req.Announced, b)
 		}
 		s.announced = map[string]*wire.Backend{}
-		req.Demands = s.Router.Demands(full)
-		req.Released = s.Router.Released()
+		req.Demands = s.Router.TakeDemands(full)
+		req.Released = s.Router.TakeReleased()
 		if full {
-			req.Held = s.Router.Held()
+			req.Held = s.Router.HeldLeases()
 			req.Released = nil
 		}
 		for _, d := range s.admitter.Demands(full) {
--- a/pkg/router/demand.go
+++ b/pkg/router/demand.go
@@ -7,21 +7,21 @@
 	"bronzelead.example/pkg/wire"
 )
 
-// Wait notes that a request waits for an adapter; the planner hears of it.
-func (r *Router) Wait(adapter, base string) { r.demandOf(adapter, base).add(1, 0) }
+// AddWaiting records that a request waits for an adapter, for the report to the planner.
+func (r *Router) AddWaiting(adapter, base string) { r.demandOf(adapter, base).add(1, 0) }
 
-// Unwait takes that back.
-func (r *Router) Unwait(adapter string) { r.demandOf(adapter, "").add(-1, 0) }
+// RemoveWaiting reverts AddWaiting.
+func (r *Router) RemoveWaiting(adapter string) { r.demandOf(adapter, "").add(-1, 0) }
 
-// Started notes that a request for an adapter has begun.
-func (r *Router) Started(adapter, base string) {
+// RecordStart records that a request for an adapter has started.
+func (r *Router) RecordStart(adapter, base string) {
 	d := r.demandOf(adapter, base)
 	d.add(0, 1)
 	d.started++
 }
 
-// Ended notes that a request for an adapter has ended.
-func (r *Router) Ended(adapter string) { r.demandOf(adapter, "").add(0, -1) }
+// RecordEnd records that a request for an adapter has ended.
+func (r *Router) RecordEnd(adapter string) { r.demandOf(adapter, "").add(0, -1) }
 
 func (r *Router) demandOf(adapter, base string) *demand {
 	if r.demand == nil {
@@ -44,9 +44,9 @@
 	d.changed = true
 }
 
-// Demands returns the adapters whose demand changed since the last call or for
-// which requests wait.
-func (r *Router) Demands(all bool) []*wire.AdapterDemand {
+// TakeDemands returns the adapters whose demand changed since the last call or for which
+// requests wait, or all of them.
+func (r *Router) TakeDemands(all bool) []*wire.AdapterDemand {
 	var list []*wire.AdapterDemand
 	for _, name := range slices.Sorted(maps.Keys(r.demand)) {
 		d := r.demand[name]
@@ -64,8 +64,8 @@
 	return list
 }
 
-// Unmet reports whether requests wait for an adapter.
-func (r *Router) Unmet() bool {
+// HasWaiting reports whether requests wait for an adapter.
+func (r *Router) HasWaiting() bool {
 	for _, d := range r.demand {
 		if d.waiting > 0 {
 			return true
@@ -74,15 +74,15 @@
 	return false
 }
 
-// Released returns the leases that were given back since the last call.
-func (r *Router) Released() []uint64 {
+// TakeReleased returns the leases that were released since the last call.
+func (r *Router) TakeReleased() []uint64 {
 	released := r.released
 	r.released = nil
 	return released
 }
 
-// Held returns all leases that the session holds.
-func (r *Router) Held() []*wire.LeaseGrant {
+// HeldLeases returns all leases that the session holds.
+func (r *Router) HeldLeases() []*wire.LeaseGrant {
 	var held []*wire.LeaseGrant
 	for _, id := range slices.Sorted(maps.Keys(r.leases)) {
 		held = append(held, r.leases[id].grant)
