--- a/controller/app/routed_settings.go
+++ b/controller/app/routed_settings.go
@@ -143,7 +143,7 @@
 }
 
 // off returns the mechanisms that are switched off; its problems were told by ReadRouted.
-func (s *RoutedSettings) off() ablator.Off {
+func (s *RoutedSettings) off() ablator.Disabled {
 	off, _ := s.Experiment.Parse(ablator.Controller())
 	return off
 }
--- a/gateway/app/routed_settings.go
+++ b/gateway/app/routed_settings.go
@@ -128,7 +128,7 @@
 }
 
 // off returns the mechanisms that are switched off; its problems were told by ReadRouted.
-func (s *RoutedSettings) off() ablator.Off {
+func (s *RoutedSettings) off() ablator.Disabled {
 	off, _ := s.Experiment.Parse(ablator.Gateway())
 	return off
 }
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -66,7 +66,7 @@
 	Budget Budget
 	Keys   Keys
 	// Off are the mechanisms that an experiment does without.
-	Off ablator.Off
+	Off ablator.Disabled
 	// Regulator paces prompts; nil sends them at once.
 	Regulator *regulator.Regulator
 	// Isolator knows the requests that end backend servers.
--- a/pkg/ablator/ablator.go
+++ b/pkg/ablator/ablator.go
@@ -61,20 +61,20 @@
 	return []Mechanism{EarlyElections, Homes, LearntHost, LearntStore, RisingCopies, WarmFirst}
 }
 
-// Off holds the mechanisms that are switched off. The zero value has none.
-type Off struct{ names []Mechanism }
+// Disabled holds the mechanisms that are switched off. The zero value has none.
+type Disabled struct{ names []Mechanism }
 
 // Without returns a set that has these mechanisms switched off.
-func Without(names ...Mechanism) Off { return Off{names: names} }
+func Without(names ...Mechanism) Disabled { return Disabled{names: names} }
 
 // Has reports whether a mechanism is switched off.
-func (o Off) Has(m Mechanism) bool { return slices.Contains(o.names, m) }
+func (o Disabled) Has(m Mechanism) bool { return slices.Contains(o.names, m) }
 
 // Empty reports whether all mechanisms are on.
-func (o Off) Empty() bool { return len(o.names) == 0 }
+func (o Disabled) Empty() bool { return len(o.names) == 0 }
 
 // String returns the names, in the order in which they were given.
-func (o Off) String() string { return join(o.names) }
+func (o Disabled) String() string { return join(o.names) }
 
 func join(names []Mechanism) string {
 	texts := make([]string, 0, len(names))
@@ -99,8 +99,8 @@
 
 // Parse returns what is switched off, and all problems of the settings. Known are the
 // mechanisms that the program has.
-func (s Settings) Parse(known []Mechanism) (Off, []Problem) {
-	var off Off
+func (s Settings) Parse(known []Mechanism) (Disabled, []Problem) {
+	var off Disabled
 	var problems []Problem
 	for _, text := range s.Off {
 		m := Mechanism(text)
--- a/pkg/ablator/ablator_test.go
+++ b/pkg/ablator/ablator_test.go
@@ -42,5 +42,5 @@
 	off := Without(Ejection)
 	c.Check(off.Has(Ejection), qt.IsTrue)
 	c.Check(off.Has(Pacing), qt.IsFalse)
-	c.Check(Off{}.Has(Ejection), qt.IsFalse)
+	c.Check(Disabled{}.Has(Ejection), qt.IsFalse)
 }
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -49,7 +49,7 @@
 	// Zone is the gateway's own availability zone.
 	Zone string
 	// Off are the mechanisms that an experiment does without.
-	Off ablator.Off
+	Off ablator.Disabled
 	// Rand makes choices repeatable; nil draws from the process's own source.
 	Rand *rand.Rand
 
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -52,7 +52,7 @@
 	// waits for runs.
 	UnloadCheckInterval time.Duration
 	// Off are the mechanisms that an experiment does without.
-	Off ablator.Off
+	Off ablator.Disabled
 }
 
 // DefaultPolicy returns the limits that were measured; docs/MEASURED.md has the runs.
