--- a/gateway/forwarder/ablation_test.go
+++ b/gateway/forwarder/ablation_test.go
@@ -19,7 +19,7 @@
 // withoutMechanisms returns a forwarder that does without mechanisms, and a job for an
 // adapter on a paced route of the second priority.
 func withoutMechanisms(off ...ablator.Mechanism) (*Forwarder, *job) {
-	f := &Forwarder{Clock: clockwork.NewFakeClock(), Off: ablator.Without(off...)}
+	f := &Forwarder{Clock: clockwork.NewFakeClock(), Off: ablator.Disable(off...)}
 	f.Init()
 	route := prompts(&wire.Route{Priority: 2, Repetition: wire.Repetition_REPETITION_STREAM})
 	j := &job{route: route, service: "s", adapter: "m/x", about: platform.Request{PromptTokens: 100}, req: &doorkeeper.Request{Head: &framer.RequestHead{}}}
--- a/gateway/forwarder/key_test.go
+++ b/gateway/forwarder/key_test.go
@@ -152,7 +152,7 @@
 	})
 	address, f := keyedGateway(c, 0)
 	// It waits here, and not for a slot that is given out elsewhere.
-	f.Off = ablator.Without(ablator.Dispensing)
+	f.Off = ablator.Disable(ablator.Dispensing)
 	announced := b.announcement("s")
 	announced.Slots = 1
 	f.Apply("controller", &wire.SyncResponse{Announcements: []*wire.Announcement{announced}})
--- a/pkg/ablator/ablator.go
+++ b/pkg/ablator/ablator.go
@@ -64,8 +64,8 @@
 // Disabled holds the mechanisms that are switched off. The zero value has none.
 type Disabled struct{ names []Mechanism }
 
-// Without returns a set that has these mechanisms switched off.
-func Without(names ...Mechanism) Disabled { return Disabled{names: names} }
+// Disable returns a set that has these mechanisms switched off.
+func Disable(names ...Mechanism) Disabled { return Disabled{names: names} }
 
 // Has reports whether a mechanism is switched off.
 func (o Disabled) Has(m Mechanism) bool { return slices.Contains(o.names, m) }
--- a/pkg/ablator/ablator_test.go
+++ b/pkg/ablator/ablator_test.go
@@ -39,7 +39,7 @@
 
 func TestWithoutSwitchesOffOnlyWhatIsNamed(t *testing.T) {
 	c := qt.New(t)
-	off := Without(Ejection)
+	off := Disable(Ejection)
 	c.Check(off.Has(Ejection), qt.IsTrue)
 	c.Check(off.Has(Pacing), qt.IsFalse)
 	c.Check(Disabled{}.Has(Ejection), qt.IsFalse)
