--- a/pkg/ablator/ablator.go
+++ b/pkg/ablator/ablator.go
@@ -84,9 +84,9 @@
 	return strings.Join(texts, ", ")
 }
 
-// Admission is the word without which no mechanism may be switched off, so that no
+// MeasureOnly is the word without which no mechanism may be switched off, so that no
 // forgotten line of an experiment makes a system in production worse.
-const Admission = "MeasureOnly"
+const MeasureOnly = "MeasureOnly"
 
 // Settings are a program's settings of an experiment.
 type Settings struct {
@@ -113,8 +113,8 @@
 			off.names = append(off.names, m)
 		}
 	}
-	if len(s.Off) > 0 && s.Admit != Admission {
-		problems = append(problems, Problem{"Admit", "it must be " + Admission + " where anything is switched off"})
+	if len(s.Off) > 0 && s.Admit != MeasureOnly {
+		problems = append(problems, Problem{"Admit", "it must be " + MeasureOnly + " where anything is switched off"})
 	}
 	return off, problems
 }
--- a/pkg/ablator/ablator_test.go
+++ b/pkg/ablator/ablator_test.go
@@ -13,15 +13,15 @@
 		keys     []string
 	}{
 		"nothing is off":            {Settings{}, "", nil},
-		"one is off":                {Settings{Off: []string{"Homes"}, Admit: Admission}, "Homes", nil},
-		"two are off":               {Settings{Off: []string{"Homes", "WarmFirst"}, Admit: Admission}, "Homes, WarmFirst", nil},
+		"one is off":                {Settings{Off: []string{"Homes"}, Admit: MeasureOnly}, "Homes", nil},
+		"two are off":               {Settings{Off: []string{"Homes", "WarmFirst"}, Admit: MeasureOnly}, "Homes, WarmFirst", nil},
 		"the word is missing":       {Settings{Off: []string{"Homes"}}, "Homes", []string{"Admit"}},
 		"another word":              {Settings{Off: []string{"Homes"}, Admit: "yes"}, "Homes", []string{"Admit"}},
-		"unknown":                   {Settings{Off: []string{"Home"}, Admit: Admission}, "", []string{"Off"}},
-		"another program's":         {Settings{Off: []string{"Pacing"}, Admit: Admission}, "", []string{"Off"}},
-		"twice":                     {Settings{Off: []string{"Homes", "Homes"}, Admit: Admission}, "Homes", []string{"Off"}},
+		"unknown":                   {Settings{Off: []string{"Home"}, Admit: MeasureOnly}, "", []string{"Off"}},
+		"another program's":         {Settings{Off: []string{"Pacing"}, Admit: MeasureOnly}, "", []string{"Off"}},
+		"twice":                     {Settings{Off: []string{"Homes", "Homes"}, Admit: MeasureOnly}, "Homes", []string{"Off"}},
 		"all faults are told":       {Settings{Off: []string{"x", "y"}}, "", []string{"Off", "Off", "Admit"}},
-		"the word alone is no harm": {Settings{Admit: Admission}, "", nil},
+		"the word alone is no harm": {Settings{Admit: MeasureOnly}, "", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
