--- a/gateway/app/routed_settings.go
+++ b/gateway/app/routed_settings.go
@@ -100,7 +100,7 @@
 			File: file, Section: "Stop", Key: "Drain", Problem: "it must be shorter than Grace, and not shorter than Take",
 		})
 	}
-	_, problems := s.Experiment.Parse(ablator.Gateway())
+	_, problems := s.Experiment.Parse(ablator.GatewayMechanisms())
 	for _, p := range problems {
 		faults = append(faults, configurer.Fault{File: file, Section: "Experiment", Key: p.Key, Problem: p.Text})
 	}
@@ -129,6 +129,6 @@
 
 // off returns the mechanisms that are switched off; its problems were told by ReadRouted.
 func (s *RoutedSettings) off() ablator.Disabled {
-	off, _ := s.Experiment.Parse(ablator.Gateway())
+	off, _ := s.Experiment.Parse(ablator.GatewayMechanisms())
 	return off
 }
--- a/pkg/ablator/ablator.go
+++ b/pkg/ablator/ablator.go
@@ -51,8 +51,8 @@
 	EarlyElections Mechanism = "EarlyElections"
 )
 
-// Gateway returns the mechanisms of gateways, in order.
-func Gateway() []Mechanism {
+// GatewayMechanisms returns the mechanisms of gateways, in order.
+func GatewayMechanisms() []Mechanism {
 	return []Mechanism{BudgetMargin, Dispensing, Ejection, FullHolder, Pacing, PriorityOrder, TwoChoices, ZonePenalty}
 }
 
