--- a/controller/app/routed_settings.go
+++ b/controller/app/routed_settings.go
@@ -109,7 +109,7 @@
 	if s.Limits.Window <= 0 || s.Limits.Overage < 0 || s.Limits.Slack < 0 {
 		fault("Limits", "Window", "it must be above 0, and neither Overage nor Slack below")
 	}
-	_, problems := s.Experiment.Parse(ablator.Controller())
+	_, problems := s.Experiment.Parse(ablator.ControllerMechanisms())
 	for _, p := range problems {
 		fault("Experiment", p.Key, p.Text)
 	}
@@ -144,6 +144,6 @@
 
 // off returns the mechanisms that are switched off; its problems were told by ReadRouted.
 func (s *RoutedSettings) off() ablator.Disabled {
-	off, _ := s.Experiment.Parse(ablator.Controller())
+	off, _ := s.Experiment.Parse(ablator.ControllerMechanisms())
 	return off
 }
--- a/pkg/ablator/ablator.go
+++ b/pkg/ablator/ablator.go
@@ -56,8 +56,8 @@
 	return []Mechanism{BudgetMargin, Dispensing, Ejection, FullHolder, Pacing, PriorityOrder, TwoChoices, ZonePenalty}
 }
 
-// Controller returns the mechanisms of controllers, in order.
-func Controller() []Mechanism {
+// ControllerMechanisms returns the mechanisms of controllers, in order.
+func ControllerMechanisms() []Mechanism {
 	return []Mechanism{EarlyElections, Homes, LearntHost, LearntStore, RisingCopies, WarmFirst}
 }
 
--- a/pkg/ablator/ablator_test.go
+++ b/pkg/ablator/ablator_test.go
@@ -25,7 +25,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			off, problems := test.settings.Parse(Controller())
+			off, problems := test.settings.Parse(ControllerMechanisms())
 			var keys []string
 			for _, p := range problems {
 				keys = append(keys, p.Key)
