--- a/bench/app/main.go
+++ b/bench/app/main.go
@@ -24,7 +24,7 @@
 	line := &commandLine{}
 	program := &launcher.Program{
 		Name: "bench", Description: "Measures bronzelead.",
-		Line: line, Stdout: stdout, Stderr: stderr,
+		CommandLine: line, Stdout: stdout, Stderr: stderr,
 		Options: []kong.Option{kong.BindTo(stdout, (*io.Writer)(nil))},
 	}
 	parsed, code := program.Parse(args)
--- a/bronzectl/app/main.go
+++ b/bronzectl/app/main.go
@@ -71,7 +71,7 @@
 func Main(args []string, stdin io.Reader, stdout, stderr io.Writer) int {
 	line := &commandLine{}
 	program := &launcher.Program{
-		Name: "bronzectl", Line: line, Stdout: stdout, Stderr: stderr,
+		Name: "bronzectl", CommandLine: line, Stdout: stdout, Stderr: stderr,
 		Description: "Drives bronzelead. Exit codes: 0 success, 1 failure, 2 wrong usage or a refused contract, " +
 			"3 conflict with another change, 4 not in force everywhere within the time.",
 	}
--- a/controller/app/main.go
+++ b/controller/app/main.go
@@ -39,7 +39,7 @@
 	line := &commandLine{}
 	program := &launcher.Program{
 		Name: "controller", Description: "Keeps contracts, claims and members on an instance with a disk.",
-		Line: line, Stdout: stdout, Stderr: stderr,
+		CommandLine: line, Stdout: stdout, Stderr: stderr,
 	}
 	parsed, code := program.Parse(args)
 	if parsed == nil {
--- a/gateway/app/main.go
+++ b/gateway/app/main.go
@@ -34,7 +34,7 @@
 	line := &commandLine{}
 	program := &launcher.Program{
 		Name: "gateway", Description: "Serves callers of adapters and services on an entry instance.",
-		Line: line, Stdout: stdout, Stderr: stderr,
+		CommandLine: line, Stdout: stdout, Stderr: stderr,
 	}
 	parsed, code := program.Parse(args)
 	if parsed == nil {
--- a/pkg/launcher/launcher.go
+++ b/pkg/launcher/launcher.go
@@ -23,10 +23,10 @@
 type Program struct {
 	Name        string
 	Description string
-	// Line is a pointer to the struct of commands and flags.
-	Line   any
-	Stdout io.Writer
-	Stderr io.Writer
+	// CommandLine is a pointer to the struct of commands and flags.
+	CommandLine any
+	Stdout      io.Writer
+	Stderr      io.Writer
 	// Options are added to the parser's.
 	Options []kong.Option
 }
@@ -39,7 +39,7 @@
 		kong.Name(p.Name), kong.Description(p.Description),
 		kong.Writers(p.Stdout, p.Stderr), kong.Exit(func(code int) { exited = code }),
 	}, p.Options...)
-	parser, err := kong.New(p.Line, options...)
+	parser, err := kong.New(p.CommandLine, options...)
 	if err != nil {
 		_, _ = fmt.Fprintln(p.Stderr, err)
 		return nil, ExitFailed
--- a/standin/app/main.go
+++ b/standin/app/main.go
@@ -71,7 +71,7 @@
 	line := &commandLine{}
 	program := &launcher.Program{
 		Name: "standin", Description: "Plays a system that bronzelead serves.",
-		Line: line, Stdout: stdout, Stderr: stderr,
+		CommandLine: line, Stdout: stdout, Stderr: stderr,
 	}
 	parsed, code := program.Parse(args)
 	if parsed == nil {
