--- a/controller/app/main.go
+++ b/controller/app/main.go
@@ -69,7 +69,7 @@
 func initialize(file string, stdout, stderr io.Writer) int {
 	settings, faults := Read(file)
 	if len(faults) > 0 {
-		return launcher.Refuse(faults, stderr)
+		return launcher.ReportFaults(faults, stderr)
 	}
 	cluster, err := Init(settings)
 	if err != nil {
@@ -83,7 +83,7 @@
 func run(file string, stderr io.Writer) int {
 	settings, faults := Read(file)
 	if len(faults) > 0 {
-		return launcher.Refuse(faults, stderr)
+		return launcher.ReportFaults(faults, stderr)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -98,7 +98,7 @@
 func runRouted(file string, stderr io.Writer) int {
 	settings, faults := ReadRouted(file)
 	if len(faults) > 0 {
-		return launcher.Refuse(faults, stderr)
+		return launcher.ReportFaults(faults, stderr)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/gateway/app/main.go
+++ b/gateway/app/main.go
@@ -62,7 +62,7 @@
 func run(file string, stderr io.Writer) int {
 	settings, faults := Read(file)
 	if len(faults) > 0 {
-		return launcher.Refuse(faults, stderr)
+		return launcher.ReportFaults(faults, stderr)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -77,7 +77,7 @@
 func runRouted(file string, stderr io.Writer) int {
 	settings, faults := ReadRouted(file)
 	if len(faults) > 0 {
-		return launcher.Refuse(faults, stderr)
+		return launcher.ReportFaults(faults, stderr)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/pkg/launcher/launcher.go
+++ b/pkg/launcher/launcher.go
@@ -55,8 +55,8 @@
 	return parsed, ExitOK
 }
 
-// Refuse shows the faults of settings, a line each, and returns the exit code for them.
-func Refuse(faults []configurer.Fault, stderr io.Writer) int {
+// ReportFaults shows the faults of settings, a line each, and returns the exit code for them.
+func ReportFaults(faults []configurer.Fault, stderr io.Writer) int {
 	for _, fault := range faults {
 		_, _ = fmt.Fprintln(stderr, fault)
 	}
@@ -67,7 +67,7 @@
 // exit code.
 func CheckSettings(file string, faults []configurer.Fault, stdout, stderr io.Writer) int {
 	if len(faults) > 0 {
-		return Refuse(faults, stderr)
+		return ReportFaults(faults, stderr)
 	}
 	_, _ = fmt.Fprintln(stdout, file+": all settings are right")
 	return ExitOK
