--- a/pkg/logger/ring.go
+++ b/pkg/logger/ring.go
@@ -10,21 +10,21 @@
 // ringSize bounds the lines that wait to be written: at a kilobyte each, half a megabyte.
 const ringSize = 512
 
-// Ring passes lines on to a writer without ever holding up who writes them: when too
+// AsyncWriter passes lines on to a writer without ever holding up who writes them: when too
 // many wait, lines are dropped and counted. Make one with NewRing, then call Run.
-type Ring struct {
+type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	out     io.Writer
 }
 
 // NewRing returns a ring before a writer.
-func NewRing(out io.Writer) *Ring {
-	return &Ring{lines: make(chan []byte, ringSize), out: out}
+func NewRing(out io.Writer) *AsyncWriter {
+	return &AsyncWriter{lines: make(chan []byte, ringSize), out: out}
 }
 
 // Write takes one line.
-func (r *Ring) Write(line []byte) (int, error) {
+func (r *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case r.lines <- append([]byte(nil), line...):
 	default:
@@ -34,7 +34,7 @@
 }
 
 // Run writes lines until ctx ends, and then those that still wait.
-func (r *Ring) Run(ctx context.Context) {
+func (r *AsyncWriter) Run(ctx context.Context) {
 	for {
 		select {
 		case line := <-r.lines:
@@ -47,7 +47,7 @@
 }
 
 // Flush writes the lines that wait.
-func (r *Ring) Flush() {
+func (r *AsyncWriter) Flush() {
 	for {
 		select {
 		case line := <-r.lines:
@@ -58,7 +58,7 @@
 	}
 }
 
-func (r *Ring) put(line []byte) {
+func (r *AsyncWriter) put(line []byte) {
 	// A log that can't be written has nowhere to say so.
 	_, _ = r.out.Write(line)
 	if n := r.dropped.Swap(0); n > 0 {
