--- a/gateway/app/main.go
+++ b/gateway/app/main.go
@@ -84,7 +84,7 @@
 	var level slog.Level
 	// The settings were checked; the zero level is Info.
 	_ = level.UnmarshalText([]byte(settings.Log.Level))
-	ring := logger.NewRing(os.Stdout)
+	ring := logger.NewAsyncWriter(os.Stdout)
 	logging, endLogging := context.WithCancel(context.Background())
 	defer ring.Flush()
 	defer endLogging()
--- a/pkg/logger/ring.go
+++ b/pkg/logger/ring.go
@@ -18,8 +18,8 @@
 	out     io.Writer
 }
 
-// NewRing returns a ring before a writer.
-func NewRing(out io.Writer) *AsyncWriter {
+// NewAsyncWriter returns a ring before a writer.
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
 	return &AsyncWriter{lines: make(chan []byte, ringSize), out: out}
 }
 
