--- a/gateway/forwarder/course.go
+++ b/gateway/forwarder/course.go
@@ -78,7 +78,7 @@
 // judged counts a stream that has ended.
 func (f *Forwarder) judged(j *job, v verdict) {
 	f.noteStream(j, false)
-	series := f.Meter.For(j.service, j.route.GetName())
+	series := f.Meter.SeriesFor(j.service, j.route.GetName())
 	if !j.course.firstAt.IsZero() {
 		series.FirstToken.RecordDuration(j.course.firstAt.Sub(j.req.ReceivedAt))
 		series.BetweenTokens.RecordDuration(j.course.pause)
--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -70,7 +70,7 @@
 }
 
 func (r *Receiver) noteAssigned(e *entry, candidate *router.Candidate) {
-	series := r.Meter.For(e.terms.Customer(), e.class)
+	series := r.Meter.SeriesFor(e.terms.Customer(), e.class)
 	series.QueueWait.RecordDuration(e.job.QueueWait())
 	series.LoadStall.RecordDuration(e.job.LoadStall())
 	r.Explainer.Note(e.id, e.terms.Customer(), "goes to %s (%s) after %s in the queue and %s for the adapter; load %d, score %.2f",
--- a/gateway/receiver/completions.go
+++ b/gateway/receiver/completions.go
@@ -186,7 +186,7 @@
 		return errCallerGone
 	}
 	now := c.receiver.Clock.Now()
-	series := c.receiver.Meter.For(c.entry.terms.Customer(), c.entry.class)
+	series := c.receiver.Meter.SeriesFor(c.entry.terms.Customer(), c.entry.class)
 	if c.started {
 		series.BetweenTokens.RecordDuration(now.Sub(c.lastToken))
 	} else {
--- a/pkg/meter/meter.go
+++ b/pkg/meter/meter.go
@@ -64,8 +64,8 @@
 // Handler serves the metrics as text.
 func (m *Meter) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
-// For returns the series of a customer and class.
-func (m *Meter) For(customer, class string) *Series {
+// SeriesFor returns the series of a customer and class.
+func (m *Meter) SeriesFor(customer, class string) *Series {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := seriesKey{customer: customer, class: class}
@@ -97,7 +97,7 @@
 
 // Ended counts an answered or refused request.
 func (m *Meter) Ended(customer, class, kind string, took time.Duration) {
-	m.For(customer, class).Duration.RecordDuration(took)
+	m.SeriesFor(customer, class).Duration.RecordDuration(took)
 	m.Count("requests", "kind", kind)
 }
 
