--- a/gateway/forwarder/story.go
+++ b/gateway/forwarder/story.go
@@ -22,7 +22,7 @@
 // sample of the others.
 func (f *Forwarder) served(j *job, backend *wire.Announcement, status int) {
 	j.status = status
-	f.Meter.Ended(j.service, j.route.GetName(), "Served", f.Clock.Since(j.req.ReceivedAt))
+	f.Meter.RecordRequest(j.service, j.route.GetName(), "Served", f.Clock.Since(j.req.ReceivedAt))
 	if status >= http.StatusInternalServerError {
 		f.event(j, backend, "the backend server failed", status)
 		return
--- a/gateway/receiver/receiver.go
+++ b/gateway/receiver/receiver.go
@@ -303,7 +303,7 @@
 		p.write(w, e.id)
 	}
 	took := r.Clock.Now().Sub(e.start)
-	r.Meter.Ended(customer, e.class, kind, took)
+	r.Meter.RecordRequest(customer, e.class, kind, took)
 	r.Log.Debug("request", "RequestId", e.id, "Customer", customer, "Class", e.class, "Kind", kind, "Took", took.String())
 }
 
--- a/pkg/meter/meter.go
+++ b/pkg/meter/meter.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Ended counts an answered or refused request.
-func (m *Meter) Ended(customer, class, kind string, took time.Duration) {
+// RecordRequest counts an answered or refused request.
+func (m *Meter) RecordRequest(customer, class, kind string, took time.Duration) {
 	m.SeriesFor(customer, class).Duration.RecordDuration(took)
 	m.Count("requests", "kind", kind)
 }
