--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -151,7 +151,7 @@
 	}
 	a.keeper.Init(contents)
 	a.coordinator.Raft = a.keeper
-	a.coordinator.CountQuarantine = func(change string) { a.meter.Count("held_requests", "change", change) }
+	a.coordinator.CountQuarantine = func(change string) { a.meter.Increment("held_requests", "change", change) }
 	a.coordinator.SendOrder = a.orderer().Carry
 	a.coordinator.Init()
 	a.responder = &responder.Responder{
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -177,7 +177,7 @@
 		Policy: r.policy(), SilentAfter: silentAnnouncements * s.Timing.Announcements, HandoverDelay: s.handOver(),
 		SnapshotEntries: uint64(s.Data.SnapshotEvery), SnapshotBytes: snapshotBytes,
 	}
-	r.curator.CountHeld = func(change string) { r.meter.Count("held_requests", "change", change) }
+	r.curator.CountHeld = func(change string) { r.meter.Increment("held_requests", "change", change) }
 	r.curator.Init()
 	r.mesh = &routecoordinator.Mesh{Coordinator: r.curator, Leader: r.leader, Client: func(address string) wire.Mesh {
 		return wire.NewMeshProtobufClient("http://"+address, &connector.Client{Timeout: operatorTimeout, Transport: transport})
--- a/gateway/forwarder/course.go
+++ b/gateway/forwarder/course.go
@@ -84,7 +84,7 @@
 		series.BetweenTokens.RecordDuration(j.course.pause)
 	}
 	series.QueueWait.RecordDuration(j.waited)
-	f.Meter.Count("streams", "verdict", string(v))
+	f.Meter.Increment("streams", "verdict", string(v))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.verdicts[v]++
--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -57,7 +57,7 @@
 	if !verdict.Quarantined {
 		return false
 	}
-	f.Meter.Count("requests_held_back", "service", j.service)
+	f.Meter.Increment("requests_held_back", "service", j.service)
 	f.giveUp(j, reasonHeld, verdict.Remaining)
 	return true
 }
--- a/gateway/forwarder/limit.go
+++ b/gateway/forwarder/limit.go
@@ -53,7 +53,7 @@
 		j.charge.held = true
 		return true
 	}
-	f.Meter.Count("requests_beyond_limits", "customer", j.charge.customer)
+	f.Meter.Increment("requests_beyond_limits", "customer", j.charge.customer)
 	switch {
 	case ctx.Err() != nil:
 		f.expired(ctx, j)
--- a/gateway/forwarder/story.go
+++ b/gateway/forwarder/story.go
@@ -15,7 +15,7 @@
 func (f *Forwarder) event(j *job, backend *wire.Announcement, outcome string, status int) {
 	j.status = status
 	f.Log.Info("request", f.attributes(j, backend, "Outcome", outcome, "Status", status)...)
-	f.Meter.Count("requests_not_served", "outcome", outcomeLabel(status))
+	f.Meter.Increment("requests_not_served", "outcome", outcomeLabel(status))
 }
 
 // served logs an answer that was passed on whole: all failures of backend servers, and a
--- a/gateway/forwarder/tally.go
+++ b/gateway/forwarder/tally.go
@@ -48,7 +48,7 @@
 		return
 	}
 	e := endingOf(j.status, f.Clock.Since(j.req.ReceivedAt), milliseconds(j.route.GetObjectiveMs()))
-	f.Meter.Count("plain_requests", "ending", string(e))
+	f.Meter.Increment("plain_requests", "ending", string(e))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.addEnding(j, e)
--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -95,7 +95,7 @@
 
 // limitFault counts a limit that can't be read. What was known before stands.
 func (f *Forwarder) limitFault(j *job, fault string) {
-	f.Meter.Count("request_limits_unreadable", "fault", fault)
+	f.Meter.Increment("request_limits_unreadable", "fault", fault)
 	now := f.Clock.Now()
 	f.mu.Lock()
 	due := now.Sub(f.limitFaultAt) >= limitFaultEvery
--- a/gateway/granter/limits.go
+++ b/gateway/granter/limits.go
@@ -43,7 +43,7 @@
 	g.mu.Lock()
 	g.sendsTo(backend).denied++
 	g.mu.Unlock()
-	g.Meter.Count("requests_denied_by_limits", "role", "Gateway")
+	g.Meter.Increment("requests_denied_by_limits", "role", "Gateway")
 }
 
 // sendsTo returns the account of a backend server. The caller holds the lock.
@@ -97,7 +97,7 @@
 	g.Log.Info(event, append([]any{
 		"Backend", o.Backend, "Limit", o.Limit.Rate, "Before", change.Before.Rate, "Source", o.Source,
 	}, more...)...)
-	g.Meter.Count("request_limit_changes", "source", string(o.Source))
+	g.Meter.Increment("request_limit_changes", "source", string(o.Source))
 	if o.Limit.Named && !change.Before.Named {
 		go g.report(o.Backend)
 	}
--- a/gateway/receiver/isolation.go
+++ b/gateway/receiver/isolation.go
@@ -32,7 +32,7 @@
 	if !verdict.Quarantined {
 		return nil
 	}
-	r.Meter.Count("requests_held_back", "customer", e.terms.Customer())
+	r.Meter.Increment("requests_held_back", "customer", e.terms.Customer())
 	return &Problem{
 		Status: http.StatusServiceUnavailable, Kind: kindHeldBack, Ran: dispatcher.RanNo, RetryAfter: verdict.Remaining,
 		Message: "backend servers end when they run this request; it is held back",
--- a/pkg/meter/meter.go
+++ b/pkg/meter/meter.go
@@ -98,11 +98,11 @@
 // RecordRequest counts an answered or refused request.
 func (m *Meter) RecordRequest(customer, class, kind string, took time.Duration) {
 	m.SeriesFor(customer, class).Duration.RecordDuration(took)
-	m.Count("requests", "kind", kind)
+	m.Increment("requests", "kind", kind)
 }
 
-// Count adds one to a counter with one tag.
-func (m *Meter) Count(name, tag, value string) {
+// Increment adds one to a counter with one tag.
+func (m *Meter) Increment(name, tag, value string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := name + "/" + value
