--- a/gateway/granter/granter.go
+++ b/gateway/granter/granter.go
@@ -117,7 +117,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.book.Prune(now, nil)
-	g.Meter.Level("request_limits_in_force", float64(g.book.InForce()))
+	g.Meter.SetGauge("request_limits_in_force", float64(g.book.InForce()))
 	for id, s := range g.sends {
 		if s.Sum(now) <= 0 {
 			delete(g.sends, id)
--- a/pkg/meter/meter.go
+++ b/pkg/meter/meter.go
@@ -117,8 +117,8 @@
 	c.Inc(1)
 }
 
-// Level records a number that rises and falls.
-func (m *Meter) Level(name string, value float64) { m.scope.Gauge(name).Update(value) }
+// SetGauge records a number that rises and falls.
+func (m *Meter) SetGauge(name string, value float64) { m.scope.Gauge(name).Update(value) }
 
 // BatchFill records how full an engine's steps run, as a part of its batch.
 func (m *Meter) BatchFill(part float64) {
