--- a/pkg/meter/meter.go
+++ b/pkg/meter/meter.go
@@ -120,8 +120,8 @@
 // SetGauge records a number that rises and falls.
 func (m *Meter) SetGauge(name string, value float64) { m.scope.Gauge(name).Update(value) }
 
-// BatchFill records how full an engine's steps run, as a part of its batch.
-func (m *Meter) BatchFill(part float64) {
+// RecordBatchFill records how full an engine's steps run, as a part of its batch.
+func (m *Meter) RecordBatchFill(part float64) {
 	m.scope.Histogram("batch_fill", tally.MustMakeLinearValueBuckets(0, 0.1, 11)).RecordValue(part)
 }
 
