--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -140,7 +140,7 @@
 	a.coordinator = &coordinator.Coordinator{
 		Clock: a.Clock, Log: a.Log, Commits: items, Policy: a.policy(), Lease: s.Timing.SessionLease,
 		MaxRequestDuration: s.Timing.LongestRequest, SnapshotInterval: uint64(s.Data.SnapshotEvery),
-		ObserveBatchFill: a.meter.RecordBatchFill, ObserveInForce: func(d time.Duration) { a.meter.Took("in_force", d) },
+		ObserveBatchFill: a.meter.RecordBatchFill, ObserveInForce: func(d time.Duration) { a.meter.RecordDuration("in_force", d) },
 	}
 	a.keeper = &raftdriver.Driver{
 		Clock: a.Clock, Log: a.Log, Storer: a.storer, Send: a.transporter.Send, Commits: items,
--- a/gateway/quotaenforcer/borrower.go
+++ b/gateway/quotaenforcer/borrower.go
@@ -389,7 +389,7 @@
 		}
 	}
 	if b.Meter != nil {
-		b.Meter.Took("borrow", now.Sub(asked))
+		b.Meter.RecordDuration("borrow", now.Sub(asked))
 	}
 }
 
--- a/gateway/relayer/relayer.go
+++ b/gateway/relayer/relayer.go
@@ -293,6 +293,6 @@
 // Measure records the age of what is known here.
 func (r *Relayer) Measure() {
 	if age := r.LeaderAge(); age < unknownAge {
-		r.Meter.Took("news_age", age)
+		r.Meter.RecordDuration("news_age", age)
 	}
 }
--- a/pkg/meter/meter.go
+++ b/pkg/meter/meter.go
@@ -125,8 +125,8 @@
 	m.scope.Histogram("batch_fill", tally.MustMakeLinearValueBuckets(0, 0.1, 11)).RecordValue(part)
 }
 
-// Took records how long something of the system itself took.
-func (m *Meter) Took(what string, d time.Duration) {
+// RecordDuration records how long something of the system itself took.
+func (m *Meter) RecordDuration(what string, d time.Duration) {
 	buckets := tally.MustMakeExponentialDurationBuckets(smallest, bucketFactor, bucketCount)
 	m.scope.Histogram(what, buckets).RecordDuration(d)
 }
