--- a/gateway/app/routed_settings_test.go
+++ b/gateway/app/routed_settings_test.go
@@ -19,7 +19,7 @@
 // write the program's part anew.
 func TestRoutedSettingsPage(t *testing.T) {
 	update := flag.Lookup("update").Value.String() == "true"
-	settingstester.Page(qt.New(t), "../../docs/SETTINGS-ROUTED.md", "## Gateway\n", configurer.Describe(RoutedDefaults()), update)
+	settingstester.CheckPage(qt.New(t), "../../docs/SETTINGS-ROUTED.md", "## Gateway\n", configurer.Describe(RoutedDefaults()), update)
 }
 
 // The template that the users' platform fills in gives settings without a fault.
--- a/pkg/settingstester/settingstester.go
+++ b/pkg/settingstester/settingstester.go
@@ -19,9 +19,9 @@
 	sample = "7000"
 )
 
-// Page checks that a page holds the description of settings under a title, which ends
+// CheckPage checks that a page holds the description of settings under a title, which ends
 // with a line break; with update set it writes the page's part anew.
-func Page(c *qt.C, page, title, description string, update bool) {
+func CheckPage(c *qt.C, page, title, description string, update bool) {
 	want := title + description
 	text, err := os.ReadFile(page)
 	c.Assert(err, qt.IsNil)
