--- a/controller/app/routed_settings_test.go
+++ b/controller/app/routed_settings_test.go
@@ -24,7 +24,7 @@
 
 // The template that the users' platform fills in gives settings without a fault.
 func TestTemplate(t *testing.T) {
-	settingstester.Template(qt.New(t), "../../deploy/controller.ini", map[string]string{
+	settingstester.CheckTemplate(qt.New(t), "../../deploy/controller.ini", map[string]string{
 		"seeds": "10.0.0.1:80,10.0.0.2:80", "ip": "10.0.0.1", "listen.control": "10.0.0.1:83",
 		"bootstrap": "true", "bounds.fencingRequired": "true",
 	}, readRoutedFaults)
--- a/gateway/app/routed_settings_test.go
+++ b/gateway/app/routed_settings_test.go
@@ -24,7 +24,7 @@
 
 // The template that the users' platform fills in gives settings without a fault.
 func TestTemplate(t *testing.T) {
-	settingstester.Template(qt.New(t), "../../deploy/gateway.ini", map[string]string{
+	settingstester.CheckTemplate(qt.New(t), "../../deploy/gateway.ini", map[string]string{
 		"seeds": "10.0.0.1:80,10.0.0.2:80", "listen.front": "10.0.0.1:81", "listen.ready": "10.0.0.1:82",
 		"bounds.retryBudgetRatio": "0.2", "bounds.graceS": "8", "bounds.revokeStrict": "false",
 	}, readRoutedFaults)
--- a/pkg/settingstester/settingstester.go
+++ b/pkg/settingstester/settingstester.go
@@ -37,8 +37,8 @@
 	c.Assert(os.WriteFile(page, []byte(before+want+rest), pagePerm), qt.IsNil)
 }
 
-// Template fills a template in and checks that reading the result finds no fault.
-func Template(c *qt.C, template string, values map[string]string, read func(file string) []configurer.Fault) {
+// CheckTemplate fills a template in and checks that reading the result finds no fault.
+func CheckTemplate(c *qt.C, template string, values map[string]string, read func(file string) []configurer.Fault) {
 	text, err := os.ReadFile(template)
 	c.Assert(err, qt.IsNil)
 	// A section is taken as present.
