--- a/controller/app/routed_settings_test.go
+++ b/controller/app/routed_settings_test.go
@@ -33,13 +33,13 @@
 // Every fault of a file is told, not only the first.
 func TestRoutedFaults(t *testing.T) {
 	const text = "[Instance]\nName = n\nZone = z\nIP = here\n[Log]\nLevel = Loud\n[Unknown]\nKey = 1\n"
-	settingstester.Faults(qt.New(t), text, []string{"here is no IP number", "Level", "Unknown", "Seeds"}, readRoutedFaults)
+	settingstester.CheckFaults(qt.New(t), text, []string{"here is no IP number", "Level", "Unknown", "Seeds"}, readRoutedFaults)
 }
 
 // A mechanism is switched off only with the word that admits it, and only one that this
 // program has; both faults are told at once.
 func TestExperimentFaults(t *testing.T) {
-	settingstester.Faults(qt.New(t), "[Experiment]\nOff = Homes, Pacing\n", []string{
+	settingstester.CheckFaults(qt.New(t), "[Experiment]\nOff = Homes, Pacing\n", []string{
 		"Pacing\" can't be switched off", "[Experiment] Admit: it must be MeasureOnly",
 	}, readRoutedFaults)
 }
--- a/pkg/settingstester/settingstester.go
+++ b/pkg/settingstester/settingstester.go
@@ -52,8 +52,8 @@
 	c.Assert(read(File(c, rendered)), qt.HasLen, 0)
 }
 
-// Faults checks that reading settings finds at least the wanted faults.
-func Faults(c *qt.C, text string, wants []string, read func(file string) []configurer.Fault) {
+// CheckFaults checks that reading settings finds at least the wanted faults.
+func CheckFaults(c *qt.C, text string, wants []string, read func(file string) []configurer.Fault) {
 	all := ""
 	for _, fault := range read(File(c, text)) {
 		all += fault.String() + "\n"
