--- a/pkg/settingstester/settingstester.go
+++ b/pkg/settingstester/settingstester.go
@@ -49,13 +49,13 @@
 		}
 		return sample
 	})
-	c.Assert(read(File(c, rendered)), qt.HasLen, 0)
+	c.Assert(read(WriteFile(c, rendered)), qt.HasLen, 0)
 }
 
 // CheckFaults checks that reading settings finds at least the wanted faults.
 func CheckFaults(c *qt.C, text string, wants []string, read func(file string) []configurer.Fault) {
 	all := ""
-	for _, fault := range read(File(c, text)) {
+	for _, fault := range read(WriteFile(c, text)) {
 		all += fault.String() + "\n"
 	}
 	for _, want := range wants {
@@ -63,8 +63,8 @@
 	}
 }
 
-// File writes settings to a file of the test's own.
-func File(c *qt.C, text string) string {
+// WriteFile writes settings to a file of the test's own.
+func WriteFile(c *qt.C, text string) string {
 	file := filepath.Join(c.TempDir(), "settings.ini")
 	c.Assert(os.WriteFile(file, []byte(text), pagePerm), qt.IsNil)
 	return file
