--- a/pkg/suspender/suspender.go
+++ b/pkg/suspender/suspender.go
@@ -13,9 +13,9 @@
 // clock is the real clock but for Now, which counts from the start of the instance.
 type clock struct{ clockwork.Clock }
 
-// Clock returns the clock. Its times have no relation to the time of day, which may
+// BootClock returns the clock. Its times have no relation to the time of day, which may
 // jump.
-func Clock() clockwork.Clock { return clock{Clock: clockwork.NewRealClock()} }
+func BootClock() clockwork.Clock { return clock{Clock: clockwork.NewRealClock()} }
 
 // Now returns the time since the start of the instance, as a time after 1970.
 func (c clock) Now() time.Time {
