--- a/controller/app/main.go
+++ b/controller/app/main.go
@@ -14,7 +14,7 @@
 	"bronzelead.example/pkg/configurer"
 	"bronzelead.example/pkg/launcher"
 	"bronzelead.example/pkg/logger"
-	"bronzelead.example/pkg/suspender"
+	"bronzelead.example/pkg/timekeeper"
 )
 
 type commandLine struct {
@@ -108,7 +108,7 @@
 	// The settings were checked; the zero level is Info.
 	_ = level.UnmarshalText([]byte(settings.Log.Level))
 	log := logger.New(os.Stdout, level, "controller", settings.Instance.Name, settings.Instance.Zone)
-	r := &Routed{Settings: settings, Clock: suspender.BootClock(), Log: log}
+	r := &Routed{Settings: settings, Clock: timekeeper.BootClock(), Log: log}
 	if err := r.Run(ctx); err != nil {
 		log.Error("the controller ends", "Error", err.Error())
 		return launcher.ExitFailed
--- a/pkg/suspender/suspender.go
+++ b/pkg/timekeeper/suspender.go
@@ -1,7 +1,7 @@
 // Package suspender gives a clock that also counts the time for which the instance was
 // suspended. Leases rest on such a clock: by Go's own, a lease would outlast a
 // suspension that its holder never noticed.
-package suspender
+package timekeeper
 
 import (
 	"time"
