--- a/pkg/validator/validator.go
+++ b/pkg/validator/validator.go
@@ -120,7 +120,7 @@
 		v.name("Service", s.GetName())
 		v.once("Service", &seen, s.GetName())
 		v.class(what, s.GetClass(), c)
-		if !KnownKeyFrom(s.GetKeyFrom()) {
+		if !ValidKeyFrom(s.GetKeyFrom()) {
 			v.fault("%s KeyFrom: %q is not empty, Header:NAME, Field:NAME or Digest", what, s.GetKeyFrom())
 		}
 		for _, method := range s.GetNonIdempotentMethods() {
@@ -131,8 +131,8 @@
 	}
 }
 
-// KnownKeyFrom reports whether a rule for deriving a missing key can be used.
-func KnownKeyFrom(rule string) bool {
+// ValidKeyFrom reports whether a rule for deriving a missing key can be used.
+func ValidKeyFrom(rule string) bool {
 	if rule == "" || rule == "Digest" {
 		return true
 	}
