--- a/standin/announcer/announcer.go
+++ b/standin/announcer/announcer.go
@@ -20,7 +20,7 @@
 	// Gateways are asked in turn, as a balancer would.
 	Gateways []string
 	Key      string
-	Every    time.Duration
+	Interval time.Duration
 	// Now returns what to announce.
 	Now func() translator.Announcement
 
@@ -30,7 +30,7 @@
 // Run announces until ctx ends, and then once more that the server is leaving.
 func (a *Announcer) Run(ctx context.Context) {
 	client := &connector.Client{Timeout: timeout, Key: a.Key, Transport: connector.NewTransport(nil)}
-	ticker := time.NewTicker(a.Every)
+	ticker := time.NewTicker(a.Interval)
 	defer ticker.Stop()
 	for {
 		a.announce(client)
