--- a/standin/announcer/announcer.go
+++ b/standin/announcer/announcer.go
@@ -21,8 +21,8 @@
 	Gateways []string
 	Key      string
 	Interval time.Duration
-	// Now returns what to announce.
-	Now func() translator.Announcement
+	// Current returns what to announce.
+	Current func() translator.Announcement
 
 	next int
 }
@@ -45,7 +45,7 @@
 
 // announce tells the next gateway that takes it.
 func (a *Announcer) announce(client *connector.Client) {
-	body, err := json.Marshal(a.Now())
+	body, err := json.Marshal(a.Current())
 	if err != nil {
 		return
 	}
--- a/standin/app/main.go
+++ b/standin/app/main.go
@@ -146,7 +146,7 @@
 		address = p.Listen
 	}
 	var leaving atomic.Bool
-	a := &announcer.Announcer{Gateways: p.Gateways, Key: key, Interval: p.Every, Now: func() translator.Announcement {
+	a := &announcer.Announcer{Gateways: p.Gateways, Key: key, Interval: p.Every, Current: func() translator.Announcement {
 		said := now()
 		said.Name, said.Zone, said.Address = p.Name, p.Zone, address
 		said.Leaving = leaving.Load()
