--- a/standin/app/main.go
+++ b/standin/app/main.go
@@ -102,7 +102,7 @@
 	e := c.Engine
 	client := &connector.Client{Timeout: weightTimeout, Transport: connector.NewTransport(nil)}
 	g := &generator.Generator{
-		BaseModel: e.BaseModel, Slots: e.Slots, Batch: e.Batch, Step: e.Step,
+		BaseModel: e.BaseModel, Slots: e.Slots, Batch: e.Batch, StepDuration: e.Step,
 		ChecksFencing: !e.IgnoreFencing, Weights: func(path string) error { return fetch(client, path) },
 		EndOn: e.EndOn, End: func() { os.Exit(launcher.ExitFailed) },
 	}
--- a/standin/generator/generator.go
+++ b/standin/generator/generator.go
@@ -65,7 +65,7 @@
 	BaseModel     string
 	Slots         int
 	Batch         int
-	Step          time.Duration
+	StepDuration  time.Duration
 	ChecksFencing bool
 	// Weights fetches an adapter's weights.
 	Weights func(path string) error
@@ -132,7 +132,7 @@
 func (g *Generator) pause() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.Step + time.Duration(g.fault.DelayMs)*time.Millisecond
+	return g.StepDuration + time.Duration(g.fault.DelayMs)*time.Millisecond
 }
 
 // step gives each request of the batch one token.
