--- a/standin/generator/generator.go
+++ b/standin/generator/generator.go
@@ -69,9 +69,9 @@
 	ChecksFencing bool
 	// Weights fetches an adapter's weights.
 	Weights func(path string) error
-	// EndOn is a text in a request's body under which the engine ends, by End; "" is none.
-	EndOn string
-	End   func()
+	// ExitText is a text in a request's body under which the engine ends, by End; "" is none.
+	ExitText string
+	End      func()
 
 	mu          sync.Mutex
 	changed     *sync.Cond
--- a/standin/generator/serve.go
+++ b/standin/generator/serve.go
@@ -59,7 +59,7 @@
 		refuse(w, http.StatusBadRequest, "the body is not right")
 		return
 	}
-	if g.EndOn != "" && bytes.Contains(data, []byte(g.EndOn)) {
+	if g.ExitText != "" && bytes.Contains(data, []byte(g.ExitText)) {
 		g.End()
 	}
 	if g.loses() {
