--- a/standin/app/main.go
+++ b/standin/app/main.go
@@ -104,7 +104,7 @@
 	g := &generator.Generator{
 		BaseModel: e.BaseModel, Slots: e.Slots, Batch: e.Batch, StepDuration: e.Step,
 		ChecksFencing: !e.IgnoreFencing, Weights: func(path string) error { return fetch(client, path) },
-		ExitText: e.EndOn, End: func() { os.Exit(launcher.ExitFailed) },
+		ExitText: e.EndOn, Exit: func() { os.Exit(launcher.ExitFailed) },
 	}
 	g.Init(rand.Text())
 	go g.Run(make(chan struct{}))
--- a/standin/generator/generator.go
+++ b/standin/generator/generator.go
@@ -71,7 +71,7 @@
 	Weights func(path string) error
 	// ExitText is a text in a request's body under which the engine ends, by End; "" is none.
 	ExitText string
-	End      func()
+	Exit     func()
 
 	mu          sync.Mutex
 	changed     *sync.Cond
--- a/standin/generator/serve.go
+++ b/standin/generator/serve.go
@@ -60,7 +60,7 @@
 		return
 	}
 	if g.ExitText != "" && bytes.Contains(data, []byte(g.ExitText)) {
-		g.End()
+		g.Exit()
 	}
 	if g.loses() {
 		drop(w)
