--- a/standin/provider/provider.go
+++ b/standin/provider/provider.go
@@ -10,9 +10,9 @@
 
 // Provider serves weights. Set the exported fields before use.
 type Provider struct {
-	// PerSecond and AtOnce are the limits that a load should keep.
-	PerSecond float64
-	AtOnce    int
+	// LoadsPerSecond and AtOnce are the limits that a load should keep.
+	LoadsPerSecond float64
+	AtOnce         int
 	// Takes is how long a load takes at full speed.
 	Takes time.Duration
 
@@ -48,7 +48,7 @@
 	p.most = max(p.most, p.running)
 	now := time.Now()
 	wait := max(0, p.free.Sub(now))
-	p.free = now.Add(wait + time.Duration(float64(time.Second)/p.PerSecond))
+	p.free = now.Add(wait + time.Duration(float64(time.Second)/p.LoadsPerSecond))
 	slow := max(1, float64(p.running)/float64(p.AtOnce))
 	return wait + time.Duration(float64(p.Takes)*slow)
 }
