--- a/standin/provider/provider.go
+++ b/standin/provider/provider.go
@@ -11,8 +11,8 @@
 // Provider serves weights. Set the exported fields before use.
 type Provider struct {
 	// LoadsPerSecond and AtOnce are the limits that a load should keep.
-	LoadsPerSecond float64
-	AtOnce         int
+	LoadsPerSecond  float64
+	ConcurrentLoads int
 	// Takes is how long a load takes at full speed.
 	Takes time.Duration
 
@@ -49,7 +49,7 @@
 	now := time.Now()
 	wait := max(0, p.free.Sub(now))
 	p.free = now.Add(wait + time.Duration(float64(time.Second)/p.LoadsPerSecond))
-	slow := max(1, float64(p.running)/float64(p.AtOnce))
+	slow := max(1, float64(p.running)/float64(p.ConcurrentLoads))
 	return wait + time.Duration(float64(p.Takes)*slow)
 }
 
