--- a/standin/provider/provider.go
+++ b/standin/provider/provider.go
@@ -13,8 +13,8 @@
 	// LoadsPerSecond and AtOnce are the limits that a load should keep.
 	LoadsPerSecond  float64
 	ConcurrentLoads int
-	// Takes is how long a load takes at full speed.
-	Takes time.Duration
+	// LoadDuration is how long a load takes at full speed.
+	LoadDuration time.Duration
 
 	mu      sync.Mutex
 	running int
@@ -50,7 +50,7 @@
 	wait := max(0, p.free.Sub(now))
 	p.free = now.Add(wait + time.Duration(float64(time.Second)/p.LoadsPerSecond))
 	slow := max(1, float64(p.running)/float64(p.ConcurrentLoads))
-	return wait + time.Duration(float64(p.Takes)*slow)
+	return wait + time.Duration(float64(p.LoadDuration)*slow)
 }
 
 func (p *Provider) end() {
