--- a/standin/provider/provider.go
+++ b/standin/provider/provider.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Provider serves weights. Set the exported fields before use.
-type Provider struct {
+// Server serves weights. Set the exported fields before use.
+type Server struct {
 	// LoadsPerSecond and AtOnce are the limits that a load should keep.
 	LoadsPerSecond  float64
 	ConcurrentLoads int
@@ -24,13 +24,13 @@
 }
 
 // Handler serves GET /weights/ADAPTER and GET /control/loads.
-func (p *Provider) Handler() http.Handler {
+func (p *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /weights/{adapter}", p.serve)
 	return mux
 }
 
-func (p *Provider) serve(w http.ResponseWriter, r *http.Request) {
+func (p *Server) serve(w http.ResponseWriter, r *http.Request) {
 	select {
 	case <-time.After(p.begin()):
 	case <-r.Context().Done():
@@ -40,7 +40,7 @@
 }
 
 // begin returns how long this load takes: longer when too many run, or come at once.
-func (p *Provider) begin() time.Duration {
+func (p *Server) begin() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running++
@@ -53,7 +53,7 @@
 	return wait + time.Duration(float64(p.LoadDuration)*slow)
 }
 
-func (p *Provider) end() {
+func (p *Server) end() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.running--
