--- a/standin/app/main.go
+++ b/standin/app/main.go
@@ -25,7 +25,7 @@
 	"bronzelead.example/standin/acknowledger"
 	"bronzelead.example/standin/announcer"
 	"bronzelead.example/standin/generator"
-	"bronzelead.example/standin/provider"
+	"bronzelead.example/standin/weightserver"
 )
 
 const (
@@ -94,7 +94,7 @@
 	case "service":
 		return c.service(ctx, log)
 	}
-	p := &provider.Server{LoadsPerSecond: c.Store.PerSecond, ConcurrentLoads: c.Store.AtOnce, LoadDuration: c.Store.Takes}
+	p := &weightserver.Server{LoadsPerSecond: c.Store.PerSecond, ConcurrentLoads: c.Store.AtOnce, LoadDuration: c.Store.Takes}
 	return serve(ctx, log, c.Store.Listen, p.Handler())
 }
 
--- a/standin/provider/provider.go
+++ b/standin/weightserver/provider.go
@@ -1,6 +1,6 @@
 // Package provider is a stand-in for the rate-limited weight store: it serves
 // adapters, a few loads at once at full speed and so many a second.
-package provider
+package weightserver
 
 import (
 	"net/http"
