--- a/pkg/ablator/ablator.go
+++ b/pkg/ablator/ablator.go
@@ -1,5 +1,5 @@
-// Package ablator names the mechanisms that can be switched off, to measure what each is
-// worth. A set of them is empty in production.
+// Package ablator defines the mechanisms that can be switched off to measure their benefit. In
+// production none is switched off.
 package ablator
 
 import (
@@ -8,75 +8,75 @@
 	"strings"
 )
 
-// Mechanism is a way of deciding that can be switched off.
+// Mechanism is one part of the decision logic that can be switched off.
 type Mechanism string
 
 // The mechanisms of gateways.
 const (
-	// TwoChoices takes the less loaded of two backend servers picked at random; without it
-	// the least loaded of all is taken.
+	// TwoChoices picks the less loaded of two random backend servers; without it the least
+	// loaded of all is picked.
 	TwoChoices Mechanism = "TwoChoices"
-	// Ejection leaves out backend servers whose requests fail.
+	// Ejection excludes backend servers whose requests fail.
 	Ejection Mechanism = "Ejection"
 	// ZonePenalty prefers backend servers in a gateway's own availability zone.
 	ZonePenalty Mechanism = "ZonePenalty"
-	// FullHolder lets a request wait for an engine that holds its adapter and is full,
-	// before it goes to one that a try has failed at.
+	// FullHolder lets a request wait for a full engine that has its adapter, before it is sent
+	// to an engine where an attempt failed.
 	FullHolder Mechanism = "FullHolder"
-	// BudgetMargin leaves a part of the budget of repeats unused.
+	// BudgetMargin leaves a part of the retry budget unused.
 	BudgetMargin Mechanism = "BudgetMargin"
 	// PriorityOrder serves urgent requests first.
 	PriorityOrder Mechanism = "PriorityOrder"
-	// Pacing holds prompts back that an engine can't read without a long pause.
+	// Pacing delays prompts that an engine can't process without a long pause.
 	Pacing Mechanism = "Pacing"
-	// Dispensing gives out the slots of plain services' backend servers that are contended.
+	// Dispensing grants the slots of contended backend servers of plain services.
 	Dispensing Mechanism = "Dispensing"
 )
 
 // The mechanisms of controllers.
 const (
-	// RisingCopies gives an adapter copies as soon as its requests rise; without it the
-	// rate of some seconds counts alone.
+	// RisingCopies adds replicas of an adapter as soon as its request rate rises; without it
+	// only the rate over several seconds counts.
 	RisingCopies Mechanism = "RisingCopies"
-	// Homes lets each adapter prefer the same few engines.
+	// Homes makes each adapter prefer the same few engines.
 	Homes Mechanism = "Homes"
-	// WarmFirst prefers engines that keep a copy of an adapter's weights.
+	// WarmFirst prefers engines that keep an adapter's weights.
 	WarmFirst Mechanism = "WarmFirst"
-	// LearntStore learns how long a load from the weight store takes and how many it
-	// carries at once.
+	// LearntStore estimates how long a load from the weight store takes, and how many
+	// concurrent loads the store sustains.
 	LearntStore Mechanism = "LearntStore"
-	// LearntHost learns how many copies of weights an engine keeps.
+	// LearntHost estimates how many adapters' weights an engine keeps.
 	LearntHost Mechanism = "LearntHost"
-	// EarlyElections lets members vote soon after a start.
+	// EarlyElections lets members vote soon after they start.
 	EarlyElections Mechanism = "EarlyElections"
 )
 
-// GatewayMechanisms returns the mechanisms of gateways, in order.
+// GatewayMechanisms returns the mechanisms of gateways in alphabetical order.
 func GatewayMechanisms() []Mechanism {
 	return []Mechanism{BudgetMargin, Dispensing, Ejection, FullHolder, Pacing, PriorityOrder, TwoChoices, ZonePenalty}
 }
 
-// ControllerMechanisms returns the mechanisms of controllers, in order.
+// ControllerMechanisms returns the mechanisms of controllers in alphabetical order.
 func ControllerMechanisms() []Mechanism {
 	return []Mechanism{EarlyElections, Homes, LearntHost, LearntStore, RisingCopies, WarmFirst}
 }
 
-// Disabled holds the mechanisms that are switched off. The zero value has none.
-type Disabled struct{ names []Mechanism }
+// Disabled is the set of mechanisms that are switched off. The zero value is the empty set.
+type Disabled struct{ mechanisms []Mechanism }
 
-// Disable returns a set that has these mechanisms switched off.
-func Disable(names ...Mechanism) Disabled { return Disabled{names: names} }
+// Disable returns a set with these mechanisms switched off.
+func Disable(names ...Mechanism) Disabled { return Disabled{mechanisms: names} }
 
 // Has reports whether a mechanism is switched off.
-func (o Disabled) Has(m Mechanism) bool { return slices.Contains(o.names, m) }
+func (o Disabled) Has(m Mechanism) bool { return slices.Contains(o.mechanisms, m) }
 
 // Empty reports whether all mechanisms are on.
-func (o Disabled) Empty() bool { return len(o.names) == 0 }
+func (o Disabled) Empty() bool { return len(o.mechanisms) == 0 }
 
-// String returns the names, in the order in which they were given.
-func (o Disabled) String() string { return join(o.names) }
+// String returns the names in the order in which they were added.
+func (o Disabled) String() string { return joinNames(o.mechanisms) }
 
-func join(names []Mechanism) string {
+func joinNames(names []Mechanism) string {
 	texts := make([]string, 0, len(names))
 	for _, name := range names {
 		texts = append(texts, string(name))
@@ -84,21 +84,21 @@
 	return strings.Join(texts, ", ")
 }
 
-// MeasureOnly is the word without which no mechanism may be switched off, so that no
-// forgotten line of an experiment makes a system in production worse.
+// MeasureOnly must be set as Admit to switch any mechanism off, so that a leftover line of an
+// experiment can't degrade a production system.
 const MeasureOnly = "MeasureOnly"
 
-// Settings are a program's settings of an experiment.
+// Settings are the experiment settings of a program.
 type Settings struct {
 	Off   []string `help:"Mechanisms that are switched off, to measure what each is worth (DECISIONS.md). Empty in production."`
 	Admit string   `help:"Must be MeasureOnly where anything is switched off."`
 }
 
-// Problem is what is wrong with one key of the settings.
+// Problem describes an invalid value of one settings key.
 type Problem struct{ Key, Text string }
 
-// Parse returns what is switched off, and all problems of the settings. Known are the
-// mechanisms that the program has.
+// Parse returns the mechanisms that are switched off, and all problems of the settings. Known
+// are the mechanisms that the program supports.
 func (s Settings) Parse(known []Mechanism) (Disabled, []Problem) {
 	var off Disabled
 	var problems []Problem
@@ -106,11 +106,11 @@
 		m := Mechanism(text)
 		switch {
 		case !slices.Contains(known, m):
-			problems = append(problems, Problem{"Off", fmt.Sprintf("%q can't be switched off; it may be %s", text, join(known))})
+			problems = append(problems, Problem{"Off", fmt.Sprintf("%q can't be switched off; it may be %s", text, joinNames(known))})
 		case off.Has(m):
 			problems = append(problems, Problem{"Off", fmt.Sprintf("%q stands twice", text)})
 		default:
-			off.names = append(off.names, m)
+			off.mechanisms = append(off.mechanisms, m)
 		}
 	}
 	if len(s.Off) > 0 && s.Admit != MeasureOnly {
--- a/pkg/ablator/ablator_test.go
+++ b/pkg/ablator/ablator_test.go
@@ -12,16 +12,16 @@
 		off      string
 		keys     []string
 	}{
-		"nothing is off":            {Settings{}, "", nil},
-		"one is off":                {Settings{Off: []string{"Homes"}, Admit: MeasureOnly}, "Homes", nil},
-		"two are off":               {Settings{Off: []string{"Homes", "WarmFirst"}, Admit: MeasureOnly}, "Homes, WarmFirst", nil},
-		"the word is missing":       {Settings{Off: []string{"Homes"}}, "Homes", []string{"Admit"}},
-		"another word":              {Settings{Off: []string{"Homes"}, Admit: "yes"}, "Homes", []string{"Admit"}},
-		"unknown":                   {Settings{Off: []string{"Home"}, Admit: MeasureOnly}, "", []string{"Off"}},
-		"another program's":         {Settings{Off: []string{"Pacing"}, Admit: MeasureOnly}, "", []string{"Off"}},
-		"twice":                     {Settings{Off: []string{"Homes", "Homes"}, Admit: MeasureOnly}, "Homes", []string{"Off"}},
-		"all faults are told":       {Settings{Off: []string{"x", "y"}}, "", []string{"Off", "Off", "Admit"}},
-		"the word alone is no harm": {Settings{Admit: MeasureOnly}, "", nil},
+		"nothing is off":                 {Settings{}, "", nil},
+		"one is off":                     {Settings{Off: []string{"Homes"}, Admit: MeasureOnly}, "Homes", nil},
+		"two are off":                    {Settings{Off: []string{"Homes", "WarmFirst"}, Admit: MeasureOnly}, "Homes, WarmFirst", nil},
+		"Admit is missing":               {Settings{Off: []string{"Homes"}}, "Homes", []string{"Admit"}},
+		"Admit is wrong":                 {Settings{Off: []string{"Homes"}, Admit: "yes"}, "Homes", []string{"Admit"}},
+		"unknown":                        {Settings{Off: []string{"Home"}, Admit: MeasureOnly}, "", []string{"Off"}},
+		"a mechanism of another program": {Settings{Off: []string{"Pacing"}, Admit: MeasureOnly}, "", []string{"Off"}},
+		"twice":                          {Settings{Off: []string{"Homes", "Homes"}, Admit: MeasureOnly}, "Homes", []string{"Off"}},
+		"all faults are reported":        {Settings{Off: []string{"x", "y"}}, "", []string{"Off", "Off", "Admit"}},
+		"Admit alone is allowed":         {Settings{Admit: MeasureOnly}, "", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestWithoutSwitchesOffOnlyWhatIsNamed(t *testing.T) {
+func TestDisableSwitchesOffOnlyWhatIsNamed(t *testing.T) {
 	c := qt.New(t)
 	off := Disable(Ejection)
 	c.Check(off.Has(Ejection), qt.IsTrue)
