--- a/pkg/configurer/configurer.go
+++ b/pkg/configurer/configurer.go
@@ -1,10 +1,9 @@
 // Package configurer reads a program's settings from an INI file into one struct.
 //
-// The struct has a field for each section, itself a struct with a field for each
-// key. Field names are the names in the file. Values in the struct before the call
-// are the defaults. Tags: help says what a key means, required demands a value,
-// and allowed names the values that a string may have. Every fault of a file is
-// reported, not only the first.
+// The struct has one field per section, itself a struct with one field per key. Field names are
+// the names in the file, and values set before the call are the defaults. Tags: help describes
+// a key, required demands a value, and allowed lists the values that a string may have. All
+// faults of a file are reported, not only the first.
 package configurer
 
 import (
@@ -18,16 +17,16 @@
 	"gopkg.in/ini.v1"
 )
 
-// Fault is one thing that is wrong with a settings file.
+// Fault describes one error in a settings file.
 type Fault struct {
 	File    string
 	Section string
 	Key     string
-	// Problem says what is wrong and what is allowed.
+	// Problem says what is wrong and which values are allowed.
 	Problem string
 }
 
-// String returns the fault as one line.
+// String formats the fault as one line.
 func (f Fault) String() string {
 	switch {
 	case f.Section == "":
@@ -38,14 +37,14 @@
 	return fmt.Sprintf("%s: [%s] %s: %s", f.File, f.Section, f.Key, f.Problem)
 }
 
-// Read fills settings, a pointer to a struct of sections, from a file.
+// Read fills settings, a pointer to a struct of sections, from a file and returns all faults.
 func Read(file string, settings any) []Fault {
 	parsed, err := ini.LoadSources(ini.LoadOptions{SkipUnrecognizableLines: false, KeyValueDelimiters: "="}, file)
 	if err != nil {
 		return []Fault{{File: file, Problem: "can't be read: " + err.Error()}}
 	}
 	r := &reader{file: file, ini: parsed, root: reflect.ValueOf(settings).Elem()}
-	r.unknown()
+	r.reportUnknown()
 	r.fill()
 	return r.faults
 }
@@ -57,29 +56,29 @@
 	faults []Fault
 }
 
-func (r *reader) fault(section, key, format string, args ...any) {
+func (r *reader) addFault(section, key, format string, args ...any) {
 	r.faults = append(r.faults, Fault{
 		File: r.file, Section: section, Key: key, Problem: fmt.Sprintf(format, args...),
 	})
 }
 
-// unknown reports sections and keys that the struct doesn't have.
-func (r *reader) unknown() {
+// reportUnknown reports sections and keys that the struct doesn't have.
+func (r *reader) reportUnknown() {
 	for _, section := range r.ini.Sections() {
 		if section.Name() == ini.DefaultSection {
 			for _, key := range section.Keys() {
-				r.fault("", "", "key %s stands before the first section", key.Name())
+				r.addFault("", "", "key %s stands before the first section", key.Name())
 			}
 			continue
 		}
 		field, ok := r.root.Type().FieldByName(section.Name())
 		if !ok {
-			r.fault(section.Name(), "", "unknown section; known are %s", strings.Join(names(r.root.Type()), ", "))
+			r.addFault(section.Name(), "", "unknown section; known are %s", strings.Join(fieldNames(r.root.Type()), ", "))
 			continue
 		}
 		for _, key := range section.Keys() {
 			if _, ok := field.Type.FieldByName(key.Name()); !ok {
-				r.fault(section.Name(), key.Name(), "unknown key; known are %s", strings.Join(names(field.Type), ", "))
+				r.addFault(section.Name(), key.Name(), "unknown key; known are %s", strings.Join(fieldNames(field.Type), ", "))
 			}
 		}
 	}
@@ -100,18 +99,18 @@
 		text = strings.TrimSpace(r.ini.Section(section).Key(field.Name).String())
 	}
 	if text != "" {
-		if err := set(value, text); err != "" {
-			r.fault(section, field.Name, "%q is not allowed; %s", text, err)
+		if err := setValue(value, text); err != "" {
+			r.addFault(section, field.Name, "%q is not allowed; %s", text, err)
 			return
 		}
 	}
 	if field.Tag.Get("required") != "" && value.IsZero() {
-		r.fault(section, field.Name, "a value is required: %s", field.Tag.Get("help"))
+		r.addFault(section, field.Name, "a value is required: %s", field.Tag.Get("help"))
 		return
 	}
 	allowed := field.Tag.Get("allowed")
 	if allowed != "" && !contains(strings.Split(allowed, ","), value.String()) {
-		r.fault(section, field.Name, "%q is not allowed; it may be %s", value.String(), allowed)
+		r.addFault(section, field.Name, "%q is not allowed; it may be %s", value.String(), allowed)
 	}
 }
 
@@ -124,8 +123,9 @@
 	return false
 }
 
-// set parses text into value and returns what would have been allowed, or "".
-func set(value reflect.Value, text string) string {
+// setValue parses text into value. It returns a description of valid values if text is invalid,
+// otherwise "".
+func setValue(value reflect.Value, text string) string {
 	switch value.Interface().(type) {
 	case time.Duration:
 		d, err := time.ParseDuration(text)
@@ -135,7 +135,7 @@
 		value.SetInt(int64(d))
 		return ""
 	case []string:
-		value.Set(reflect.ValueOf(list(text)))
+		value.Set(reflect.ValueOf(splitList(text)))
 		return ""
 	}
 	switch value.Kind() {
@@ -170,7 +170,7 @@
 	return ""
 }
 
-func list(text string) []string {
+func splitList(text string) []string {
 	var items []string
 	for _, item := range strings.Split(text, ",") {
 		if item = strings.TrimSpace(item); item != "" {
@@ -180,7 +180,7 @@
 	return items
 }
 
-func names(t reflect.Type) []string {
+func fieldNames(t reflect.Type) []string {
 	all := make([]string, t.NumField())
 	for i := range all {
 		all[i] = t.Field(i).Name
@@ -188,7 +188,7 @@
 	return all
 }
 
-// Describe returns a table of all settings in Markdown, with their defaults.
+// Describe returns a Markdown table of all settings with their defaults.
 func Describe(settings any) string {
 	var b strings.Builder
 	root := reflect.ValueOf(settings).Elem()
@@ -197,7 +197,7 @@
 		fmt.Fprintf(&b, "\n### [%s]\n\n| key | default | meaning |\n| --- | --- | --- |\n", section.Name)
 		for j := range section.Type.NumField() {
 			field := section.Type.Field(j)
-			fmt.Fprintf(&b, "| %s | %s | %s |\n", field.Name, defaultOf(field, root.Field(i).Field(j)), meaning(field))
+			fmt.Fprintf(&b, "| %s | %s | %s |\n", field.Name, defaultOf(field, root.Field(i).Field(j)), helpText(field))
 		}
 	}
 	return b.String()
@@ -213,7 +213,7 @@
 	return fmt.Sprint(value.Interface())
 }
 
-func meaning(field reflect.StructField) string {
+func helpText(field reflect.StructField) string {
 	help := field.Tag.Get("help")
 	if allowed := field.Tag.Get("allowed"); allowed != "" {
 		help += " One of " + strings.ReplaceAll(allowed, ",", ", ") + "."
