--- a/pkg/launcher/launcher.go
+++ b/pkg/launcher/launcher.go
@@ -1,5 +1,5 @@
-// Package launcher parses a program's command line and gives all programs the same
-// exit codes.
+// Package launcher parses a program's command line and defines the exit codes that all programs
+// share.
 package launcher
 
 import (
@@ -15,11 +15,11 @@
 const (
 	ExitOK     = 0
 	ExitFailed = 1
-	// ExitUsage is for wrong arguments and settings.
+	// ExitUsage reports invalid arguments or settings.
 	ExitUsage = 2
 )
 
-// Program is a command line. Set the exported fields, then call Parse.
+// Program is the command-line interface of a program. Set the exported fields, then call Parse.
 type Program struct {
 	Name        string
 	Description string
@@ -27,12 +27,12 @@
 	CommandLine any
 	Stdout      io.Writer
 	Stderr      io.Writer
-	// Options are added to the parser's.
+	// Options are passed to the kong parser in addition.
 	Options []kong.Option
 }
 
-// Parse parses arguments. Without a context the program is to end with the code: help
-// was shown, or a fault was reported.
+// Parse parses the arguments. If the context is nil, the program must exit with the code: help
+// was shown or an error was reported.
 func (p *Program) Parse(args []string) (parsed *kong.Context, code int) {
 	exited := -1
 	options := append([]kong.Option{
@@ -55,7 +55,7 @@
 	return parsed, ExitOK
 }
 
-// ReportFaults shows the faults of settings, a line each, and returns the exit code for them.
+// ReportFaults prints the faults of the settings, one per line, and returns their exit code.
 func ReportFaults(faults []configurer.Fault, stderr io.Writer) int {
 	for _, fault := range faults {
 		_, _ = fmt.Fprintln(stderr, fault)
@@ -63,8 +63,8 @@
 	return ExitUsage
 }
 
-// CheckSettings shows the faults of a settings file, or that it has none, and returns the
-// exit code.
+// CheckSettings prints the faults of a settings file, or that it has none, and returns the exit
+// code.
 func CheckSettings(file string, faults []configurer.Fault, stdout, stderr io.Writer) int {
 	if len(faults) > 0 {
 		return ReportFaults(faults, stderr)
