--- a/pkg/logger/logger.go
+++ b/pkg/logger/logger.go
@@ -1,5 +1,5 @@
-// Package logger makes a program's structured log: JSON lines that carry the
-// instance and its availability zone. Keys and prompts are never logged.
+// Package logger creates a program's structured log: JSON lines that name the instance and its
+// availability zone. Keys and prompts must never be logged.
 package logger
 
 import (
@@ -7,7 +7,7 @@
 	"log/slog"
 )
 
-// New returns a log that writes JSON lines to w.
+// New returns a logger that writes JSON lines to w.
 func New(w io.Writer, level slog.Level, program, instance, zone string) *slog.Logger {
 	handler := slog.NewJSONHandler(w, &slog.HandlerOptions{Level: level})
 	return slog.New(handler).With("Program", program, "Instance", instance, "Zone", zone)
--- a/pkg/logger/ring.go
+++ b/pkg/logger/ring.go
@@ -7,23 +7,23 @@
 	"sync/atomic"
 )
 
-// ringSize bounds the lines that wait to be written: at a kilobyte each, half a megabyte.
-const ringSize = 512
+// maxQueuedLines bounds the queue of unwritten lines: at 1 KB per line, half a megabyte.
+const maxQueuedLines = 512
 
-// AsyncWriter passes lines on to a writer without ever holding up who writes them: when too
-// many wait, lines are dropped and counted. Make one with NewRing, then call Run.
+// AsyncWriter writes lines to another writer without blocking its callers: when the queue is
+// full, lines are dropped and counted. Create one with NewAsyncWriter, then call Run.
 type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 	out     io.Writer
 }
 
-// NewAsyncWriter returns a ring before a writer.
+// NewAsyncWriter returns an AsyncWriter that writes to out.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	return &AsyncWriter{lines: make(chan []byte, ringSize), out: out}
+	return &AsyncWriter{lines: make(chan []byte, maxQueuedLines), out: out}
 }
 
-// Write takes one line.
+// Write queues one line, or drops it if the queue is full.
 func (r *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case r.lines <- append([]byte(nil), line...):
@@ -33,12 +33,12 @@
 	return len(line), nil
 }
 
-// Run writes lines until ctx ends, and then those that still wait.
+// Run writes queued lines until ctx ends, and then flushes the queue.
 func (r *AsyncWriter) Run(ctx context.Context) {
 	for {
 		select {
 		case line := <-r.lines:
-			r.put(line)
+			r.writeLine(line)
 		case <-ctx.Done():
 			r.Flush()
 			return
@@ -46,20 +46,20 @@
 	}
 }
 
-// Flush writes the lines that wait.
+// Flush writes all queued lines.
 func (r *AsyncWriter) Flush() {
 	for {
 		select {
 		case line := <-r.lines:
-			r.put(line)
+			r.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-func (r *AsyncWriter) put(line []byte) {
-	// A log that can't be written has nowhere to say so.
+func (r *AsyncWriter) writeLine(line []byte) {
+	// There is nowhere to report that the log can't be written.
 	_, _ = r.out.Write(line)
 	if n := r.dropped.Swap(0); n > 0 {
 		_, _ = fmt.Fprintf(r.out, "{\"level\":\"WARN\",\"msg\":\"log lines were dropped\",\"Lines\":%d}\n", n)
