--- a/pkg/meter/meter.go
+++ b/pkg/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts and times what the system does, with tally. Histograms are
-// kept for each customer and class; their number is bounded.
+// Package meter records counters and timings with tally. There is a set of histograms for each
+// customer and class; their number is bounded.
 package meter
 
 import (
@@ -13,13 +13,13 @@
 )
 
 const (
-	// Customers and classes beyond this many share one series.
-	maxSeries    = 500
-	otherSeries  = "Other"
-	reportEvery  = time.Second
-	smallest     = 100 * time.Microsecond
-	bucketFactor = 2
-	bucketCount  = 22
+	// Customers and classes beyond this number share one series.
+	maxSeries      = 500
+	otherSeries    = "Other"
+	reportInterval = time.Second
+	smallestBucket = 100 * time.Microsecond
+	bucketFactor   = 2
+	bucketCount    = 22
 )
 
 // Meter holds a program's metrics. Make one with New.
@@ -27,14 +27,14 @@
 	scope    tally.Scope
 	reporter tallyprom.Reporter
 
-	mu     sync.Mutex
-	series map[seriesKey]*Series
-	kinds  map[string]tally.Counter
+	mu       sync.Mutex
+	series   map[seriesKey]*Series
+	counters map[string]tally.Counter
 }
 
 type seriesKey struct{ customer, class string }
 
-// Series are the histograms of one customer and class.
+// Series holds the histograms of one customer and class.
 type Series struct {
 	QueueWait     tally.Histogram
 	LoadStall     tally.Histogram
@@ -43,10 +43,10 @@
 	Duration      tally.Histogram
 }
 
-// New returns a meter whose metrics carry the program and where it runs.
+// New returns a meter whose metrics are tagged with the program, instance and zone.
 func New(program, instance, zone string) *Meter {
-	// A registry of its own, so that two meters in a process don't meet; and a metric
-	// that can't be registered is left out instead of ending what was being measured.
+	// A separate registry keeps two meters in one process from colliding. A metric that can't
+	// be registered is dropped instead of aborting the measured operation.
 	registry := prometheus.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{
 		Registerer: registry, Gatherer: registry, OnRegisterError: func(error) {},
@@ -57,11 +57,11 @@
 		CachedReporter:         reporter,
 		Separator:              tallyprom.DefaultSeparator,
 		OmitCardinalityMetrics: true,
-	}, reportEvery)
-	return &Meter{scope: scope, reporter: reporter, series: map[seriesKey]*Series{}, kinds: map[string]tally.Counter{}}
+	}, reportInterval)
+	return &Meter{scope: scope, reporter: reporter, series: map[seriesKey]*Series{}, counters: map[string]tally.Counter{}}
 }
 
-// Handler serves the metrics as text.
+// Handler serves the metrics in text format.
 func (m *Meter) Handler() http.Handler { return m.reporter.HTTPHandler() }
 
 // SeriesFor returns the series of a customer and class.
@@ -85,7 +85,7 @@
 
 func (m *Meter) newSeries(key seriesKey) *Series {
 	scope := m.scope.Tagged(map[string]string{"customer": key.customer, "class": key.class})
-	buckets := tally.MustMakeExponentialDurationBuckets(smallest, bucketFactor, bucketCount)
+	buckets := tally.MustMakeExponentialDurationBuckets(smallestBucket, bucketFactor, bucketCount)
 	return &Series{
 		QueueWait:     scope.Histogram("queue_wait", buckets),
 		LoadStall:     scope.Histogram("load_stall", buckets),
@@ -95,7 +95,7 @@
 	}
 }
 
-// RecordRequest counts an answered or refused request.
+// RecordRequest counts an answered or refused request and records its duration.
 func (m *Meter) RecordRequest(customer, class, kind string, took time.Duration) {
 	m.SeriesFor(customer, class).Duration.RecordDuration(took)
 	m.Increment("requests", "kind", kind)
@@ -106,27 +106,27 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	key := name + "/" + value
-	c := m.kinds[key]
+	c := m.counters[key]
 	if c == nil {
-		if len(m.kinds) >= maxSeries {
+		if len(m.counters) >= maxSeries {
 			return
 		}
 		c = m.scope.Tagged(map[string]string{tag: value}).Counter(name)
-		m.kinds[key] = c
+		m.counters[key] = c
 	}
 	c.Inc(1)
 }
 
-// SetGauge records a number that rises and falls.
+// SetGauge sets the current value of a gauge.
 func (m *Meter) SetGauge(name string, value float64) { m.scope.Gauge(name).Update(value) }
 
-// RecordBatchFill records how full an engine's steps run, as a part of its batch.
+// RecordBatchFill records the fill of an engine's steps as a fraction of its batch size.
 func (m *Meter) RecordBatchFill(part float64) {
 	m.scope.Histogram("batch_fill", tally.MustMakeLinearValueBuckets(0, 0.1, 11)).RecordValue(part)
 }
 
-// RecordDuration records how long something of the system itself took.
+// RecordDuration records the duration of an internal operation.
 func (m *Meter) RecordDuration(what string, d time.Duration) {
-	buckets := tally.MustMakeExponentialDurationBuckets(smallest, bucketFactor, bucketCount)
+	buckets := tally.MustMakeExponentialDurationBuckets(smallestBucket, bucketFactor, bucketCount)
 	m.scope.Histogram(what, buckets).RecordDuration(d)
 }
