--- a/pkg/settingstester/settingstester.go
+++ b/pkg/settingstester/settingstester.go
@@ -1,5 +1,5 @@
-// Package settingstester holds what the programs' tests of their settings share. Only
-// tests import it.
+// Package settingstester contains helpers for the settings tests of the programs. Only tests
+// import it.
 package settingstester
 
 import (
@@ -14,13 +14,13 @@
 )
 
 const (
-	pagePerm = 0o600
-	// sample stands for each placeholder of a template that a test has no value for.
-	sample = "7000"
+	filePerm = 0o600
+	// placeholderValue replaces each template placeholder that a test has no value for.
+	placeholderValue = "7000"
 )
 
-// CheckPage checks that a page holds the description of settings under a title, which ends
-// with a line break; with update set it writes the page's part anew.
+// CheckPage checks that a page contains the settings description below a title, which ends with
+// a line break. If update is set, it rewrites that part of the page instead.
 func CheckPage(c *qt.C, page, title, description string, update bool) {
 	want := title + description
 	text, err := os.ReadFile(page)
@@ -34,25 +34,25 @@
 	if more {
 		rest = "\n## " + rest
 	}
-	c.Assert(os.WriteFile(page, []byte(before+want+rest), pagePerm), qt.IsNil)
+	c.Assert(os.WriteFile(page, []byte(before+want+rest), filePerm), qt.IsNil)
 }
 
-// CheckTemplate fills a template in and checks that reading the result finds no fault.
+// CheckTemplate renders a template and checks that reading the result reports no faults.
 func CheckTemplate(c *qt.C, template string, values map[string]string, read func(file string) []configurer.Fault) {
 	text, err := os.ReadFile(template)
 	c.Assert(err, qt.IsNil)
-	// A section is taken as present.
+	// Sections are rendered as if they were present.
 	sections := regexp.MustCompile(`{{[#/](.*?)}}`).ReplaceAllString(string(text), "")
 	rendered := regexp.MustCompile(`{{(.*?)}}`).ReplaceAllStringFunc(sections, func(placeholder string) string {
 		if value, ok := values[strings.Trim(placeholder, "{}")]; ok {
 			return value
 		}
-		return sample
+		return placeholderValue
 	})
 	c.Assert(read(WriteFile(c, rendered)), qt.HasLen, 0)
 }
 
-// CheckFaults checks that reading settings finds at least the wanted faults.
+// CheckFaults checks that reading the settings reports at least the wanted faults.
 func CheckFaults(c *qt.C, text string, wants []string, read func(file string) []configurer.Fault) {
 	all := ""
 	for _, fault := range read(WriteFile(c, text)) {
@@ -63,9 +63,9 @@
 	}
 }
 
-// WriteFile writes settings to a file of the test's own.
+// WriteFile writes settings to a temporary file of the test.
 func WriteFile(c *qt.C, text string) string {
 	file := filepath.Join(c.TempDir(), "settings.ini")
-	c.Assert(os.WriteFile(file, []byte(text), pagePerm), qt.IsNil)
+	c.Assert(os.WriteFile(file, []byte(text), filePerm), qt.IsNil)
 	return file
 }
