--- a/standin/acknowledger/acknowledger.go
+++ b/standin/acknowledger/acknowledger.go
@@ -1,5 +1,5 @@
-// Package acknowledger is a stand-in for a plain service: it takes orders and
-// readings, stores each request that it runs, and acknowledges it.
+// Package acknowledger simulates a plain service: it accepts requests, records each request
+// that it runs, and acknowledges it.
 package acknowledger
 
 import (
@@ -12,15 +12,15 @@
 	"bronzelead.example/pkg/translator"
 )
 
-// Fault is what the service is told to do wrong.
+// Fault lists the faults to inject.
 type Fault struct {
-	// Delay is added before each acknowledgement, in milliseconds.
+	// DelayMs is added before each acknowledgement.
 	DelayMs int
-	// DropAnswers cuts this many answers after the request ran.
+	// DropAnswers truncates this many responses after the request ran.
 	DropAnswers int
 }
 
-// Run is one request that ran.
+// Run records one request that ran.
 type Run struct {
 	RequestID string
 	Method    string
@@ -28,7 +28,7 @@
 	Body      string
 }
 
-// Acknowledger runs requests. Set Name before use.
+// Acknowledger simulates a service. Set Name before use.
 type Acknowledger struct {
 	Name string
 
@@ -37,7 +37,7 @@
 	runs  []Run
 }
 
-// Handler serves all paths; /control/fault and /control/log are for tests.
+// Handler serves all paths; /control/fault and /control/log are reserved for tests.
 func (a *Acknowledger) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /control/fault", a.setFault)
@@ -52,10 +52,10 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	delay, drop, number := a.run(r, string(body))
+	delay, drop, number := a.recordRun(r, string(body))
 	time.Sleep(delay)
 	if drop {
-		// Cut the answer: the request ran, but nobody hears of it.
+		// Truncate the response: the request ran, but the client receives no complete answer.
 		w.Header().Set("Content-Length", "1000")
 		_, _ = w.Write([]byte("cut"))
 		return
@@ -66,7 +66,7 @@
 	_, _ = w.Write(answer)
 }
 
-func (a *Acknowledger) run(r *http.Request, body string) (time.Duration, bool, int) {
+func (a *Acknowledger) recordRun(r *http.Request, body string) (time.Duration, bool, int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.runs = append(a.runs, Run{
--- a/standin/announcer/announcer.go
+++ b/standin/announcer/announcer.go
@@ -1,4 +1,4 @@
-// Package announcer lets a stand-in backend server announce itself to gateways.
+// Package announcer announces a stand-in backend server to gateways.
 package announcer
 
 import (
@@ -13,23 +13,23 @@
 	"bronzelead.example/pkg/translator"
 )
 
-const timeout = 500 * time.Millisecond
+const callTimeout = 500 * time.Millisecond
 
-// Announcer announces one server. Set the exported fields, then call Run.
+// Announcer announces one backend server. Set the exported fields, then call Run.
 type Announcer struct {
-	// Gateways are asked in turn, as a balancer would.
+	// Gateways are called in turn, as a load balancer would.
 	Gateways []string
 	Key      string
 	Interval time.Duration
-	// Current returns what to announce.
+	// Current returns the announcement to send.
 	Current func() translator.Announcement
 
 	next int
 }
 
-// Run announces until ctx ends, and then once more that the server is leaving.
+// Run announces the server until ctx ends, and then once more, as leaving if Current says so.
 func (a *Announcer) Run(ctx context.Context) {
-	client := &connector.Client{Timeout: timeout, Key: a.Key, Transport: connector.NewTransport(nil)}
+	client := &connector.Client{Timeout: callTimeout, Key: a.Key, Transport: connector.NewTransport(nil)}
 	ticker := time.NewTicker(a.Interval)
 	defer ticker.Stop()
 	for {
@@ -43,7 +43,7 @@
 	}
 }
 
-// announce tells the next gateway that takes it.
+// announce sends the announcement to the next gateway that accepts it.
 func (a *Announcer) announce(client *connector.Client) {
 	body, err := json.Marshal(a.Current())
 	if err != nil {
--- a/standin/app/main.go
+++ b/standin/app/main.go
@@ -1,4 +1,4 @@
-// Package app runs one stand-in.
+// Package app is the command line of the stand-ins.
 package app
 
 import (
@@ -29,11 +29,11 @@
 )
 
 const (
-	stopWithin    = 30 * time.Second
+	stopTimeout   = 30 * time.Second
 	weightTimeout = 20 * time.Second
 )
 
-type place struct {
+type backendOptions struct {
 	Name     string        `required:"" help:"Name of the instance."`
 	Zone     string        `required:"" help:"Availability zone."`
 	Listen   string        `required:"" help:"IP number and port."`
@@ -46,17 +46,17 @@
 
 type commandLine struct {
 	Engine struct {
-		Place         place         `embed:""`
-		BaseModel     string        `default:"base" help:"Base model."`
-		Slots         int           `default:"4" help:"Adapters that fit."`
-		Batch         int           `default:"16" help:"Requests in one step."`
-		Step          time.Duration `default:"5ms" help:"Time of one step."`
-		IgnoreFencing bool          `help:"Take orders with old fencing numbers."`
-		EndOn         string        `help:"Text in a request's body under which the process ends."`
+		Place         backendOptions `embed:""`
+		BaseModel     string         `default:"base" help:"Base model."`
+		Slots         int            `default:"4" help:"Adapters that fit."`
+		Batch         int            `default:"16" help:"Requests in one step."`
+		Step          time.Duration  `default:"5ms" help:"Time of one step."`
+		IgnoreFencing bool           `help:"Take orders with old fencing numbers."`
+		EndOn         string         `help:"Text in a request's body under which the process ends."`
 	} `cmd:"" help:"Play a model engine."`
 	Service struct {
-		Place   place  `embed:""`
-		Service string `required:"" help:"Name of the service."`
+		Place   backendOptions `embed:""`
+		Service string         `required:"" help:"Name of the service."`
 	} `cmd:"" help:"Play a plain service."`
 	Store struct {
 		Listen    string        `required:"" help:"IP number and port."`
@@ -103,16 +103,16 @@
 	client := &connector.Client{Timeout: weightTimeout, Transport: connector.NewTransport(nil)}
 	g := &generator.Generator{
 		BaseModel: e.BaseModel, Slots: e.Slots, Batch: e.Batch, StepDuration: e.Step,
-		ChecksFencing: !e.IgnoreFencing, Weights: func(path string) error { return fetch(client, path) },
+		ChecksFencing: !e.IgnoreFencing, Weights: func(path string) error { return fetchWeights(client, path) },
 		ExitText: e.EndOn, Exit: func() { os.Exit(launcher.ExitFailed) },
 	}
 	g.Init(rand.Text())
 	go g.Run(make(chan struct{}))
-	return announced(ctx, log, e.Place, g.Handler(), g.Announcement)
+	return serveBackend(ctx, log, e.Place, g.Handler(), g.Announcement)
 }
 
-// fetch loads weights from the store.
-func fetch(client *connector.Client, path string) error {
+// fetchWeights downloads an adapter's weights from the store.
+func fetchWeights(client *connector.Client, path string) error {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodGet, path, nil)
 	if err != nil {
 		return errors.Wrap(err, "app")
@@ -129,14 +129,14 @@
 func (c *commandLine) service(ctx context.Context, log *slog.Logger) error {
 	a := &acknowledger.Acknowledger{Name: c.Service.Service}
 	incarnation := rand.Text()
-	return announced(ctx, log, c.Service.Place, a.Handler(), func() translator.Announcement {
+	return serveBackend(ctx, log, c.Service.Place, a.Handler(), func() translator.Announcement {
 		return translator.Announcement{Kind: translator.KindService, Incarnation: incarnation, Service: c.Service.Service}
 	})
 }
 
-// announced serves a backend server that announces itself, and that leaves before
-// it stops.
-func announced(ctx context.Context, log *slog.Logger, p place, handler http.Handler, now func() translator.Announcement) error {
+// serveBackend serves a backend server and announces it. After ctx ends, it announces that the
+// server is leaving, and stops after p.Leave.
+func serveBackend(ctx context.Context, log *slog.Logger, p backendOptions, handler http.Handler, now func() translator.Announcement) error {
 	key, err := authenticator.ReadKey(p.KeyFile)
 	if err != nil {
 		return errors.Wrap(err, "app")
@@ -147,10 +147,10 @@
 	}
 	var leaving atomic.Bool
 	a := &announcer.Announcer{Gateways: p.Gateways, Key: key, Interval: p.Every, Current: func() translator.Announcement {
-		said := now()
-		said.Name, said.Zone, said.Address = p.Name, p.Zone, address
-		said.Leaving = leaving.Load()
-		return said
+		announcement := now()
+		announcement.Name, announcement.Zone, announcement.Address = p.Name, p.Zone, address
+		announcement.Leaving = leaving.Load()
+		return announcement
 	}}
 	serving, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -169,7 +169,7 @@
 		return errors.Wrap(err, "app")
 	}
 	<-ctx.Done()
-	limited, cancel := context.WithTimeout(context.Background(), stopWithin)
+	limited, cancel := context.WithTimeout(context.Background(), stopTimeout)
 	defer cancel()
 	return errors.Wrap(s.Stop(limited), "app")
 }
--- a/standin/generator/generator.go
+++ b/standin/generator/generator.go
@@ -1,5 +1,5 @@
-// Package generator is a stand-in for a model engine. It batches in steps, has few
-// adapter slots, resumes and cancels by request id, and can be told to fail.
+// Package generator simulates a model engine. It batches requests in steps, has few adapter
+// slots, resumes and cancels requests by id, and injects faults on request.
 package generator
 
 import (
@@ -15,28 +15,28 @@
 const (
 	defaultTokens = 8
 	maxTokens     = 4096
-	keepRequests  = 20_000
-	// A request that nobody reads is cancelled after this.
-	unreadFor = 5 * time.Second
+	maxRequests   = 20_000
+	// A queued request without readers is cancelled after this time.
+	unreadTimeout = 5 * time.Second
 )
 
-// Fault is what the engine is told to do wrong.
+// Fault lists the faults to inject.
 type Fault struct {
-	// FailLoads fails this many loads.
+	// FailLoads makes this many loads fail.
 	FailLoads int
-	// FreezeMs stops all steps and answers for a while.
+	// FreezeMs suspends all steps and responses for this time.
 	FreezeMs int
-	// Restart empties the engine and gives it a new incarnation.
+	// Restart clears the engine's state and gives it a new incarnation.
 	Restart bool
 	// DelayMs is added to each step.
 	DelayMs int
-	// Cross answers this many requests with another's id.
+	// Cross answers this many requests with the id of another request.
 	Cross int
-	// Truncate cuts this many answers in the middle.
+	// Truncate cuts this many responses off in the middle.
 	Truncate int
-	// Lose forgets this many arriving requests after their connection was cut.
+	// Lose discards this many incoming requests and breaks their connections.
 	Lose int
-	// IgnoreFencing takes orders with old fencing numbers.
+	// IgnoreFencing accepts orders with outdated fencing numbers.
 	IgnoreFencing bool
 }
 
@@ -49,18 +49,18 @@
 	Fencing   string `json:",omitempty"`
 }
 
-// What an Entry tells.
+// Values of Entry.What.
 const (
 	Ran      = "Ran"
 	Finished = "Finished"
 	Loaded   = "Loaded"
 	Unloaded = "Unloaded"
-	// UnloadedInUse is what must never happen.
+	// UnloadedInUse marks a violation: an adapter was unloaded while requests needed it.
 	UnloadedInUse = "UnloadedInUse"
 	Cancelled     = "Cancelled"
 )
 
-// Generator is one engine. Set the exported fields, call Init, then Run.
+// Generator simulates one engine. Set the exported fields, call Init, then Run.
 type Generator struct {
 	BaseModel     string
 	Slots         int
@@ -69,7 +69,7 @@
 	ChecksFencing bool
 	// Weights fetches an adapter's weights.
 	Weights func(path string) error
-	// ExitText is a text in a request's body under which the engine ends, by End; "" is none.
+	// ExitText in a request's body makes the engine call Exit; "" disables this.
 	ExitText string
 	Exit     func()
 
@@ -79,7 +79,7 @@
 	loaded      map[string]bool
 	loading     map[string]bool
 	requests    map[string]*request
-	order       []string
+	requestIDs  []string
 	queue       []*request
 	fault       Fault
 	frozenUntil time.Time
@@ -89,27 +89,27 @@
 	filled      int
 }
 
-// request is one request at the engine.
+// request is one request that the engine knows.
 type request struct {
-	id       string
-	answerID string
-	model    string
-	chat     bool
-	stream   bool
-	priority int
-	tokens   int
-	events   []string
-	done     bool
-	// tombstone is set when the request was cancelled; it never runs again.
+	id         string
+	responseID string
+	model      string
+	chat       bool
+	stream     bool
+	priority   int
+	tokens     int
+	events     []string
+	done       bool
+	// tombstone is set if the request was cancelled; it never runs again.
 	tombstone bool
 	ran       bool
 	readers   int
 	unreadAt  time.Time
-	cross     bool
+	wrongID   bool
 	truncate  bool
 }
 
-// Init prepares the engine for calls before Run.
+// Init prepares the engine. It must be called before Run.
 func (g *Generator) Init(incarnation string) {
 	g.changed = sync.NewCond(&g.mu)
 	g.incarnation = incarnation
@@ -117,32 +117,32 @@
 	g.requests = map[string]*request{}
 }
 
-// Run makes steps until done is closed.
+// Run executes steps until done is closed.
 func (g *Generator) Run(done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
-		case <-time.After(g.pause()):
+		case <-time.After(g.stepInterval()):
 			g.step(time.Now())
 		}
 	}
 }
 
-func (g *Generator) pause() time.Duration {
+func (g *Generator) stepInterval() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.StepDuration + time.Duration(g.fault.DelayMs)*time.Millisecond
 }
 
-// step gives each request of the batch one token.
+// step generates one token for each request of the batch.
 func (g *Generator) step(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if now.Before(g.frozenUntil) {
 		return
 	}
-	g.dropUnread(now)
+	g.cancelUnread(now)
 	if len(g.queue) == 0 {
 		return
 	}
@@ -160,18 +160,18 @@
 func (g *Generator) advance(r *request) {
 	if !r.ran {
 		r.ran = true
-		g.note(Entry{What: Ran, RequestID: r.id, Adapter: r.model})
+		g.appendLog(Entry{What: Ran, RequestID: r.id, Adapter: r.model})
 	}
 	r.events = append(r.events, fmt.Sprintf("%s#%d ", r.model, len(r.events)))
 	if len(r.events) >= r.tokens {
 		r.done = true
-		g.note(Entry{What: Finished, RequestID: r.id, Adapter: r.model})
+		g.appendLog(Entry{What: Finished, RequestID: r.id, Adapter: r.model})
 	}
 }
 
-func (g *Generator) dropUnread(now time.Time) {
+func (g *Generator) cancelUnread(now time.Time) {
 	for _, r := range g.queue {
-		if r.readers == 0 && now.Sub(r.unreadAt) > unreadFor {
+		if r.readers == 0 && now.Sub(r.unreadAt) > unreadTimeout {
 			g.cancel(r)
 		}
 	}
@@ -179,18 +179,18 @@
 
 func (g *Generator) cancel(r *request) {
 	r.tombstone = true
-	g.note(Entry{What: Cancelled, RequestID: r.id, Adapter: r.model})
+	g.appendLog(Entry{What: Cancelled, RequestID: r.id, Adapter: r.model})
 	g.queue = slices.DeleteFunc(g.queue, func(q *request) bool { return q == r })
 	g.changed.Broadcast()
 }
 
-func (g *Generator) note(e Entry) {
+func (g *Generator) appendLog(e Entry) {
 	e.At = time.Now()
 	g.log = append(g.log, e)
 }
 
-// add takes a request in. It returns a status other than 200 when it does not run.
-func (g *Generator) add(r *request) int {
+// submit queues a request. A status other than 200 means that it does not run.
+func (g *Generator) submit(r *request) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
@@ -201,27 +201,27 @@
 	}
 	if g.fault.Cross > 0 {
 		g.fault.Cross--
-		r.cross = true
+		r.wrongID = true
 	}
 	if g.fault.Truncate > 0 {
 		g.fault.Truncate--
 		r.truncate = true
 	}
-	g.remember(r)
+	g.store(r)
 	g.queue = append(g.queue, r)
 	return http.StatusOK
 }
 
-func (g *Generator) remember(r *request) {
+func (g *Generator) store(r *request) {
 	g.requests[r.id] = r
-	g.order = append(g.order, r.id)
-	if len(g.order) > keepRequests {
-		delete(g.requests, g.order[0])
-		g.order = g.order[1:]
+	g.requestIDs = append(g.requestIDs, r.id)
+	if len(g.requestIDs) > maxRequests {
+		delete(g.requests, g.requestIDs[0])
+		g.requestIDs = g.requestIDs[1:]
 	}
 }
 
-// Announcement returns what the engine tells of itself.
+// Announcement returns the engine's current state.
 func (g *Generator) Announcement() translator.Announcement {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/generator/orders.go
+++ b/standin/generator/orders.go
@@ -10,8 +10,9 @@
 	"bronzelead.example/pkg/translator"
 )
 
-// allowed checks an order's fencing number. The caller holds the lock.
-func (g *Generator) allowed(fencing string) bool {
+// checkFencing reports whether an order's fencing number is accepted. The caller holds the
+// lock.
+func (g *Generator) checkFencing(fencing string) bool {
 	if !g.ChecksFencing || g.fault.IgnoreFencing {
 		return true
 	}
@@ -46,7 +47,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
-	case !g.allowed(fencing):
+	case !g.checkFencing(fencing):
 		return http.StatusPreconditionFailed, "the fencing number is old"
 	case g.loaded[name]:
 		return http.StatusBadRequest, "the adapter has " + translator.AlreadyLoaded
@@ -63,7 +64,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.loading[name] {
-		// The engine was restarted in the meantime.
+		// The engine was restarted during the load.
 		return false
 	}
 	delete(g.loading, name)
@@ -75,7 +76,7 @@
 		return false
 	}
 	g.loaded[name] = true
-	g.note(Entry{What: Loaded, Adapter: name, Fencing: fencing})
+	g.appendLog(Entry{What: Loaded, Adapter: name, Fencing: fencing})
 	return true
 }
 
@@ -86,13 +87,13 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	w.WriteHeader(g.drop(order.Name, r.Header.Get(translator.FencingHeader)))
+	w.WriteHeader(g.unloadAdapter(order.Name, r.Header.Get(translator.FencingHeader)))
 }
 
-func (g *Generator) drop(name, fencing string) int {
+func (g *Generator) unloadAdapter(name, fencing string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if !g.allowed(fencing) {
+	if !g.checkFencing(fencing) {
 		return http.StatusPreconditionFailed
 	}
 	if !g.loaded[name] {
@@ -105,7 +106,7 @@
 			what = UnloadedInUse
 		}
 	}
-	g.note(Entry{What: what, Adapter: name, Fencing: fencing})
+	g.appendLog(Entry{What: what, Adapter: name, Fencing: fencing})
 	return http.StatusOK
 }
 
@@ -127,23 +128,23 @@
 	}
 }
 
-// restart empties the engine: adapters, requests and fencing numbers are gone.
+// restart clears adapters, requests and the fencing number, and changes the incarnation.
 func (g *Generator) restart() {
 	for _, r := range g.queue {
 		r.tombstone = true
 	}
 	g.incarnation += "r"
 	g.loaded, g.loading = map[string]bool{}, map[string]bool{}
-	g.requests, g.order, g.queue = map[string]*request{}, nil, nil
+	g.requests, g.requestIDs, g.queue = map[string]*request{}, nil, nil
 	g.fencing = ""
 	g.changed.Broadcast()
 }
 
-// Log is the answer of /control/log.
+// Log is the response of /control/log.
 type Log struct {
 	Entries []Entry
 	Steps   int
-	// Filled is the number of places that were filled in all steps.
+	// Filled is the number of batch positions used, summed over all steps.
 	Filled int
 	Batch  int
 }
--- a/standin/generator/serve.go
+++ b/standin/generator/serve.go
@@ -13,9 +13,9 @@
 	"bronzelead.example/pkg/translator"
 )
 
-const crossedID = "someone-elses"
+const wrongResponseID = "someone-elses"
 
-// Handler serves the engine's protocol and, below /control/, what tests need.
+// Handler serves the engine's protocol and, below /control/, the functions for tests.
 func (g *Generator) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+translator.CompletionsPath, g.complete)
@@ -26,11 +26,11 @@
 	mux.HandleFunc("POST "+translator.UnloadPath, g.unload)
 	mux.HandleFunc("POST /control/fault", g.setFault)
 	mux.HandleFunc("GET /control/log", g.serveLog)
-	return g.freezing(mux)
+	return g.delayWhileFrozen(mux)
 }
 
-// freezing holds all answers back while the engine is frozen.
-func (g *Generator) freezing(next http.Handler) http.Handler {
+// delayWhileFrozen delays all requests but those below /control/ while the engine is frozen.
+func (g *Generator) delayWhileFrozen(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.mu.Lock()
 		wait := time.Until(g.frozenUntil)
@@ -56,31 +56,31 @@
 	b := body{MaxTokens: defaultTokens}
 	data, err := io.ReadAll(r.Body)
 	if err != nil || json.Unmarshal(data, &b) != nil || b.MaxTokens < 1 || b.MaxTokens > maxTokens {
-		refuse(w, http.StatusBadRequest, "the body is not right")
+		reject(w, http.StatusBadRequest, "the body is not right")
 		return
 	}
 	if g.ExitText != "" && bytes.Contains(data, []byte(g.ExitText)) {
 		g.Exit()
 	}
-	if g.loses() {
-		drop(w)
+	if g.takeLoseFault() {
+		breakConnection(w)
 		return
 	}
 	id := r.Header.Get(translator.RequestIDHeader)
 	priority, _ := strconv.Atoi(r.Header.Get(translator.PriorityHeader))
 	req := &request{
-		id: id, answerID: translator.AnswerID(r.URL.Path, id), model: b.Model, tokens: b.MaxTokens,
+		id: id, responseID: translator.AnswerID(r.URL.Path, id), model: b.Model, tokens: b.MaxTokens,
 		chat: r.URL.Path == translator.ChatPath, stream: b.Stream, priority: priority, readers: 1,
 	}
-	if status := g.add(req); status != http.StatusOK {
-		refuse(w, status, "the request does not run here")
+	if status := g.submit(req); status != http.StatusOK {
+		reject(w, status, "the request does not run here")
 		return
 	}
-	g.answer(r.Context(), w, req, 0)
-	g.unread(req)
+	g.respond(r.Context(), w, req, 0)
+	g.removeReader(req)
 }
 
-func (g *Generator) loses() bool {
+func (g *Generator) takeLoseFault() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.fault.Lose == 0 {
@@ -90,25 +90,25 @@
 	return true
 }
 
-func drop(w http.ResponseWriter) {
+func breakConnection(w http.ResponseWriter) {
 	w.Header().Set("Content-Length", "1000")
 	_, _ = w.Write([]byte("cut"))
 }
 
-func refuse(w http.ResponseWriter, status int, text string) {
+func reject(w http.ResponseWriter, status int, text string) {
 	w.Header().Set(translator.RanHeader, translator.RanNo)
 	w.WriteHeader(status)
 	_, _ = w.Write([]byte(text))
 }
 
-func (g *Generator) unread(r *request) {
+func (g *Generator) removeReader(r *request) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	r.readers--
 	r.unreadAt = time.Now()
 }
 
-// resume sends what there is of a request, from an event on, and what follows.
+// resume sends the events of a request that follow a given one, and those to come.
 func (g *Generator) resume(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.Atoi(r.URL.Query().Get("after"))
 	g.mu.Lock()
@@ -116,26 +116,26 @@
 	known := req != nil && !req.tombstone
 	if known {
 		req.readers++
-		req.cross = false
+		req.wrongID = false
 	}
 	g.mu.Unlock()
 	if !known {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	g.answer(r.Context(), w, req, after)
-	g.unread(req)
+	g.respond(r.Context(), w, req, after)
+	g.removeReader(req)
 }
 
-// cancelRequest ends a request. One that has not started, or was never seen, leaves
-// a tombstone: it will not run if it arrives later.
+// cancelRequest cancels a request. One that has not started or is unknown leaves a tombstone,
+// so that it will not run if it arrives later.
 func (g *Generator) cancelRequest(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	g.mu.Lock()
 	req := g.requests[id]
 	if req == nil {
 		req = &request{id: id}
-		g.remember(req)
+		g.store(req)
 	}
 	if !req.done {
 		g.cancel(req)
@@ -149,20 +149,20 @@
 	_, _ = w.Write(answer)
 }
 
-func (g *Generator) answer(ctx context.Context, w http.ResponseWriter, r *request, after int) {
+func (g *Generator) respond(ctx context.Context, w http.ResponseWriter, r *request, after int) {
 	w.Header().Set(translator.RequestIDHeader, r.id)
 	if r.stream {
 		g.stream(ctx, w, r, after)
 		return
 	}
-	events, ok := g.await(ctx, r, r.tokens)
+	events, ok := g.awaitEvents(ctx, r, r.tokens)
 	if !ok {
 		return
 	}
 	data := g.encode(r, strings.Join(events, ""), true)
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(data)))
-	if g.truncates(r) {
+	if g.takeTruncateFault(r) {
 		data = data[:len(data)/2]
 	}
 	_, _ = w.Write(data)
@@ -174,12 +174,12 @@
 	w.WriteHeader(http.StatusOK)
 	flush(w)
 	for sent := after; sent < r.tokens; {
-		events, ok := g.await(ctx, r, sent+1)
+		events, ok := g.awaitEvents(ctx, r, sent+1)
 		if !ok {
 			return
 		}
 		for _, text := range events[sent:min(len(events), r.tokens)] {
-			if sent == r.tokens/2 && g.truncates(r) {
+			if sent == r.tokens/2 && g.takeTruncateFault(r) {
 				return
 			}
 			_, _ = w.Write([]byte("data: " + string(g.encode(r, text, sent+1 == r.tokens)) + "\n\n"))
@@ -196,8 +196,8 @@
 	}
 }
 
-// truncates reports, once, that the answer is to be cut.
-func (g *Generator) truncates(r *request) bool {
+// takeTruncateFault reports whether the response must be truncated, and clears the fault.
+func (g *Generator) takeTruncateFault(r *request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	cut := r.truncate
@@ -205,8 +205,8 @@
 	return cut
 }
 
-// await waits until a request has so many events.
-func (g *Generator) await(ctx context.Context, r *request, count int) ([]string, bool) {
+// awaitEvents waits until a request has at least count events.
+func (g *Generator) awaitEvents(ctx context.Context, r *request, count int) ([]string, bool) {
 	stop := context.AfterFunc(ctx, func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -241,16 +241,16 @@
 	Content string `json:"content"`
 }
 
-func (g *Generator) crosses(r *request) bool {
+func (g *Generator) hasWrongID(r *request) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return r.cross
+	return r.wrongID
 }
 
 func (g *Generator) encode(r *request, text string, last bool) []byte {
-	a := answer{ID: r.answerID, Object: "text_completion", Model: r.model}
-	if g.crosses(r) {
-		a.ID = crossedID
+	a := answer{ID: r.responseID, Object: "text_completion", Model: r.model}
+	if g.hasWrongID(r) {
+		a.ID = wrongResponseID
 	}
 	c := choice{}
 	switch {
--- a/standin/main.go
+++ b/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin plays the systems that bronzelead serves: a model engine, a plain
-// service, or the weight store, one a process.
+// Command standin simulates one of the systems that bronzelead serves: a model engine, a plain
+// service, or the weight store.
 package main
 
 import (
