--- a/bench/app/load.go
+++ b/bench/app/load.go
@@ -22,7 +22,7 @@
 	"bronzelead.example/pkg/translator"
 )
 
-// target is where requests go.
+// target is a server that requests are sent to.
 type target struct {
 	address string
 	key     string
@@ -33,12 +33,12 @@
 	next    atomic.Int64
 }
 
-// sample is what one request took.
+// sample holds the timings of one request.
 type sample struct {
-	whole   time.Duration
-	first   time.Duration
-	between []time.Duration
-	err     error
+	total      time.Duration
+	firstEvent time.Duration
+	gaps       []time.Duration
+	err        error
 }
 
 func newTarget(address, keyFile, model string, tokens int, stream bool) (*target, error) {
@@ -52,8 +52,8 @@
 	return t, errors.Wrap(err, "bench")
 }
 
-// ask sends one request and reads its whole answer.
-func (t *target) ask(ctx context.Context) sample {
+// sendRequest sends one request and reads the whole response.
+func (t *target) sendRequest(ctx context.Context) sample {
 	body := fmt.Sprintf(`{"model":%q,"prompt":"two loaves","max_tokens":%d,"stream":%t}`, t.model, t.tokens, t.stream)
 	url := "http://" + t.address + translator.CompletionsPath
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader([]byte(body)))
@@ -71,14 +71,14 @@
 		return sample{err: err}
 	}
 	defer func() { _ = res.Body.Close() }()
-	s := readAnswer(res.Body, start)
+	s := readResponse(res.Body, start)
 	if res.StatusCode != http.StatusOK {
 		s.err = errors.New(res.Status)
 	}
 	return s
 }
 
-func readAnswer(body io.Reader, start time.Time) sample {
+func readResponse(body io.Reader, start time.Time) sample {
 	s := sample{}
 	lines := bufio.NewReader(body)
 	last := start
@@ -86,10 +86,10 @@
 		line, err := lines.ReadString('\n')
 		if strings.HasPrefix(line, "data:") {
 			now := time.Now()
-			if s.first == 0 {
-				s.first = now.Sub(start)
+			if s.firstEvent == 0 {
+				s.firstEvent = now.Sub(start)
 			} else {
-				s.between = append(s.between, now.Sub(last))
+				s.gaps = append(s.gaps, now.Sub(last))
 			}
 			last = now
 		}
@@ -97,11 +97,11 @@
 			break
 		}
 	}
-	s.whole = time.Since(start)
+	s.total = time.Since(start)
 	return s
 }
 
-// quantiles describes durations.
+// quantiles formats the quantiles of durations.
 func quantiles(all []time.Duration) string {
 	if len(all) == 0 {
 		return "none"
@@ -113,7 +113,7 @@
 	return fmt.Sprintf("n %d  p50 %s  p95 %s  p99 %s  max %s", len(all), at(0.5), at(0.95), at(0.99), all[len(all)-1].Round(time.Microsecond))
 }
 
-type addedCommand struct {
+type overheadCommand struct {
 	Direct  string  `required:"" help:"Address of the engine."`
 	Gateway string  `required:"" help:"Address of the gateway."`
 	KeyFile string  `required:"" help:"File with the customer's key."`
@@ -125,7 +125,7 @@
 }
 
 // Run sends pairs of requests: one to the engine and one through the gateway.
-func (c *addedCommand) Run(out io.Writer) error {
+func (c *overheadCommand) Run(out io.Writer) error {
 	direct, err := newTarget(c.Direct, "", c.Model, c.Tokens, c.Stream)
 	if err != nil {
 		return err
@@ -134,37 +134,37 @@
 	if err != nil {
 		return err
 	}
-	pairs := c.send(direct, through)
+	pairs := c.sendPairs(direct, through)
 	c.report(out, pairs)
 	return nil
 }
 
 type pair struct{ direct, through sample }
 
-// send starts a pair at each tick, whether or not earlier ones have ended.
-func (c *addedCommand) send(direct, through *target) []pair {
+// sendPairs starts a pair at each tick, whether or not earlier pairs have completed.
+func (c *overheadCommand) sendPairs(direct, through *target) []pair {
 	n := int(c.Rate * c.Seconds)
 	pairs := make([]pair, n)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	start := time.Now()
 	for i := range n {
 		at := start.Add(time.Duration(float64(i) / c.Rate * float64(time.Second)))
 		time.Sleep(time.Until(at))
-		all.Add(2)
+		wg.Add(2)
 		go func() {
-			defer all.Done()
-			pairs[i].direct = direct.ask(context.Background())
+			defer wg.Done()
+			pairs[i].direct = direct.sendRequest(context.Background())
 		}()
 		go func() {
-			defer all.Done()
-			pairs[i].through = through.ask(context.Background())
+			defer wg.Done()
+			pairs[i].through = through.sendRequest(context.Background())
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 	return pairs
 }
 
-func (c *addedCommand) report(out io.Writer, pairs []pair) {
+func (c *overheadCommand) report(out io.Writer, pairs []pair) {
 	var direct, through, added, directBetween, throughBetween []time.Duration
 	failed := 0
 	for _, p := range pairs {
@@ -172,11 +172,11 @@
 			failed++
 			continue
 		}
-		direct = append(direct, p.direct.whole)
-		through = append(through, p.through.whole)
-		added = append(added, p.through.whole-p.direct.whole)
-		directBetween = append(directBetween, p.direct.between...)
-		throughBetween = append(throughBetween, p.through.between...)
+		direct = append(direct, p.direct.total)
+		through = append(through, p.through.total)
+		added = append(added, p.through.total-p.direct.total)
+		directBetween = append(directBetween, p.direct.gaps...)
+		throughBetween = append(throughBetween, p.through.gaps...)
 	}
 	_, _ = fmt.Fprintf(out, "direct   %s\nthrough  %s\nadded    %s\nfailed   %d\n", quantiles(direct), quantiles(through), quantiles(added), failed)
 	if c.Stream {
@@ -184,7 +184,7 @@
 	}
 }
 
-type mostCommand struct {
+type throughputCommand struct {
 	Gateway string  `required:"" help:"Address of the gateway."`
 	KeyFile string  `required:"" help:"File with the customer's key."`
 	Model   string  `required:"" help:"Model that is loaded."`
@@ -193,8 +193,8 @@
 	PID     int     `help:"Process of the gateway, to count its processor time."`
 }
 
-// Run lets callers ask as fast as they get answers.
-func (c *mostCommand) Run(out io.Writer) error {
+// Run lets concurrent callers send requests, each as soon as its previous one is answered.
+func (c *throughputCommand) Run(out io.Writer) error {
 	t, err := newTarget(c.Gateway, c.KeyFile, c.Model, 1, false)
 	if err != nil {
 		return err
@@ -202,15 +202,15 @@
 	var done, failed atomic.Int64
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(c.Seconds*float64(time.Second)))
 	defer cancel()
-	before := processorTime(c.PID)
+	before := cpuSeconds(c.PID)
 	start := time.Now()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range c.Callers {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			for ctx.Err() == nil {
-				if t.ask(ctx).err != nil {
+				if t.sendRequest(ctx).err != nil {
 					failed.Add(1)
 					continue
 				}
@@ -218,9 +218,9 @@
 			}
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 	took := time.Since(start).Seconds()
-	used := processorTime(c.PID) - before
+	used := cpuSeconds(c.PID) - before
 	rate := float64(done.Load()) / took
 	_, _ = fmt.Fprintf(out, "%.0f requests/s, %d failed, %.2f cores used", rate, failed.Load(), used/took)
 	if used > 0 {
@@ -232,8 +232,8 @@
 
 const clockTicks = 100
 
-// processorTime returns the seconds of processor time that a process has used.
-func processorTime(pid int) float64 {
+// cpuSeconds returns the CPU time that a process has used, in seconds.
+func cpuSeconds(pid int) float64 {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0
@@ -246,7 +246,7 @@
 	return (u + s) / clockTicks
 }
 
-// residentBytes returns a process's resident memory.
+// residentBytes returns the resident memory of a process.
 func residentBytes(pid int) int {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -270,7 +270,7 @@
 	PID     int    `required:"" help:"Process of the gateway."`
 }
 
-// Run opens streams in steps and reads the gateway's memory after each.
+// Run opens streams in batches and reads the gateway's memory after each batch.
 func (c *streamsCommand) Run(out io.Writer) error {
 	t, err := newTarget(c.Gateway, c.KeyFile, c.Model, c.Tokens, true)
 	if err != nil {
@@ -281,7 +281,7 @@
 	base := residentBytes(c.PID)
 	const steps = 3
 	for step := 1; step <= steps; step++ {
-		opened := c.open(ctx, t, c.Count/steps)
+		opened := c.openStreams(ctx, t, c.Count/steps)
 		now := residentBytes(c.PID)
 		_, _ = fmt.Fprintf(out, "%d streams opened of %d: %d MB resident, %d bytes each\n",
 			opened, c.Count/steps, now>>20, (now-base)/(step*c.Count/steps))
@@ -289,24 +289,24 @@
 	return nil
 }
 
-// open opens streams and returns how many have sent their first event.
-func (c *streamsCommand) open(ctx context.Context, t *target, n int) int {
-	firsts := make(chan bool, n)
+// openStreams opens n streams and returns how many have sent their first event.
+func (c *streamsCommand) openStreams(ctx context.Context, t *target, n int) int {
+	results := make(chan bool, n)
 	for range n {
-		go func() { firsts <- t.hold(ctx) }()
+		go func() { results <- t.openStream(ctx) }()
 		time.Sleep(time.Millisecond)
 	}
 	opened := 0
 	for range n {
-		if <-firsts {
+		if <-results {
 			opened++
 		}
 	}
 	return opened
 }
 
-// hold opens a stream, and keeps reading it in the background.
-func (t *target) hold(ctx context.Context) bool {
+// openStream opens a stream and keeps reading it in the background.
+func (t *target) openStream(ctx context.Context) bool {
 	body := fmt.Sprintf(`{"model":%q,"prompt":"two loaves","max_tokens":%d,"stream":true}`, t.model, t.tokens)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+t.address+translator.CompletionsPath, bytes.NewReader([]byte(body)))
 	if err != nil {
--- a/bench/app/main.go
+++ b/bench/app/main.go
@@ -1,4 +1,4 @@
-// Package app is the command line of the benches.
+// Package app is the command line of the benchmarks.
 package app
 
 import (
@@ -11,15 +11,15 @@
 )
 
 type commandLine struct {
-	Added   addedCommand   `cmd:"" help:"Time that a gateway adds, paired against the engine itself."`
-	Most    mostCommand    `cmd:"" help:"Requests a second of one gateway, with so many callers at once."`
-	Streams streamsCommand `cmd:"" help:"Open streams and hold them, to read the gateway's memory."`
+	Added   overheadCommand   `cmd:"" help:"Time that a gateway adds, paired against the engine itself."`
+	Most    throughputCommand `cmd:"" help:"Requests a second of one gateway, with so many callers at once."`
+	Streams streamsCommand    `cmd:"" help:"Open streams and hold them, to read the gateway's memory."`
 
 	Policy   policyCommand   `cmd:"" help:"The policy against its baselines, in virtual time."`
 	Sessions sessionsCommand `cmd:"" help:"Play many gateways against a controller, to read what that costs it."`
 }
 
-// Main runs a bench and returns its exit code.
+// Main runs a benchmark and returns its exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	line := &commandLine{}
 	program := &launcher.Program{
--- a/bench/app/policy.go
+++ b/bench/app/policy.go
@@ -26,14 +26,14 @@
 	Seed     uint64  `default:"1" help:"Seed of all random numbers."`
 }
 
-// variant is one way to choose.
+// variant is one selection and eviction policy.
 type variant struct {
 	name   string
 	choose func(random *rand.Rand) func([]*router.Candidate) *router.Candidate
 	evict  func([]*planner.Placement) *planner.Placement
 }
 
-// Run drives the pure decisions in virtual time, each variant with the same requests.
+// Run simulates each variant in virtual time with the same requests.
 func (c *policyCommand) Run(out io.Writer) error {
 	variants := []variant{
 		{name: "policy: fuller batch, least popular out", evict: planner.LeastPopular},
@@ -43,7 +43,7 @@
 		{name: "rendezvous hashing", choose: chooseRendezvous, evict: planner.LeastPopular},
 	}
 	for _, v := range variants {
-		m := newMarket(c, v)
+		m := newSimulation(c, v)
 		m.run()
 		_, _ = fmt.Fprintf(out, "%-42s %s\n", v.name, m.report())
 	}
@@ -74,27 +74,27 @@
 }
 
 const (
-	virtualTick = 20 * time.Millisecond
-	virtualLoad = 300 * time.Millisecond
-	reportLag   = time.Second
-	batchSize   = 16
-	tokensEach  = 50
-	gatewayID   = planner.SessionID(1)
+	tickDuration     = 20 * time.Millisecond
+	loadDuration     = 300 * time.Millisecond
+	announceInterval = time.Second
+	batchSize        = 16
+	tokensPerRequest = 50
+	gatewayID        = planner.SessionID(1)
 )
 
-// market is engines, requests and the decisions between them, in virtual time.
-type market struct {
-	command *policyCommand
-	random  *rand.Rand
-	now     time.Time
-	planner *planner.Planner
-	router  *router.Router
-	engines []*marketEngine
-	waiting map[string][]time.Time
-	ranks   []int
-	zipf    *rand.Zipf
-	due     float64
-	orders  []dueOrder
+// simulation connects engines, requests and the real planner and router in virtual time.
+type simulation struct {
+	command         *policyCommand
+	random          *rand.Rand
+	now             time.Time
+	planner         *planner.Planner
+	router          *router.Router
+	engines         []*simulatedEngine
+	waiting         map[string][]time.Time
+	ranks           []int
+	zipf            *rand.Zipf
+	pendingArrivals float64
+	pendingOrders   []pendingOrder
 
 	stalls  []time.Duration
 	steps   int
@@ -103,26 +103,26 @@
 	served  int
 }
 
-type dueOrder struct {
-	at    time.Time
+type pendingOrder struct {
+	dueAt time.Time
 	order planner.Order
 }
 
-type marketEngine struct {
+type simulatedEngine struct {
 	name    string
 	loaded  map[string]bool
-	running []*marketRequest
+	running []*simulatedRequest
 }
 
-type marketRequest struct {
-	adapter   string
-	left      int
-	candidate *router.Candidate
+type simulatedRequest struct {
+	adapter    string
+	tokensLeft int
+	candidate  *router.Candidate
 }
 
-func newMarket(c *policyCommand, v variant) *market {
+func newSimulation(c *policyCommand, v variant) *simulation {
 	random := rand.New(rand.NewPCG(c.Seed, c.Seed))
-	m := &market{
+	m := &simulation{
 		command: c, random: random, now: time.Unix(1_000_000, 0), waiting: map[string][]time.Time{},
 		planner: &planner.Planner{Policy: planner.Policy{
 			LoadsPerSecond: c.Loads, MaxConcurrentLoads: 3, StallWeight: 1, BatchWeight: 0.1, StarveAfter: time.Second,
@@ -141,24 +141,24 @@
 		m.ranks = append(m.ranks, i)
 	}
 	for i := range c.Engines {
-		m.engines = append(m.engines, &marketEngine{name: fmt.Sprintf("engine-%02d", i), loaded: map[string]bool{}})
+		m.engines = append(m.engines, &simulatedEngine{name: fmt.Sprintf("engine-%02d", i), loaded: map[string]bool{}})
 	}
 	m.planner.Start(m.now, 1)
 	m.planner.SetSynced(true)
 	return m
 }
 
-func (m *market) run() {
-	ticks := int(m.command.Minutes * float64(time.Minute) / float64(virtualTick))
+func (m *simulation) run() {
+	ticks := int(m.command.Minutes * float64(time.Minute) / float64(tickDuration))
 	for tick := range ticks {
-		m.now = m.now.Add(virtualTick)
+		m.now = m.now.Add(tickDuration)
 		if tick == ticks/2 {
-			// Overnight shift: other adapters are the popular ones.
+			// Popularity shift: other adapters become the popular ones.
 			m.random.Shuffle(len(m.ranks), func(i, j int) { m.ranks[i], m.ranks[j] = m.ranks[j], m.ranks[i] })
 		}
-		m.arrive()
+		m.addArrivals()
 		m.step()
-		if tick%int(reportLag/virtualTick) == 0 {
+		if tick%int(announceInterval/tickDuration) == 0 {
 			m.announce()
 		}
 		m.plan()
@@ -166,9 +166,9 @@
 	}
 }
 
-func (m *market) arrive() {
-	m.due += m.command.Rate * virtualTick.Seconds()
-	for ; m.due >= 1; m.due-- {
+func (m *simulation) addArrivals() {
+	m.pendingArrivals += m.command.Rate * tickDuration.Seconds()
+	for ; m.pendingArrivals >= 1; m.pendingArrivals-- {
 		name := fmt.Sprintf("a%d@1", m.ranks[m.zipf.Uint64()])
 		m.waiting[name] = append(m.waiting[name], m.now)
 		m.router.Wait(name, "base")
@@ -176,27 +176,27 @@
 	}
 }
 
-// step gives the first of each engine's requests a token.
-func (m *market) step() {
+// step generates one token for each request in the engines' batches.
+func (m *simulation) step() {
 	for _, e := range m.engines {
 		if len(e.running) == 0 {
 			continue
 		}
 		m.steps++
 		for _, r := range e.running[:min(batchSize, len(e.running))] {
-			r.left--
+			r.tokensLeft--
 			m.filled++
-			if r.left == 0 {
+			if r.tokensLeft == 0 {
 				m.router.End(m.now, r.candidate, false)
 				m.router.Ended(r.adapter)
 				m.served++
 			}
 		}
-		e.running = slices.DeleteFunc(e.running, func(r *marketRequest) bool { return r.left == 0 })
+		e.running = slices.DeleteFunc(e.running, func(r *simulatedRequest) bool { return r.tokensLeft == 0 })
 	}
 }
 
-func (m *market) announce() {
+func (m *simulation) announce() {
 	var all []*wire.Backend
 	for _, e := range m.engines {
 		running := min(batchSize, len(e.running))
@@ -214,7 +214,7 @@
 	m.router.Update(all, nil, nil, true)
 }
 
-func (m *market) plan() {
+func (m *simulation) plan() {
 	for _, lease := range m.router.Released() {
 		m.planner.Release(gatewayID, planner.LeaseID(lease))
 	}
@@ -226,24 +226,24 @@
 	}
 	m.router.Recall(m.planner.Recalls(gatewayID))
 	m.router.GiveBackIdle(m.now)
-	m.carry()
+	m.completeOrders()
 	for _, o := range m.planner.Plan(m.now) {
-		took := virtualTick
+		took := tickDuration
 		if o.Kind == planner.Load {
-			took = virtualLoad
+			took = loadDuration
 		}
-		m.orders = append(m.orders, dueOrder{at: m.now.Add(took), order: o})
+		m.pendingOrders = append(m.pendingOrders, pendingOrder{dueAt: m.now.Add(took), order: o})
 	}
 }
 
-func (m *market) carry() {
-	m.orders = slices.DeleteFunc(m.orders, func(d dueOrder) bool {
-		if d.at.After(m.now) {
+func (m *simulation) completeOrders() {
+	m.pendingOrders = slices.DeleteFunc(m.pendingOrders, func(d pendingOrder) bool {
+		if d.dueAt.After(m.now) {
 			return false
 		}
 		for _, e := range m.engines {
 			if e.name == d.order.Backend {
-				e.carry(d.order)
+				e.apply(d.order)
 			}
 		}
 		m.planner.RecordOutcome(m.now, d.order.ID, planner.Completed)
@@ -251,7 +251,7 @@
 	})
 }
 
-func (e *marketEngine) carry(o planner.Order) {
+func (e *simulatedEngine) apply(o planner.Order) {
 	if o.Kind == planner.Load {
 		e.loaded[o.Adapter] = true
 		return
@@ -259,7 +259,7 @@
 	delete(e.loaded, o.Adapter)
 }
 
-func (m *market) dispatch() {
+func (m *simulation) dispatch() {
 	for name, arrivals := range m.waiting {
 		for len(arrivals) > 0 {
 			want := router.Want{Adapter: name}
@@ -281,15 +281,15 @@
 	}
 }
 
-func (m *market) start(name string, candidate *router.Candidate) {
+func (m *simulation) start(name string, candidate *router.Candidate) {
 	for _, e := range m.engines {
 		if e.name == candidate.Backend.GetName() {
-			e.running = append(e.running, &marketRequest{adapter: name, left: tokensEach, candidate: candidate})
+			e.running = append(e.running, &simulatedRequest{adapter: name, tokensLeft: tokensPerRequest, candidate: candidate})
 		}
 	}
 }
 
-func (m *market) report() string {
+func (m *simulation) report() string {
 	fill := float64(m.filled) / float64(max(1, m.steps*batchSize))
 	var sum time.Duration
 	for _, stall := range m.stalls {
--- a/bench/app/sessions.go
+++ b/bench/app/sessions.go
@@ -28,38 +28,38 @@
 	PID        int           `required:"" help:"Process of the controller."`
 }
 
-// Run plays so many gateways against a controller, and reads what that costs it.
+// Run simulates gateways that renew their sessions and measures the controller's load.
 func (c *sessionsCommand) Run(out io.Writer) error {
 	key, err := authenticator.ReadKey(c.KeyFile)
 	if err != nil {
 		return errors.Wrap(err, "bench")
 	}
-	p := &player{command: c, transport: connector.NewTransport(nil)}
+	p := &gatewaySimulator{command: c, transport: connector.NewTransport(nil)}
 	p.transport.DialContext = p.dial
 	p.transport.MaxIdleConnsPerHost = c.Count + 1
 	p.control = wire.NewControlProtobufClient("http://"+c.Controller, &connector.Client{
 		Timeout: 5 * time.Second, Key: key, Transport: p.transport,
 	})
-	ids, err := p.open()
+	ids, err := p.openSessions()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(c.Seconds*float64(time.Second)))
 	defer cancel()
-	cpu, bytes, memory := processorTime(c.PID), p.bytes.Load(), residentBytes(c.PID)
-	var all sync.WaitGroup
+	cpu, bytes, memory := cpuSeconds(c.PID), p.bytes.Load(), residentBytes(c.PID)
+	var wg sync.WaitGroup
 	for i, id := range ids {
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			p.play(ctx, i, id)
+			defer wg.Done()
+			p.renewSession(ctx, i, id)
 		}()
 	}
 	if c.Claims > 0 {
-		p.claim(ctx, ids)
+		p.sendClaims(ctx, ids)
 	}
-	all.Wait()
-	used := processorTime(c.PID) - cpu
+	wg.Wait()
+	used := cpuSeconds(c.PID) - cpu
 	renewals := float64(p.renewals.Load())
 	_, _ = fmt.Fprintf(out, "%d sessions: %.0f renewals/s, %d failed, %.3f cores, %.0f bytes per session and second on the wire, %d MB resident (%d before)\n",
 		c.Count, renewals/c.Seconds, p.failed.Load(), used/c.Seconds,
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// player plays gateways.
-type player struct {
+// gatewaySimulator simulates gateways.
+type gatewaySimulator struct {
 	command   *sessionsCommand
 	transport *http.Transport
 	control   wire.Control
@@ -81,7 +81,7 @@
 	claimTimes                      []time.Duration
 }
 
-func (p *player) dial(ctx context.Context, network, address string) (net.Conn, error) {
+func (p *gatewaySimulator) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, network, address)
 	if err != nil {
 		return nil, errors.Wrap(err, "bench")
@@ -89,7 +89,7 @@
 	return &countedConn{Conn: conn, bytes: &p.bytes}, nil
 }
 
-// countedConn counts what goes over a connection.
+// countedConn counts the bytes read from and written to a connection.
 type countedConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -107,7 +107,7 @@
 	return n, err
 }
 
-func (p *player) open() ([]uint64, error) {
+func (p *gatewaySimulator) openSessions() ([]uint64, error) {
 	var ids []uint64
 	for i := range p.command.Count {
 		res, err := p.control.Open(context.Background(), &wire.OpenRequest{
@@ -121,7 +121,7 @@
 	return ids, nil
 }
 
-func (p *player) play(ctx context.Context, position int, id uint64) {
+func (p *gatewaySimulator) renewSession(ctx context.Context, position int, id uint64) {
 	var backends, sequence uint64
 	full := true
 	offset := time.Duration(position) * p.command.Every / time.Duration(p.command.Count)
@@ -132,7 +132,7 @@
 		sequence++
 		req := &wire.RenewRequest{Session: id, Sequence: sequence, Full: full, BackendsVersion: backends}
 		if p.command.Busy {
-			addWork(req, position)
+			addLoad(req, position)
 		}
 		res, err := p.control.Renew(ctx, req)
 		if err != nil {
@@ -150,8 +150,8 @@
 	}
 }
 
-// addWork adds what half a second of 35 requests a second changes.
-func addWork(req *wire.RenewRequest, position int) {
+// addLoad adds the changes that 35 requests per second cause in half a second.
+func addLoad(req *wire.RenewRequest, position int) {
 	for a := range 12 {
 		req.Demands = append(req.Demands, &wire.AdapterDemand{
 			Adapter: fmt.Sprintf("summary-%d@3", (position*7+a)%20000), BaseModel: "base", Started: 1, Running: 1,
@@ -169,15 +169,15 @@
 	}
 }
 
-// claim makes claims and stores their outcomes at a rate.
-func (p *player) claim(ctx context.Context, ids []uint64) {
+// sendClaims makes claims at a fixed rate and stores their outcomes.
+func (p *gatewaySimulator) sendClaims(ctx context.Context, ids []uint64) {
 	outcome := &wire.Outcome{Status: 200, Body: make([]byte, 500)}
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for n := 0; ctx.Err() == nil; n++ {
 		time.Sleep(time.Duration(float64(time.Second) / p.command.Claims))
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
+			defer wg.Done()
 			key := fmt.Sprint("bench-", time.Now().UnixNano(), "-", n)
 			start := time.Now()
 			_, err := p.control.Claim(ctx, &wire.ClaimRequest{Command: &wire.ClaimCommand{
@@ -188,16 +188,16 @@
 				p.failed.Add(1)
 				return
 			}
-			p.note(time.Since(start))
+			p.recordClaim(time.Since(start))
 			_, _ = p.control.Finish(ctx, &wire.FinishRequest{Command: &wire.FinishCommand{
 				Customer: "bench", Key: key, RequestId: key, Outcome: outcome,
 			}})
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
-func (p *player) note(took time.Duration) {
+func (p *gatewaySimulator) recordClaim(took time.Duration) {
 	p.claims.Add(1)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/bench/main.go
+++ b/bench/main.go
@@ -1,5 +1,5 @@
-// Command bench measures bronzelead: the time that a gateway adds, what one gateway
-// carries, and the policy against its baselines.
+// Command bench measures bronzelead: the latency that a gateway adds, the throughput of one
+// gateway, and the policy compared with its baselines.
 package main
 
 import (
