--- a/pkg/wire/wire.twirp.go
+++ b/pkg/wire/wire.twirp.go
@@ -6538,24 +6538,24 @@
 // Mesh Interface
 // ==============
 
-// Mesh is what gateways and controllers tell each other about backend servers.
+// Mesh exchanges information about backend servers between gateways and controllers.
 type Mesh interface {
-	// Sync returns news, at the latest when its wait is over.
+	// Sync returns updates, at the latest when its wait time is over.
 	Sync(context.Context, *SyncRequest) (*SyncResponse, error)
 
-	// Acquire asks the leader to load adapters that requests wait for.
+	// Acquire requests the leader to load adapters that requests wait for.
 	Acquire(context.Context, *AcquireRequest) (*AcquireResponse, error)
 
-	// Relay passes announcements on to another controller.
+	// Relay forwards announcements to another controller.
 	Relay(context.Context, *RelayRequest) (*RelayResponse, error)
 
-	// Put passes a change on to the leader.
+	// Put forwards a change to the leader.
 	Put(context.Context, *PutRequest) (*PutResponse, error)
 
-	// Read returns the document in force from a confirmed position of the log.
+	// Read returns the document in force from a confirmed index of the log.
 	Read(context.Context, *ReadRequest) (*ReadResponse, error)
 
-	// ListHeld returns the requests that are held back, from a confirmed position of the log.
+	// ListHeld returns the quarantined requests from a confirmed index of the log.
 	ListHeld(context.Context, *ListHeldRequest) (*ListHeldResponse, error)
 }
 
@@ -8434,12 +8434,12 @@
 // Pacing Interface
 // ================
 
-// Pacing is what gateways ask the one among them that is in charge of an engine.
+// Pacing is served by the gateway that is in charge of an engine.
 type Pacing interface {
 	// Admit answers as soon as the prompt may be sent, at the latest when its wait is over.
 	Admit(context.Context, *AdmitRequest) (*AdmitResponse, error)
 
-	// End notes prompts that were read or given up.
+	// End records prompts that were processed or abandoned.
 	End(context.Context, *EndRequest) (*EndResponse, error)
 }
 
@@ -9210,7 +9210,7 @@
 // Throttling Interface
 // ====================
 
-// Throttling is what gateways ask the owner of a backend server's request limit.
+// Throttling is served by the owner of a backend server's request limit.
 type Throttling interface {
 	// Grant answers as soon as the request may be sent, at the latest when its wait is over.
 	Grant(context.Context, *GrantRequest) (*GrantResponse, error)
@@ -9708,11 +9708,11 @@
 
 // Limits serves gateways that send requests of customers with limits.
 type Limits interface {
-	// Borrow tells the leader, or a gateway on the way to it, what was sent on for customers,
-	// and returns what may be.
+	// Borrow reports to the leader, or to a gateway on the path to it, what was sent for customers,
+	// and returns what may be sent.
 	Borrow(context.Context, *BorrowRequest) (*BorrowResponse, error)
 
-	// ListLimits returns how the customers' limits stand at the leader.
+	// ListLimits returns the status of the customers' limits at the leader.
 	ListLimits(context.Context, *ListLimitsRequest) (*ListLimitsResponse, error)
 }
 
