--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -140,7 +140,7 @@
 	a.coordinator = &coordinator.Coordinator{
 		Clock: a.Clock, Log: a.Log, Commits: commits, Policy: a.policy(), Lease: s.Timing.SessionLease,
 		MaxRequestDuration: s.Timing.LongestRequest, SnapshotInterval: uint64(s.Data.SnapshotEvery),
-		ObserveBatchFill: a.meter.BatchFill, ObserveInForce: func(d time.Duration) { a.meter.Took("in_force", d) },
+		ObserveBatchFill: a.meter.RecordBatchFill, ObserveInForce: func(d time.Duration) { a.meter.RecordDuration("in_force", d) },
 	}
 	a.driver = &raftdriver.Driver{
 		Clock: a.Clock, Log: a.Log, Storer: a.storer, Send: a.transporter.Send, Commits: commits,
@@ -151,7 +151,7 @@
 	}
 	a.driver.Init(contents)
 	a.coordinator.Raft = a.driver
-	a.coordinator.CountQuarantine = func(change string) { a.meter.Count("held_requests", "change", change) }
+	a.coordinator.CountQuarantine = func(change string) { a.meter.Increment("held_requests", "change", change) }
 	a.coordinator.SendOrder = a.orderer().SendOrder
 	a.coordinator.Init()
 	a.responder = &responder.Responder{
--- a/controller/app/main.go
+++ b/controller/app/main.go
@@ -14,7 +14,7 @@
 	"bronzelead.example/pkg/configurer"
 	"bronzelead.example/pkg/launcher"
 	"bronzelead.example/pkg/logger"
-	"bronzelead.example/pkg/suspender"
+	"bronzelead.example/pkg/timekeeper"
 )
 
 type commandLine struct {
@@ -39,7 +39,7 @@
 	line := &commandLine{}
 	program := &launcher.Program{
 		Name: "controller", Description: "Keeps contracts, claims and members on an instance with a disk.",
-		Line: line, Stdout: stdout, Stderr: stderr,
+		CommandLine: line, Stdout: stdout, Stderr: stderr,
 	}
 	parsed, code := program.Parse(args)
 	if parsed == nil {
@@ -69,7 +69,7 @@
 func initialize(file string, stdout, stderr io.Writer) int {
 	settings, faults := Read(file)
 	if len(faults) > 0 {
-		return launcher.Refuse(faults, stderr)
+		return launcher.ReportFaults(faults, stderr)
 	}
 	cluster, err := Init(settings)
 	if err != nil {
@@ -83,7 +83,7 @@
 func run(file string, stderr io.Writer) int {
 	settings, faults := Read(file)
 	if len(faults) > 0 {
-		return launcher.Refuse(faults, stderr)
+		return launcher.ReportFaults(faults, stderr)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -98,7 +98,7 @@
 func runRouted(file string, stderr io.Writer) int {
 	settings, faults := ReadRouted(file)
 	if len(faults) > 0 {
-		return launcher.Refuse(faults, stderr)
+		return launcher.ReportFaults(faults, stderr)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -108,7 +108,7 @@
 	// The settings were checked; the zero level is Info.
 	_ = level.UnmarshalText([]byte(settings.Log.Level))
 	log := logger.New(os.Stdout, level, "controller", settings.Instance.Name, settings.Instance.Zone)
-	r := &Routed{Settings: settings, Clock: suspender.Clock(), Log: log}
+	r := &Routed{Settings: settings, Clock: timekeeper.BootClock(), Log: log}
 	if err := r.Run(ctx); err != nil {
 		log.Error("the controller ends", "Error", err.Error())
 		return launcher.ExitFailed
--- a/controller/app/routed_settings.go
+++ b/controller/app/routed_settings.go
@@ -109,7 +109,7 @@
 	if s.Limits.Window <= 0 || s.Limits.Overage < 0 || s.Limits.Slack < 0 {
 		fault("Limits", "Window", "it must be above 0, and neither Overage nor Slack below")
 	}
-	_, problems := s.Experiment.Parse(ablator.Controller())
+	_, problems := s.Experiment.Parse(ablator.ControllerMechanisms())
 	for _, p := range problems {
 		fault("Experiment", p.Key, p.Text)
 	}
@@ -143,7 +143,7 @@
 }
 
 // off returns the mechanisms that are switched off; ReadRouted has reported any faults.
-func (s *RoutedSettings) off() ablator.Off {
-	off, _ := s.Experiment.Parse(ablator.Controller())
+func (s *RoutedSettings) off() ablator.Disabled {
+	off, _ := s.Experiment.Parse(ablator.ControllerMechanisms())
 	return off
 }
--- a/gateway/app/routed_settings.go
+++ b/gateway/app/routed_settings.go
@@ -100,7 +100,7 @@
 			File: file, Section: "Stop", Key: "Drain", Problem: "it must be shorter than Grace, and not shorter than Take",
 		})
 	}
-	_, problems := s.Experiment.Parse(ablator.Gateway())
+	_, problems := s.Experiment.Parse(ablator.GatewayMechanisms())
 	for _, p := range problems {
 		faults = append(faults, configurer.Fault{File: file, Section: "Experiment", Key: p.Key, Problem: p.Text})
 	}
@@ -128,7 +128,7 @@
 }
 
 // off returns the mechanisms that are switched off; ReadRouted has reported any faults.
-func (s *RoutedSettings) off() ablator.Off {
-	off, _ := s.Experiment.Parse(ablator.Gateway())
+func (s *RoutedSettings) off() ablator.Disabled {
+	off, _ := s.Experiment.Parse(ablator.GatewayMechanisms())
 	return off
 }
--- a/gateway/forwarder/course.go
+++ b/gateway/forwarder/course.go
@@ -77,13 +77,13 @@
 // recordStreamOutcome counts a stream that has ended.
 func (f *Forwarder) recordStreamOutcome(j *job, v streamOutcome) {
 	f.observeStream(j, false)
-	series := f.Meter.For(j.service, j.route.GetName())
+	series := f.Meter.SeriesFor(j.service, j.route.GetName())
 	if !j.progress.firstAt.IsZero() {
 		series.FirstToken.RecordDuration(j.progress.firstAt.Sub(j.req.ReceivedAt))
 		series.BetweenTokens.RecordDuration(j.progress.maxPause)
 	}
 	series.QueueWait.RecordDuration(j.waited)
-	f.Meter.Count("streams", "verdict", string(v))
+	f.Meter.Increment("streams", "verdict", string(v))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.streamOutcomes[v]++
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -66,7 +66,7 @@
 	Budget RetryBudget
 	Keys   KeyPolicy
 	// Off are the mechanisms that an experiment disables.
-	Off ablator.Off
+	Off ablator.Disabled
 	// Regulator paces prompts; nil sends them at once.
 	Regulator *regulator.Regulator
 	// Isolator quarantines the requests that crash backend servers.
--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -57,7 +57,7 @@
 	if !decision.Quarantined {
 		return false
 	}
-	f.Meter.Count("requests_held_back", "service", j.service)
+	f.Meter.Increment("requests_held_back", "service", j.service)
 	f.giveUp(j, reasonQuarantined, decision.Remaining)
 	return true
 }
--- a/gateway/forwarder/story.go
+++ b/gateway/forwarder/story.go
@@ -15,14 +15,14 @@
 func (f *Forwarder) logEvent(j *job, backend *wire.Announcement, outcome string, status int) {
 	j.status = status
 	f.Log.Info("request", f.logAttributes(j, backend, "Outcome", outcome, "Status", status)...)
-	f.Meter.Count("requests_not_served", "outcome", outcomeLabel(status))
+	f.Meter.Increment("requests_not_served", "outcome", outcomeLabel(status))
 }
 
 // logServed logs an answer that was relayed completely: all failures of backend servers, and a
 // sample of the others.
 func (f *Forwarder) logServed(j *job, backend *wire.Announcement, status int) {
 	j.status = status
-	f.Meter.Ended(j.service, j.route.GetName(), "Served", f.Clock.Since(j.req.ReceivedAt))
+	f.Meter.RecordRequest(j.service, j.route.GetName(), "Served", f.Clock.Since(j.req.ReceivedAt))
 	if status >= http.StatusInternalServerError {
 		f.logEvent(j, backend, "the backend server failed", status)
 		return
--- a/gateway/forwarder/tally.go
+++ b/gateway/forwarder/tally.go
@@ -49,7 +49,7 @@
 		return
 	}
 	e := classifyRequest(j.status, f.Clock.Since(j.req.ReceivedAt), milliseconds(j.route.GetObjectiveMs()))
-	f.Meter.Count("plain_requests", "ending", string(e))
+	f.Meter.Increment("plain_requests", "ending", string(e))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.countRequestOutcome(j, e)
--- a/gateway/forwarder/throttle.go
+++ b/gateway/forwarder/throttle.go
@@ -95,7 +95,7 @@
 
 // recordLimitFault counts an unreadable limit. The previous limit remains in force.
 func (f *Forwarder) recordLimitFault(j *job, fault string) {
-	f.Meter.Count("request_limits_unreadable", "fault", fault)
+	f.Meter.Increment("request_limits_unreadable", "fault", fault)
 	now := f.Clock.Now()
 	f.mu.Lock()
 	due := now.Sub(f.limitFaultLoggedAt) >= limitFaultLogInterval
--- a/gateway/receiver/attempts.go
+++ b/gateway/receiver/attempts.go
@@ -71,7 +71,7 @@
 }
 
 func (r *Receiver) recordAssignment(e *activeRequest, candidate *router.Candidate) {
-	series := r.Meter.For(e.terms.Customer(), e.class)
+	series := r.Meter.SeriesFor(e.terms.Customer(), e.class)
 	series.QueueWait.RecordDuration(e.job.QueueWait())
 	series.LoadStall.RecordDuration(e.job.LoadStall())
 	r.Explainer.Record(e.id, e.terms.Customer(), "goes to %s (%s) after %s in the queue and %s for the adapter; load %d, score %.2f",
--- a/gateway/receiver/isolation.go
+++ b/gateway/receiver/isolation.go
@@ -31,7 +31,7 @@
 	if !decision.Quarantined {
 		return nil
 	}
-	r.Meter.Count("requests_held_back", "customer", e.terms.Customer())
+	r.Meter.Increment("requests_held_back", "customer", e.terms.Customer())
 	return &Problem{
 		Status: http.StatusServiceUnavailable, Kind: kindQuarantined, Ran: dispatcher.RanNo, RetryAfter: decision.Remaining,
 		Message: "backend servers end when they run this request; it is held back",
--- a/pkg/ablator/ablator_test.go
+++ b/pkg/ablator/ablator_test.go
@@ -12,20 +12,20 @@
 		off      string
 		keys     []string
 	}{
-		"nothing is off":            {Settings{}, "", nil},
-		"one is off":                {Settings{Off: []string{"Homes"}, Admit: Admission}, "Homes", nil},
-		"two are off":               {Settings{Off: []string{"Homes", "WarmFirst"}, Admit: Admission}, "Homes, WarmFirst", nil},
-		"the word is missing":       {Settings{Off: []string{"Homes"}}, "Homes", []string{"Admit"}},
-		"another word":              {Settings{Off: []string{"Homes"}, Admit: "yes"}, "Homes", []string{"Admit"}},
-		"unknown":                   {Settings{Off: []string{"Home"}, Admit: Admission}, "", []string{"Off"}},
-		"another program's":         {Settings{Off: []string{"Pacing"}, Admit: Admission}, "", []string{"Off"}},
-		"twice":                     {Settings{Off: []string{"Homes", "Homes"}, Admit: Admission}, "Homes", []string{"Off"}},
-		"all faults are told":       {Settings{Off: []string{"x", "y"}}, "", []string{"Off", "Off", "Admit"}},
-		"the word alone is no harm": {Settings{Admit: Admission}, "", nil},
+		"nothing is off":                 {Settings{}, "", nil},
+		"one is off":                     {Settings{Off: []string{"Homes"}, Admit: MeasureOnly}, "Homes", nil},
+		"two are off":                    {Settings{Off: []string{"Homes", "WarmFirst"}, Admit: MeasureOnly}, "Homes, WarmFirst", nil},
+		"Admit is missing":               {Settings{Off: []string{"Homes"}}, "Homes", []string{"Admit"}},
+		"Admit is wrong":                 {Settings{Off: []string{"Homes"}, Admit: "yes"}, "Homes", []string{"Admit"}},
+		"unknown":                        {Settings{Off: []string{"Home"}, Admit: MeasureOnly}, "", []string{"Off"}},
+		"a mechanism of another program": {Settings{Off: []string{"Pacing"}, Admit: MeasureOnly}, "", []string{"Off"}},
+		"twice":                          {Settings{Off: []string{"Homes", "Homes"}, Admit: MeasureOnly}, "Homes", []string{"Off"}},
+		"all faults are reported":        {Settings{Off: []string{"x", "y"}}, "", []string{"Off", "Off", "Admit"}},
+		"Admit alone is allowed":         {Settings{Admit: MeasureOnly}, "", nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			off, problems := test.settings.Parse(Controller())
+			off, problems := test.settings.Parse(ControllerMechanisms())
 			var keys []string
 			for _, p := range problems {
 				keys = append(keys, p.Key)
@@ -37,10 +37,10 @@
 	}
 }
 
-func TestWithoutSwitchesOffOnlyWhatIsNamed(t *testing.T) {
+func TestDisableSwitchesOffOnlyWhatIsNamed(t *testing.T) {
 	c := qt.New(t)
-	off := Without(Ejection)
+	off := Disable(Ejection)
 	c.Check(off.Has(Ejection), qt.IsTrue)
 	c.Check(off.Has(Pacing), qt.IsFalse)
-	c.Check(Off{}.Has(Ejection), qt.IsFalse)
+	c.Check(Disabled{}.Has(Ejection), qt.IsFalse)
 }
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -50,7 +50,7 @@
 	// Zone is the gateway's own availability zone.
 	Zone string
 	// Off is the set of mechanisms that an experiment disables.
-	Off ablator.Off
+	Off ablator.Disabled
 	// Rand makes choices repeatable; nil uses the process-wide source.
 	Rand *rand.Rand
 
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -52,7 +52,7 @@
 	// for running requests.
 	UnloadCheckInterval time.Duration
 	// Off are the mechanisms that an experiment disables.
-	Off ablator.Off
+	Off ablator.Disabled
 }
 
 // DefaultPolicy returns the default limits; docs/MEASURED.md has the runs.
