--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -16,9 +16,9 @@
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/applier"
-	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/limiter"
 	"bronzelead.example/pkg/planner"
+	"bronzelead.example/pkg/sequencer"
 	"bronzelead.example/pkg/sessiontracker"
 	"bronzelead.example/pkg/wire"
 )
@@ -64,7 +64,7 @@
 	CountQuarantine func(change string)
 
 	arbiter       arbiter.Arbiter
-	calls         *caller.Caller
+	calls         *sequencer.Sequencer
 	admitted      atomic.Pointer[raftdriver.Admission]
 	state         *applier.StateMachine
 	snapshotIndex uint64
@@ -96,7 +96,7 @@
 
 // Init prepares the coordinator for calls before Run.
 func (c *Coordinator) Init() {
-	c.calls = caller.New(callQueueSize)
+	c.calls = sequencer.New(callQueueSize)
 	c.state = applier.New()
 	c.initArbiter()
 	if c.SnapshotInterval == 0 {
@@ -140,7 +140,7 @@
 			a.Reply(result)
 		}
 	}
-	c.arbiter.TakeState(c.Clock.Now())
+	c.arbiter.SyncState(c.Clock.Now())
 	c.admitted.Store(&raftdriver.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
 	if c.state.Applied() >= c.snapshotIndex+c.SnapshotInterval {
 		c.compact()
@@ -203,7 +203,7 @@
 	c.services = map[string]*service{}
 	c.backends = newBackendList(term)
 	c.pending = nil
-	c.arbiter.Begin()
+	c.arbiter.Invalidate()
 	c.warmUpUntil = now.Add(c.Policy.BackendLease)
 	for id, s := range c.state.Sessions() {
 		c.sessions.Open(now, sessionOf(s), true)
@@ -274,7 +274,7 @@
 		c.limiter.Forget(id)
 		c.planner.RemoveSession(id)
 	}
-	c.arbiter.Lead(now, c.term)
+	c.arbiter.LeaderTick(now, c.term)
 	c.observeAppliedChanges(now)
 	c.expireBackends(now)
 	if now.Before(c.warmUpUntil) {
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -47,7 +47,7 @@
 		}
 		c.applyReport(now, id, req, res)
 	}
-	c.arbiter.Hear(now, req.GetRunReports())
+	c.arbiter.ReceiveReports(now, req.GetRunReports())
 	c.handleAnnouncements(now, req.GetAnnounced())
 	c.addUpdates(now, req, res)
 	return res
@@ -91,6 +91,6 @@
 // and backend servers.
 func (c *Coordinator) addUpdates(now time.Time, req *wire.RenewRequest, res *wire.RenewResponse) {
 	res.Contracts = c.state.ChangedSince(req.GetRevision())
-	res.Suspects, res.SuspectsRevision = c.arbiter.Tell(c.term, req.GetSuspectsRevision())
+	res.Suspects, res.SuspectsRevision = c.arbiter.SuspectsFor(c.term, req.GetSuspectsRevision())
 	c.backends.addTo(res, req.GetBackendsVersion(), now.Before(c.warmUpUntil))
 }
--- a/controller/responder/control.go
+++ b/controller/responder/control.go
@@ -15,7 +15,7 @@
 }
 
 func (r *Responder) open(ctx context.Context, req *wire.OpenRequest) (*wire.OpenResponse, error) {
-	result, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_OpenSession{
+	result, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_OpenSession{
 		OpenSession: &wire.OpenSession{
 			Instance: req.GetInstance(), Zone: req.GetZone(), Nonce: req.GetNonce(), Address: req.GetAddress(),
 		},
@@ -33,7 +33,7 @@
 	})
 }
 
-// Close ends a session that has handed everything back.
+// Close ends a session that has returned everything it held.
 func (r *Responder) Close(ctx context.Context, req *wire.CloseRequest) (*wire.CloseResponse, error) {
 	return serve(ctx, r, req, r.close, func(a string) func(context.Context, *wire.CloseRequest) (*wire.CloseResponse, error) {
 		return r.control(a).Close
@@ -41,7 +41,7 @@
 }
 
 func (r *Responder) close(ctx context.Context, req *wire.CloseRequest) (*wire.CloseResponse, error) {
-	_, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_CloseSession{
+	_, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_CloseSession{
 		CloseSession: &wire.CloseSession{Session: req.GetSession(), Graceful: true},
 	}})
 	return &wire.CloseResponse{}, err
@@ -55,7 +55,7 @@
 }
 
 func (r *Responder) claim(ctx context.Context, req *wire.ClaimRequest) (*wire.ClaimResponse, error) {
-	result, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_Claim{Claim: req.GetCommand()}})
+	result, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_Claim{Claim: req.GetCommand()}})
 	if err != nil {
 		return nil, err
 	}
@@ -70,11 +70,11 @@
 }
 
 func (r *Responder) finish(ctx context.Context, req *wire.FinishRequest) (*wire.FinishResponse, error) {
-	result, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_Finish{Finish: req.GetCommand()}})
+	result, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_Finish{Finish: req.GetCommand()}})
 	return &wire.FinishResponse{Outcome: result.Outcome}, err
 }
 
-// Release gives a claim back whose request did not run.
+// Release releases a claim whose request did not run.
 func (r *Responder) Release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
 	return serve(ctx, r, req, r.release, func(a string) func(context.Context, *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
 		return r.control(a).Release
@@ -82,11 +82,11 @@
 }
 
 func (r *Responder) release(ctx context.Context, req *wire.ReleaseRequest) (*wire.ReleaseResponse, error) {
-	_, err := r.Keeper.Propose(ctx, &wire.Command{Body: &wire.Command_Release{Release: req.GetCommand()}})
+	_, err := r.Raft.Propose(ctx, &wire.Command{Body: &wire.Command_Release{Release: req.GetCommand()}})
 	return &wire.ReleaseResponse{}, err
 }
 
-// Lookup tells what is known of a key, without claiming it.
+// Lookup returns the claim of a key, without claiming it.
 func (r *Responder) Lookup(ctx context.Context, req *wire.LookupRequest) (*wire.LookupResponse, error) {
 	return serve(ctx, r, req, r.lookup, func(a string) func(context.Context, *wire.LookupRequest) (*wire.LookupResponse, error) {
 		return r.control(a).Lookup
--- a/controller/responder/peer.go
+++ b/controller/responder/peer.go
@@ -11,36 +11,36 @@
 
 // Peer serves wire.Peer: messages from other controllers and requests to join.
 type Peer struct {
-	Keeper *raftdriver.Driver
+	Raft *raftdriver.Driver
 	// Cluster returns the cluster that this instance belongs to.
 	Cluster func() string
 	// Client returns a client of the controller at an address.
 	Client func(address string) wire.Peer
 	// Leader returns the leader's address, or "".
 	Leader func() string
-	// Heard takes note of where a message came from.
-	Heard func(from *wire.Member)
-	// Invited takes note of a member of a cluster, while this instance belongs to none.
-	Invited func(from *wire.Member)
+	// RecordPeer records the sender of a message.
+	RecordPeer func(from *wire.Member)
+	// RecordContact records a member of a cluster, while this instance belongs to none.
+	RecordContact func(from *wire.Member)
 }
 
-// Deliver takes messages of the same cluster.
+// Deliver accepts messages of the same cluster.
 func (p *Peer) Deliver(_ context.Context, req *wire.DeliverRequest) (*wire.DeliverResponse, error) {
 	if req.GetCluster() != p.Cluster() {
 		if p.Cluster() == "" {
-			p.Invited(req.GetFrom())
+			p.RecordContact(req.GetFrom())
 		}
 		return nil, twirp.NewError(twirp.FailedPrecondition, "the message is from another cluster")
 	}
-	p.Heard(req.GetFrom())
-	p.Keeper.Deliver(req.GetMessages())
+	p.RecordPeer(req.GetFrom())
+	p.Raft.Deliver(req.GetMessages())
 	return &wire.DeliverResponse{}, nil
 }
 
-// Join notes at the leader that an instance wants to become a member.
+// Join records at the leader that an instance wants to become a member.
 func (p *Peer) Join(ctx context.Context, req *wire.JoinRequest) (*wire.JoinResponse, error) {
-	if p.Keeper.Leads() {
-		p.Keeper.Join(req.GetMember())
+	if p.Raft.Leads() {
+		p.Raft.Join(req.GetMember())
 		return &wire.JoinResponse{Cluster: p.Cluster()}, nil
 	}
 	address := p.Leader()
--- a/controller/routecoordinator/routecoordinator.go
+++ b/controller/routecoordinator/routecoordinator.go
@@ -18,10 +18,10 @@
 	"bronzelead.example/controller/arbiter"
 	"bronzelead.example/controller/raftdriver"
 	"bronzelead.example/pkg/applier"
-	"bronzelead.example/pkg/caller"
 	"bronzelead.example/pkg/disseminator"
 	"bronzelead.example/pkg/placer"
 	"bronzelead.example/pkg/quotaallocator"
+	"bronzelead.example/pkg/sequencer"
 	"bronzelead.example/pkg/throttler"
 	"bronzelead.example/pkg/tracker"
 	"bronzelead.example/pkg/wire"
@@ -90,7 +90,7 @@
 	SnapshotEntries uint64
 	SnapshotBytes   int
 
-	calls      *caller.Caller
+	calls      *sequencer.Sequencer
 	epoch      uint64
 	state      *applier.StateMachine
 	snapshot   uint64
@@ -159,7 +159,7 @@
 
 // Init prepares the coordinator for calls before Run.
 func (c *Coordinator) Init() {
-	c.calls = caller.New(callQueueSize)
+	c.calls = sequencer.New(callQueueSize)
 	c.epoch = rand.Uint64()
 	c.state = applier.New()
 	c.tracker = &tracker.Tracker{SilentAfter: c.SilentAfter, ForgetAfter: forgetAfter}
@@ -211,7 +211,7 @@
 		}
 	}
 	c.versionsChanged()
-	c.arbiter.TakeState(c.Clock.Now())
+	c.arbiter.SyncState(c.Clock.Now())
 	if c.state.Applied() >= c.snapshot+c.SnapshotEntries || c.logBytes > c.SnapshotBytes {
 		c.compact()
 	}
@@ -286,7 +286,7 @@
 	}
 	c.arbiter.Tick(now)
 	if c.leads(now) {
-		c.arbiter.Lead(now, c.term)
+		c.arbiter.LeaderTick(now, c.term)
 	}
 	c.pruneGateways(now)
 	c.pruneRequestLimits(now)
@@ -319,7 +319,7 @@
 	c.placer = placer.NewWith(c.knowledge)
 	c.placer.Begin(term)
 	c.holdings.Reset(c.placer.Revision())
-	c.arbiter.Begin()
+	c.arbiter.Invalidate()
 	c.placer.SetTable(c.state.Table().GetTable())
 	c.allocator = &quotaallocator.Allocator{Rule: c.Limits, KnownGateways: c.knownGateways(now)}
 	c.allocator.Begin(now, term, c.state.Table().GetTable().GetCustomers())
--- a/gateway/app/app.go
+++ b/gateway/app/app.go
@@ -30,12 +30,12 @@
 )
 
 const (
-	idleCheck = 50 * time.Millisecond
-	// Handing the session back is tried for as long as it would live without.
-	handBackWithin = 3 * time.Second
-	// Outcomes of requests are tried to be stored for this long at a stop.
-	storeWithin = 10 * time.Second
-	// probeTimeout bounds the question whether a backend server still listens.
+	idleCheckInterval = 50 * time.Millisecond
+	// Closing the session is tried for as long as it would last without.
+	closeTimeout = 3 * time.Second
+	// Storing the outcomes of requests is tried for this long at a stop.
+	storeTimeout = 10 * time.Second
+	// probeTimeout bounds the probe whether a backend server still listens.
 	probeTimeout = time.Second
 )
 
@@ -58,11 +58,11 @@
 
 type keys struct {
 	cluster   string
-	backends  authenticator.Ring
-	operators authenticator.Ring
+	backends  authenticator.Keyring
+	operators authenticator.Keyring
 }
 
-// NewLog returns the log that the settings ask for.
+// NewLog returns a logger with the level of the settings.
 func NewLog(s *Settings) *slog.Logger {
 	var level slog.Level
 	// The settings were checked; the zero level is Info.
@@ -71,8 +71,8 @@
 	return log
 }
 
-// Run serves until ctx ends, and then stops gracefully: unready first, then what
-// runs is finished, then the session is handed back.
+// Run serves until ctx ends, then stops gracefully: it becomes unready, finishes running
+// requests, and closes the session.
 func (a *App) Run(ctx context.Context) error {
 	if err := a.readKeys(); err != nil {
 		return err
@@ -83,17 +83,17 @@
 	go a.scheduler.Run(background)
 	go a.claimer.Run(background)
 	go a.isolator.Run(background)
-	left := make(chan struct{})
+	renewerDone := make(chan struct{})
 	go func() {
 		a.renewer.Run(background)
-		close(left)
+		close(renewerDone)
 	}()
 	if err := a.server.Start(); err != nil {
 		return errors.Wrap(err, "app")
 	}
 	a.Log.Info("the gateway serves", "Address", a.server.Addr())
 	<-ctx.Done()
-	return a.stop(left)
+	return a.stop(renewerDone)
 }
 
 func (a *App) readKeys() error {
@@ -101,10 +101,10 @@
 	if a.keys.cluster, err = authenticator.ReadKey(a.Settings.Keys.ClusterFile); err != nil {
 		return errors.Wrap(err, "app")
 	}
-	if a.keys.backends, err = authenticator.ReadRing(a.Settings.Keys.BackendFile); err != nil {
+	if a.keys.backends, err = authenticator.ReadKeyring(a.Settings.Keys.BackendFile); err != nil {
 		return errors.Wrap(err, "app")
 	}
-	a.keys.operators, err = authenticator.ReadRing(a.Settings.Keys.OperatorFile)
+	a.keys.operators, err = authenticator.ReadKeyring(a.Settings.Keys.OperatorFile)
 	return errors.Wrap(err, "app")
 }
 
@@ -121,24 +121,24 @@
 		Router: &router.Router{Zone: s.Instance.Zone, Policy: router.Policy{
 			BatchWeight: s.Policy.BatchWeight, StallWeight: s.Policy.StallWeight,
 			PrefixWeight: s.Policy.PrefixWeight, ZoneWeight: s.Policy.ZoneWeight,
-			SuspectFor: s.Policy.SuspectFor, IdleLease: s.Policy.IdleLease,
+			SuspectPeriod: s.Policy.SuspectFor, MaxLeaseIdle: s.Policy.IdleLease,
 		}},
-		RequestRenewal: func() { a.renewer.Wake() },
+		RequestRenewal: func() { a.renewer.RequestRenewal() },
 	}
 	a.scheduler.Init()
 	address := s.Instance.Address
 	if address == "" {
 		address = s.Instance.Listen
 	}
-	a.isolator = &isolator.Isolator{Clock: a.Clock, Log: a.Log, Self: address, ConnectionRefused: refuses}
+	a.isolator = &isolator.Isolator{Clock: a.Clock, Log: a.Log, Self: address, ConnectionRefused: connectionRefused}
 	a.isolator.Init()
 	a.renewer = &renewer.Renewer{
 		Clock: a.Clock, Log: a.Log, Scheduler: a.scheduler, Isolator: a.isolator, Controllers: controllers, Client: client,
 		Instance: s.Instance.Name, Zone: s.Instance.Zone, Address: address,
-		Every: s.Controllers.RenewEvery, Leave: a.leave,
+		Interval: s.Controllers.RenewEvery, Leave: a.leave,
 	}
 	a.renewer.Init()
-	a.isolator.LeaderAge = a.renewer.WordAge
+	a.isolator.LeaderAge = a.renewer.LeaderAge
 	a.claimer = &claimer.Claimer{Clock: a.Clock, Log: a.Log, Client: client, Controllers: &connector.Controllers{
 		Addresses: s.Controllers.Addresses,
 	}}
@@ -146,8 +146,8 @@
 	a.server = &server.Server{Address: s.Instance.Listen, Handler: a.handler(), Log: a.Log}
 }
 
-// refuses reports whether nothing listens any more at the address of a backend server.
-func refuses(ctx context.Context, _, address string) bool {
+// connectionRefused reports whether nothing listens any more at the address of a backend server.
+func connectionRefused(ctx context.Context, _, address string) bool {
 	dialer := &net.Dialer{Timeout: probeTimeout}
 	c, err := dialer.DialContext(ctx, "tcp", address)
 	if err == nil {
@@ -162,10 +162,10 @@
 		Clock: a.Clock, Log: a.Log, Instance: s.Instance.Name,
 		Registrar: a.registrar, Scheduler: a.scheduler, Claimer: a.claimer, Isolator: a.isolator,
 		Dispatcher: a.dispatcher(), Explainer: &explainer.Explainer{Clock: a.Clock},
-		Meter:   meter.New("gateway", s.Instance.Name, s.Instance.Zone),
-		Retries: &receiver.RetryBudget{Clock: a.Clock, Share: s.Requests.RetryShare, Burst: s.Requests.RetryBurst},
-		Session: a.scheduler.SessionID, BackendKeys: a.keys.backends, OperatorKeys: a.keys.operators,
-		Ready: a.ready, MaxBody: s.Requests.MaxBody, KeepAnswer: s.Requests.KeepAnswer,
+		Meter:       meter.New("gateway", s.Instance.Name, s.Instance.Zone),
+		RetryBudget: &receiver.RetryBudget{Clock: a.Clock, RetryRatio: s.Requests.RetryShare, Burst: s.Requests.RetryBurst},
+		Session:     a.scheduler.SessionID, BackendKeys: a.keys.backends, OperatorKeys: a.keys.operators,
+		Ready: a.ready, MaxBody: s.Requests.MaxBody, MaxStoredAnswer: s.Requests.KeepAnswer,
 	}
 	return r.Handler()
 }
@@ -176,12 +176,12 @@
 	freshWork := connector.NewTransport(a.scheduler.CheckSession)
 	freshWork.DisableKeepAlives = true
 	return &dispatcher.Dispatcher{
-		Clock: a.Clock, Work: connector.NewTransport(a.scheduler.CheckSession), Fresh: fresh, FreshWork: freshWork,
-		SilenceAfter: a.Settings.Requests.SilenceAfter,
+		Clock: a.Clock, SessionTransport: connector.NewTransport(a.scheduler.CheckSession), UnpooledTransport: fresh, UnpooledSessionTransport: freshWork,
+		SilenceTimeout: a.Settings.Requests.SilenceAfter,
 	}
 }
 
-// ready reports whether the balancer shall send callers here.
+// ready reports whether the load balancer should send callers here.
 func (a *App) ready() bool {
 	select {
 	case <-a.stopping:
@@ -191,29 +191,29 @@
 	}
 }
 
-func (a *App) stop(left <-chan struct{}) error {
-	a.Log.Info("the gateway stops: it is unready, and finishes what runs")
+func (a *App) stop(renewerDone <-chan struct{}) error {
+	a.Log.Info("the gateway stops: it is unready and finishes running requests")
 	close(a.stopping)
 	a.server.Quiesce()
 	<-a.Clock.After(a.Settings.Requests.StopDelay)
-	// Callers that keep their connections would otherwise hold the stop up for one more
-	// round of their longest requests.
+	// Callers that keep their connections would otherwise delay the stop by another round of
+	// their longest requests.
 	a.scheduler.Stop()
 	ctx, cancel := context.WithTimeout(context.Background(), a.Settings.Requests.StopWithin)
 	defer cancel()
 	err := a.server.Stop(ctx)
 	for !a.scheduler.Idle() && ctx.Err() == nil {
-		<-a.Clock.After(idleCheck)
+		<-a.Clock.After(idleCheckInterval)
 	}
-	storing, stopStoring := context.WithTimeout(ctx, storeWithin)
+	storing, stopStoring := context.WithTimeout(ctx, storeTimeout)
 	defer stopStoring()
 	a.claimer.Drain(storing)
 	close(a.leave)
 	select {
-	case <-left:
-	case <-a.Clock.After(handBackWithin):
-		// No controller can be reached. The session ends by itself with its lease.
-		a.Log.Warn("the session was not handed back")
+	case <-renewerDone:
+	case <-a.Clock.After(closeTimeout):
+		// No controller can be reached. The session expires with its lease.
+		a.Log.Warn("the session was not closed")
 	}
 	a.Log.Info("the gateway has stopped")
 	return errors.Wrap(err, "app")
--- a/gateway/app/main.go
+++ b/gateway/app/main.go
@@ -34,7 +34,7 @@
 	line := &commandLine{}
 	program := &launcher.Program{
 		Name: "gateway", Description: "Serves callers of adapters and services on an entry instance.",
-		Line: line, Stdout: stdout, Stderr: stderr,
+		CommandLine: line, Stdout: stdout, Stderr: stderr,
 	}
 	parsed, code := program.Parse(args)
 	if parsed == nil {
@@ -62,7 +62,7 @@
 func run(file string, stderr io.Writer) int {
 	settings, faults := Read(file)
 	if len(faults) > 0 {
-		return launcher.Refuse(faults, stderr)
+		return launcher.ReportFaults(faults, stderr)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
@@ -77,20 +77,20 @@
 func runRouted(file string, stderr io.Writer) int {
 	settings, faults := ReadRouted(file)
 	if len(faults) > 0 {
-		return launcher.Refuse(faults, stderr)
+		return launcher.ReportFaults(faults, stderr)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	var level slog.Level
 	// The settings were checked; the zero level is Info.
 	_ = level.UnmarshalText([]byte(settings.Log.Level))
-	ring := logger.NewRing(os.Stdout)
+	ring := logger.NewAsyncWriter(os.Stdout)
 	logging, endLogging := context.WithCancel(context.Background())
 	defer ring.Flush()
 	defer endLogging()
 	go ring.Run(logging)
 	log := logger.New(ring, level, "gateway", settings.Instance.Name, settings.Instance.Zone)
-	r := &Routed{Settings: settings, File: file, Clock: clockwork.NewRealClock(), Log: log, Reload: reloads(ctx)}
+	r := &Routed{Settings: settings, File: file, Clock: clockwork.NewRealClock(), Log: log, Reload: reloadSignals(ctx)}
 	if err := r.Run(ctx); err != nil {
 		log.Error("the gateway ends", "Error", err.Error())
 		return launcher.ExitFailed
@@ -98,8 +98,8 @@
 	return launcher.ExitOK
 }
 
-// reloads passes on each SIGHUP.
-func reloads(ctx context.Context) <-chan struct{} {
+// reloadSignals returns a channel that receives a value for each SIGHUP.
+func reloadSignals(ctx context.Context) <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	reload := make(chan struct{})
--- a/gateway/quotaenforcer/quotaenforcer.go
+++ b/gateway/quotaenforcer/quotaenforcer.go
@@ -388,7 +388,7 @@
 		}
 	}
 	if e.Meter != nil {
-		e.Meter.Took("borrow", now.Sub(calledAt))
+		e.Meter.RecordDuration("borrow", now.Sub(calledAt))
 	}
 }
 
--- a/pkg/launcher/launcher.go
+++ b/pkg/launcher/launcher.go
@@ -1,5 +1,5 @@
-// Package launcher parses a program's command line and gives all programs the same
-// exit codes.
+// Package launcher parses a program's command line and defines the exit codes that all programs
+// share.
 package launcher
 
 import (
@@ -15,31 +15,31 @@
 const (
 	ExitOK     = 0
 	ExitFailed = 1
-	// ExitUsage is for wrong arguments and settings.
+	// ExitUsage reports invalid arguments or settings.
 	ExitUsage = 2
 )
 
-// Program is a command line. Set the exported fields, then call Parse.
+// Program is the command-line interface of a program. Set the exported fields, then call Parse.
 type Program struct {
 	Name        string
 	Description string
-	// Line is a pointer to the struct of commands and flags.
-	Line   any
-	Stdout io.Writer
-	Stderr io.Writer
-	// Options are added to the parser's.
+	// CommandLine is a pointer to the struct of commands and flags.
+	CommandLine any
+	Stdout      io.Writer
+	Stderr      io.Writer
+	// Options are passed to the kong parser in addition.
 	Options []kong.Option
 }
 
-// Parse parses arguments. Without a context the program is to end with the code: help
-// was shown, or a fault was reported.
+// Parse parses the arguments. If the context is nil, the program must exit with the code: help
+// was shown or an error was reported.
 func (p *Program) Parse(args []string) (parsed *kong.Context, code int) {
 	exited := -1
 	options := append([]kong.Option{
 		kong.Name(p.Name), kong.Description(p.Description),
 		kong.Writers(p.Stdout, p.Stderr), kong.Exit(func(code int) { exited = code }),
 	}, p.Options...)
-	parser, err := kong.New(p.Line, options...)
+	parser, err := kong.New(p.CommandLine, options...)
 	if err != nil {
 		_, _ = fmt.Fprintln(p.Stderr, err)
 		return nil, ExitFailed
@@ -55,19 +55,19 @@
 	return parsed, ExitOK
 }
 
-// Refuse shows the faults of settings, a line each, and returns the exit code for them.
-func Refuse(faults []configurer.Fault, stderr io.Writer) int {
+// ReportFaults prints the faults of the settings, one per line, and returns their exit code.
+func ReportFaults(faults []configurer.Fault, stderr io.Writer) int {
 	for _, fault := range faults {
 		_, _ = fmt.Fprintln(stderr, fault)
 	}
 	return ExitUsage
 }
 
-// CheckSettings shows the faults of a settings file, or that it has none, and returns the
-// exit code.
+// CheckSettings prints the faults of a settings file, or that it has none, and returns the exit
+// code.
 func CheckSettings(file string, faults []configurer.Fault, stdout, stderr io.Writer) int {
 	if len(faults) > 0 {
-		return Refuse(faults, stderr)
+		return ReportFaults(faults, stderr)
 	}
 	_, _ = fmt.Fprintln(stdout, file+": all settings are right")
 	return ExitOK
--- a/pkg/matcher/customers_test.go
+++ b/pkg/matcher/customers_test.go
@@ -32,27 +32,27 @@
 	return t
 }
 
-func TestHolderOfAKey(t *testing.T) {
+func TestCustomerByKey(t *testing.T) {
 	c := qt.New(t)
 	m := New(customers(customer("a", "k1", "k2"), customer("b", "k3")))
-	c.Check(m.Holder("k2").GetName(), qt.Equals, "a")
-	c.Check(m.Holder("k3").GetName(), qt.Equals, "b")
+	c.Check(m.CustomerByKey("k2").GetName(), qt.Equals, "a")
+	c.Check(m.CustomerByKey("k3").GetName(), qt.Equals, "b")
 	for _, unknown := range []string{"", "k", "K1", "k1 ", "k1,k2"} {
-		c.Check(m.Holder(unknown), qt.IsNil, qt.Commentf("%q", unknown))
+		c.Check(m.CustomerByKey(unknown), qt.IsNil, qt.Commentf("%q", unknown))
 	}
 }
 
-func TestRoutesThatNeedKeys(t *testing.T) {
+func TestRequiresKey(t *testing.T) {
 	c := qt.New(t)
 	open := route("open", "h", "/open/", func(r *wire.Route) { r.Open = true })
 	closed := route("closed", "h", "/closed/")
 	m := New(&wire.RoutingTable{KeysRequired: true})
-	c.Check(m.NeedsKey(closed), qt.IsTrue)
-	c.Check(m.NeedsKey(open), qt.IsFalse)
-	c.Check(New(&wire.RoutingTable{}).NeedsKey(closed), qt.IsFalse)
+	c.Check(m.RequiresKey(closed), qt.IsTrue)
+	c.Check(m.RequiresKey(open), qt.IsFalse)
+	c.Check(New(&wire.RoutingTable{}).RequiresKey(closed), qt.IsFalse)
 }
 
-func TestEachFaultOfCustomersIsNamed(t *testing.T) {
+func TestCustomerFaults(t *testing.T) {
 	tokens := wire.LimitUnit_LIMIT_UNIT_TOKENS
 	for name, test := range map[string]struct {
 		customers []*wire.RoutedCustomer
@@ -82,7 +82,7 @@
 	}
 }
 
-func BenchmarkHolder(b *testing.B) {
+func BenchmarkCustomerByKey(b *testing.B) {
 	var list []*wire.RoutedCustomer
 	for i := range 500 {
 		var keys []string
@@ -94,7 +94,7 @@
 	m := New(customers(list...))
 	b.ReportAllocs()
 	for b.Loop() {
-		if m.Holder("asnmgkcuyj8pj-250-2") == nil {
+		if m.CustomerByKey("asnmgkcuyj8pj-250-2") == nil {
 			b.Fatal("the key is not known")
 		}
 	}
--- a/proof/routed_callers_test.go
+++ b/proof/routed_callers_test.go
@@ -146,7 +146,7 @@
 	if body != want {
 		history.addViolation("%s got %q", s.id, body)
 	}
-	for _, field := range platform.StandInAnswer(s.id, "") {
+	for _, field := range platform.StandInResponse(s.id, "") {
 		if field.Value != "" && header.Get(field.Name) != field.Value {
 			history.addViolation("%s got the answer to %s", s.id, header.Get(field.Name))
 		}
