--- a/proof/routed_backends_test.go
+++ b/proof/routed_backends_test.go
@@ -155,7 +155,7 @@
 	case <-r.Context().Done():
 	case <-time.After(processingTime):
 	}
-	setHeaders(w, platform.StandInAnswer(id, b.id))
+	setHeaders(w, platform.StandInResponse(id, b.id))
 	if routeKindOf(r.URL.Path) != stream {
 		_, _ = io.WriteString(w, answerTo(id))
 		return
