--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -202,10 +202,10 @@
 
 // ready reports whether the instance knows a leader.
 func (a *App) ready(w http.ResponseWriter, _ *http.Request) {
-	if a.driver.Standing().Leader == "" {
+	if a.driver.Status().Leader == "" {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	_, _ = w.Write([]byte(a.driver.Standing().Role.String() + "\n"))
+	_, _ = w.Write([]byte(a.driver.Status().Role.String() + "\n"))
 }
 
 func (a *App) clusterID() string { return *a.cluster.Load() }
@@ -232,7 +232,7 @@
 		return
 	}
 	driver.Transfer()
-	for driver.Standing().Role == replicator.Leader && ctx.Err() == nil {
+	for driver.Status().Role == replicator.Leader && ctx.Err() == nil {
 		<-clock.After(transferPollInterval)
 	}
 }
--- a/controller/app/joiner.go
+++ b/controller/app/joiner.go
@@ -47,7 +47,7 @@
 }
 
 func (j *joiner) participates() bool {
-	status := j.driver.Standing()
+	status := j.driver.Status()
 	votes := slices.ContainsFunc(status.Configuration.GetVoters(), func(m *wire.Member) bool {
 		return m.GetId() == j.self.GetId()
 	})
--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -265,7 +265,7 @@
 
 // leader returns the leader's address, or "".
 func (r *Routed) leader() string {
-	status := r.driver.Standing()
+	status := r.driver.Status()
 	for _, m := range status.Configuration.GetVoters() {
 		if m.GetId() == status.Leader && m.GetId() != r.id {
 			return m.GetAddress()
@@ -277,7 +277,7 @@
 // addresses returns the addresses of all known controllers.
 func (r *Routed) addresses() []string {
 	list := r.Settings.seedAddresses()
-	config := r.driver.Standing().Configuration
+	config := r.driver.Status().Configuration
 	if len(config.GetVoters()) > 0 {
 		list = nil
 	}
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -31,7 +31,7 @@
 
 // RaftDriver is the part of the replicated log that the coordinator uses.
 type RaftDriver interface {
-	Standing() *raftdriver.Status
+	Status() *raftdriver.Status
 	ProposeAsync(cmd *wire.Command, done func(applier.Result, error))
 	// Compact may take long, and may be called from any goroutine.
 	Compact(index uint64, state []byte)
@@ -183,7 +183,7 @@
 // followLeadership begins a term as leader, once all that was committed before has been
 // applied, and ends it.
 func (c *Coordinator) followLeadership() {
-	status := c.Raft.Standing()
+	status := c.Raft.Status()
 	leads := status.Leads(c.Clock.Now())
 	switch {
 	case leads && c.term != status.Term && c.state.Applied() >= status.TermStart:
@@ -227,7 +227,7 @@
 
 // leads reports whether the instance may answer reads and issue orders now.
 func (c *Coordinator) leads(now time.Time) bool {
-	status := c.Raft.Standing()
+	status := c.Raft.Status()
 	return c.term != 0 && c.term == status.Term && status.Leads(now)
 }
 
--- a/controller/coordinator/coordinator_bench_test.go
+++ b/controller/coordinator/coordinator_bench_test.go
@@ -19,7 +19,7 @@
 // leaderStub is a replicated log that this instance always leads.
 type leaderStub struct{ until time.Time }
 
-func (l *leaderStub) Standing() *raftdriver.Status {
+func (l *leaderStub) Status() *raftdriver.Status {
 	return &raftdriver.Status{Term: 1, LeaseUntil: l.until}
 }
 
--- a/controller/coordinator/reports.go
+++ b/controller/coordinator/reports.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		return err
 	}
-	if !led || !c.Raft.Standing().Leads(c.Clock.Now()) {
+	if !led || !c.Raft.Status().Leads(c.Clock.Now()) {
 		return raftdriver.ErrNotLeader
 	}
 	return nil
@@ -90,7 +90,7 @@
 
 // Status returns the operators' view of the whole system.
 func (c *Coordinator) Status(ctx context.Context) (*wire.StatusResponse, error) {
-	status := c.Raft.Standing()
+	status := c.Raft.Status()
 	res := &wire.StatusResponse{
 		Leader: status.Leader, Term: status.Term, Configuration: status.Configuration,
 	}
--- a/controller/coordinator/sessions.go
+++ b/controller/coordinator/sessions.go
@@ -23,7 +23,7 @@
 		return nil, err
 	}
 	// The lease is checked again: it may have expired while the call waited.
-	if res == nil || !c.Raft.Standing().Leads(c.Clock.Now()) {
+	if res == nil || !c.Raft.Status().Leads(c.Clock.Now()) {
 		return nil, raftdriver.ErrNotLeader
 	}
 	return res, nil
--- a/controller/raftdriver/raftdriver.go
+++ b/controller/raftdriver/raftdriver.go
@@ -219,11 +219,11 @@
 	})
 }
 
-// Standing returns the instance's present status.
-func (d *Driver) Standing() *Status { return d.status.Load() }
+// Status returns the instance's present status.
+func (d *Driver) Status() *Status { return d.status.Load() }
 
 // Leads reports whether this instance may answer reads and issue orders now.
-func (d *Driver) Leads() bool { return d.Standing().Leads(d.Clock.Now()) }
+func (d *Driver) Leads() bool { return d.Status().Leads(d.Clock.Now()) }
 
 // Deliver queues messages from other members. They are dropped when the queue is full, as a
 // network would.
--- a/controller/responder/operator.go
+++ b/controller/responder/operator.go
@@ -198,7 +198,7 @@
 
 func (r *Responder) members(ctx context.Context, _ *wire.MembersRequest) (*wire.MembersResponse, error) {
 	admitted, err := r.Coordinator.AdmittedMembers(ctx)
-	status := r.Raft.Standing()
+	status := r.Raft.Status()
 	return &wire.MembersResponse{
 		Configuration: status.Configuration, Admitted: admitted, Leader: status.Leader,
 	}, err
--- a/controller/responder/responder.go
+++ b/controller/responder/responder.go
@@ -46,7 +46,7 @@
 
 // LeaderAddress returns the address to forward a call to, or "".
 func (r *Responder) LeaderAddress() string {
-	status := r.Raft.Standing()
+	status := r.Raft.Status()
 	for _, m := range status.Configuration.GetVoters() {
 		if m.GetId() == status.Leader {
 			return m.GetAddress()
--- a/controller/routecoordinator/routecoordinator.go
+++ b/controller/routecoordinator/routecoordinator.go
@@ -53,7 +53,7 @@
 
 // Raft is what the coordinator uses of the replicated log.
 type Raft interface {
-	Standing() *raftdriver.Status
+	Status() *raftdriver.Status
 	Leads() bool
 	Propose(ctx context.Context, cmd *wire.Command) (applier.Result, error)
 	Compact(index uint64, state []byte)
@@ -301,7 +301,7 @@
 // followLeadership begins a term as leader, once all entries committed before it have been
 // applied, and ends it.
 func (c *Coordinator) followLeadership(now time.Time) {
-	status := c.Raft.Standing()
+	status := c.Raft.Status()
 	leads := status.Leads(now)
 	c.leaderKnown = c.leaderKnown || leads || status.Leader != ""
 	switch {
@@ -335,7 +335,7 @@
 
 // leads reports whether the instance may give orders now.
 func (c *Coordinator) leads(now time.Time) bool {
-	status := c.Raft.Standing()
+	status := c.Raft.Status()
 	return c.term != 0 && c.term == status.Term && status.Leads(now)
 }
 
--- a/controller/routecoordinator/routecoordinator_test.go
+++ b/controller/routecoordinator/routecoordinator_test.go
@@ -26,9 +26,9 @@
 	mu     sync.Mutex
 }
 
-func (k *fakeRaft) Standing() *raftdriver.Status { return &k.status }
-func (k *fakeRaft) Leads() bool                  { return k.status.Role != 0 }
-func (k *fakeRaft) Compact(uint64, []byte)       {}
+func (k *fakeRaft) Status() *raftdriver.Status { return &k.status }
+func (k *fakeRaft) Leads() bool                { return k.status.Role != 0 }
+func (k *fakeRaft) Compact(uint64, []byte)     {}
 
 func (k *fakeRaft) Propose(_ context.Context, cmd *wire.Command) (applier.Result, error) {
 	k.in <- k.item(cmd)
