--- a/controller/app/app.go
+++ b/controller/app/app.go
@@ -139,7 +139,7 @@
 	a.transporter = &transporter.Transporter{Log: a.Log, Client: a.peers, SnapshotClient: a.snapshotClient(), Cluster: a.clusterID, Self: a.member(id)}
 	a.coordinator = &coordinator.Coordinator{
 		Clock: a.Clock, Log: a.Log, Commits: commits, Policy: a.policy(), Lease: s.Timing.SessionLease,
-		MaxRequestDuration: s.Timing.LongestRequest, SnapshotInterval: uint64(s.Data.SnapshotEvery),
+		MaxRequestDuration: s.Timing.LongestRequest, SnapshotEntries: uint64(s.Data.SnapshotEvery),
 		ObserveBatchFill: a.meter.RecordBatchFill, ObserveInForce: func(d time.Duration) { a.meter.RecordDuration("in_force", d) },
 	}
 	a.driver = &raftdriver.Driver{
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	callQueueSize           = 8192
-	tickInterval            = 20 * time.Millisecond
-	defaultSnapshotInterval = 20_000
+	callQueueSize          = 8192
+	tickInterval           = 20 * time.Millisecond
+	defaultSnapshotEntries = 20_000
 )
 
 // RaftDriver is the part of the replicated log that the coordinator uses.
@@ -57,7 +57,8 @@
 	Policy             planner.Policy
 	Lease              time.Duration
 	MaxRequestDuration time.Duration
-	SnapshotInterval   uint64
+	// SnapshotEntries is the number of entries after which a snapshot replaces the log.
+	SnapshotEntries uint64
 
 	// CountQuarantine counts requests that are quarantined, and those that no longer are; nil
 	// counts nothing.
@@ -99,8 +100,8 @@
 	c.calls = sequencer.New(callQueueSize)
 	c.state = applier.New()
 	c.initArbiter()
-	if c.SnapshotInterval == 0 {
-		c.SnapshotInterval = defaultSnapshotInterval
+	if c.SnapshotEntries == 0 {
+		c.SnapshotEntries = defaultSnapshotEntries
 	}
 }
 
@@ -142,7 +143,7 @@
 	}
 	c.arbiter.SyncState(c.Clock.Now())
 	c.admitted.Store(&raftdriver.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
-	if c.state.Applied() >= c.snapshotIndex+c.SnapshotInterval {
+	if c.state.Applied() >= c.snapshotIndex+c.SnapshotEntries {
 		c.compact()
 	}
 }
@@ -165,7 +166,7 @@
 func (c *Coordinator) compact() {
 	c.snapshotIndex = c.state.Applied()
 	if !c.compacting.CompareAndSwap(false, true) {
-		// The next attempt follows after SnapshotInterval more entries.
+		// The next attempt follows after SnapshotEntries more entries.
 		return
 	}
 	frozen := c.state.Freeze()
