--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -172,7 +172,7 @@
 	r.driver.Init(contents)
 	r.relay = &announcementRelay{log: r.Log, client: r.peers, self: self.GetAddress(), queues: map[string]chan []*wire.Announcement{}, ctx: ctx}
 	r.coordinator = &routecoordinator.Coordinator{
-		Clock: r.Clock, Log: r.Log, Raft: r.driver, Committed: commits, SendOrder: r.orders().send,
+		Clock: r.Clock, Log: r.Log, Raft: r.driver, Commits: commits, SendOrder: r.orders().send,
 		Relay: func(list []*wire.Announcement) { r.relay.send(r.addresses(), list) }, Controllers: r.addresses,
 		Limits: quotaallocator.Rule{Window: s.Limits.Window, Overage: s.Limits.Overage, Slack: s.Limits.Slack},
 		Policy: r.policy(), SilentAfter: silentAnnouncements * s.Timing.Announcements, HandoverDelay: s.handoverDelay(),
--- a/controller/routecoordinator/routecoordinator.go
+++ b/controller/routecoordinator/routecoordinator.go
@@ -64,8 +64,8 @@
 	Clock clockwork.Clock
 	Log   *slog.Logger
 	Raft  Raft
-	// Committed delivers committed entries.
-	Committed <-chan raftdriver.CommittedBatch
+	// Commits delivers committed entries.
+	Commits <-chan raftdriver.CommittedBatch
 	// SendOrder sends orders to engines and reports the outcome of each. It must not block.
 	SendOrder func(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState))
 	// Relay forwards announcements to the other controllers. It must not block.
@@ -180,7 +180,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case item := <-c.Committed:
+		case item := <-c.Commits:
 			c.apply(item)
 		case call := <-c.calls.Calls():
 			call(c.Clock.Now())
