--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -213,7 +213,7 @@
 func (r *Routed) policy() placer.Policy {
 	policy, s := placer.DefaultPolicy(), r.Settings.Placement
 	policy.ReservedSlots, policy.ColdLoad, policy.WarmLoad, policy.FillPerReplica = s.Reserve, s.ColdLoad, s.WarmLoad, s.FillPerCopy
-	policy.Off = r.Settings.off()
+	policy.Disabled = r.Settings.off()
 	return policy
 }
 
--- a/gateway/app/routed.go
+++ b/gateway/app/routed.go
@@ -121,7 +121,7 @@
 	r.enforcer.Init()
 	r.forwarder = &forwarder.Forwarder{
 		Regulator: r.regulator, Granter: r.granter, Isolator: r.isolator, QuotaEnforcer: r.enforcer,
-		Clock: r.Clock, Log: r.Log, Zone: s.Instance.Zone, Meter: r.meter, RequestAdapters: r.requestAdapters, Off: s.off(),
+		Clock: r.Clock, Log: r.Log, Zone: s.Instance.Zone, Meter: r.meter, RequestAdapters: r.requestAdapters, Disabled: s.off(),
 		Budget: forwarder.RetryBudget{Window: s.Budget.Window, Ratio: s.Budget.Ratio, Slack: s.Budget.Slack},
 		Keys:   forwarder.KeyPolicy{Strict: s.Keys.Strict, StaleAfter: s.Keys.StaleAfter},
 		Sender: &sender.Sender{
@@ -146,7 +146,7 @@
 	}
 	r.frontend = &acceptor.Acceptor{
 		Clock: r.Clock, Log: r.Log, Address: s.Instance.Listen, Handle: r.forwarder.Handle,
-		CheckHead: r.forwarder.Screen,
+		CheckHead: r.forwarder.CheckHead,
 		Limits:    r.forwarder.Limits, MaxConnections: s.Instance.MaxFiles / callerFilesDivisor,
 	}
 	mux := http.NewServeMux()
--- a/gateway/forwarder/ablation_test.go
+++ b/gateway/forwarder/ablation_test.go
@@ -19,7 +19,7 @@
 // newAblatedForwarder returns a forwarder with mechanisms disabled, and a job for an adapter on
 // a paced route of the second priority.
 func newAblatedForwarder(off ...ablator.Mechanism) (*Forwarder, *job) {
-	f := &Forwarder{Clock: clockwork.NewFakeClock(), Off: ablator.Disable(off...)}
+	f := &Forwarder{Clock: clockwork.NewFakeClock(), Disabled: ablator.Disable(off...)}
 	f.Init()
 	route := withPrompts(&wire.Route{Priority: 2, Repetition: wire.Repetition_REPETITION_STREAM})
 	j := &job{route: route, service: "s", adapter: "m/x", meta: platform.Request{PromptTokens: 100}, req: &acceptor.Request{Head: &framer.RequestHead{}}}
--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -111,7 +111,7 @@
 	if !j.clientDeadline.IsZero() {
 		dispatch.Remaining = j.deadline.Sub(f.Clock.Now())
 	}
-	if j.adapter != "" && !f.Off.Has(ablator.PriorityOrder) {
+	if j.adapter != "" && !f.Disabled.Has(ablator.PriorityOrder) {
 		dispatch.Urgency = min(int(j.urgency()), lowestUrgency)
 	}
 	return &sender.Request{
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -65,8 +65,8 @@
 	Meter  *meter.Meter
 	Budget RetryBudget
 	Keys   KeyPolicy
-	// Off are the mechanisms that an experiment disables.
-	Off ablator.Disabled
+	// Disabled are the mechanisms that an experiment disables.
+	Disabled ablator.Disabled
 	// Regulator paces prompts; nil sends them at once.
 	Regulator *regulator.Regulator
 	// Isolator quarantines the requests that crash backend servers.
@@ -111,7 +111,7 @@
 func (f *Forwarder) Init() {
 	f.startedAt = f.Clock.Now()
 	f.tableKnown = make(chan struct{})
-	f.balancer = &balancer.Balancer{Zone: f.Zone, Off: f.Off}
+	f.balancer = &balancer.Balancer{Zone: f.Zone, Disabled: f.Disabled}
 	f.retryLimiters = map[string]*retrylimiter.Limiter{}
 	f.waiting = map[*balancer.Waiter]chan balancer.Decision{}
 	f.demand = map[string]uint32{}
--- a/gateway/forwarder/harness_test.go
+++ b/gateway/forwarder/harness_test.go
@@ -78,7 +78,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	c.Cleanup(cancel)
 	go f.Run(ctx)
-	frontend := &acceptor.Acceptor{Clock: clock, Log: log, Address: "127.0.0.1:0", Handle: f.Handle, CheckHead: f.Screen}
+	frontend := &acceptor.Acceptor{Clock: clock, Log: log, Address: "127.0.0.1:0", Handle: f.Handle, CheckHead: f.CheckHead}
 	c.Assert(frontend.Start(), qt.IsNil)
 	c.Cleanup(func() { _ = frontend.Stop(ctx) })
 	return frontend.Addr(), f
--- a/gateway/forwarder/job.go
+++ b/gateway/forwarder/job.go
@@ -191,7 +191,7 @@
 const budgetMargin = 0.9
 
 func (f *Forwarder) budgetMargin() float64 {
-	if f.Off.Has(ablator.BudgetMargin) {
+	if f.Disabled.Has(ablator.BudgetMargin) {
 		return 1
 	}
 	return budgetMargin
--- a/gateway/forwarder/key.go
+++ b/gateway/forwarder/key.go
@@ -29,9 +29,9 @@
 	StaleAfter time.Duration
 }
 
-// Screen refuses a request by its head alone if its route requires a key and no customer holds
-// the request's key. It reports whether it did.
-func (f *Forwarder) Screen(req *acceptor.Request, reply *acceptor.Reply) bool {
+// CheckHead refuses a request by its head alone if its route requires a key and no customer
+// holds the request's key. It reports whether it did.
+func (f *Forwarder) CheckHead(req *acceptor.Request, reply *acceptor.Reply) bool {
 	f.mu.Lock()
 	table := f.table
 	f.mu.Unlock()
--- a/gateway/forwarder/key_test.go
+++ b/gateway/forwarder/key_test.go
@@ -152,7 +152,7 @@
 	})
 	address, f := keyedGateway(c, 0)
 	// Requests wait here, and not for a slot that is granted by another gateway.
-	f.Off = ablator.Disable(ablator.Dispensing)
+	f.Disabled = ablator.Disable(ablator.Dispensing)
 	announced := b.announcement("s")
 	announced.Slots = 1
 	f.Apply("controller", &wire.SyncResponse{Announcements: []*wire.Announcement{announced}})
--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -32,7 +32,7 @@
 // admitPrompt waits until a prompt may be sent to the chosen engine. It reports false when it
 // may not: then another engine may be better by now, or the deadline has passed.
 func (f *Forwarder) admitPrompt(ctx context.Context, j *job, backend *wire.Announcement) bool {
-	if f.Regulator == nil || !j.canBePaced() || f.Off.Has(ablator.Pacing) {
+	if f.Regulator == nil || !j.canBePaced() || f.Disabled.Has(ablator.Pacing) {
 		return true
 	}
 	began := f.Clock.Now()
--- a/gateway/forwarder/slot.go
+++ b/gateway/forwarder/slot.go
@@ -27,7 +27,7 @@
 // needsSlotGrant reports whether the slots of a request's backend servers are granted: gateways
 // have much work for a plain service.
 func (f *Forwarder) needsSlotGrant(j *job) bool {
-	if f.Regulator == nil || f.Off.Has(ablator.Dispensing) || f.isEngine(j.service) {
+	if f.Regulator == nil || f.Disabled.Has(ablator.Dispensing) || f.isEngine(j.service) {
 		return false
 	}
 	f.mu.Lock()
--- a/pkg/balancer/ablation_test.go
+++ b/pkg/balancer/ablation_test.go
@@ -38,7 +38,7 @@
 			for _, isOff := range []bool{false, true} {
 				b, want := newBalancer("a", "b", "c", "d"), test.on
 				if isOff {
-					b.Off, want = ablator.Disable(name), test.off
+					b.Disabled, want = ablator.Disable(name), test.off
 				}
 				test.prepare(b)
 				waiters := make([]*Waiter, 0, len(test.waiters))
@@ -68,7 +68,7 @@
 			for i := range 100 {
 				b := newBalancer("a", "b", "d")
 				b.UpdateBackend(begin(), &wire.Announcement{Id: "c", Service: "s", Address: "c", Zone: "elsewhere", Slots: 4, Sequence: 1})
-				b.Off = ablator.Disable(test.off...)
+				b.Disabled = ablator.Disable(test.off...)
 				b.SetLoads([]*wire.Load{{Backend: "b", Requests: 1}, {Backend: "d", Requests: 3}})
 				got[decide(b, begin().Add(time.Duration(i)), waiter("w"))["w"]] = true
 			}
--- a/pkg/balancer/balancer.go
+++ b/pkg/balancer/balancer.go
@@ -49,8 +49,8 @@
 type Balancer struct {
 	// Zone is the gateway's own availability zone.
 	Zone string
-	// Off is the set of mechanisms that an experiment disables.
-	Off ablator.Disabled
+	// Disabled is the set of mechanisms that an experiment disables.
+	Disabled ablator.Disabled
 	// Rand makes choices repeatable; nil uses the process-wide source.
 	Rand *rand.Rand
 
@@ -254,7 +254,7 @@
 
 // compare orders by urgency, then by arrival.
 func (b *Balancer) compare(one, other *Waiter) int {
-	if one.Urgency != other.Urgency && !b.Off.Has(ablator.PriorityOrder) {
+	if one.Urgency != other.Urgency && !b.Disabled.Has(ablator.PriorityOrder) {
 		return int(one.Urgency) - int(other.Urgency)
 	}
 	if one.order < other.order {
--- a/pkg/balancer/chooser.go
+++ b/pkg/balancer/chooser.go
@@ -17,7 +17,7 @@
 			return best, append(holders, eligible...)
 		}
 		holders = append(holders, eligible...)
-		if len(holders) > 0 && len(c.suspected) == 0 && !b.Off.Has(ablator.FullHolder) {
+		if len(holders) > 0 && len(c.suspected) == 0 && !b.Disabled.Has(ablator.FullHolder) {
 			// A holder without room is no reason to use one where an attempt has failed.
 			return nil, holders
 		}
@@ -42,7 +42,7 @@
 	for _, k := range b.byService[w.Service] {
 		switch {
 		case !k.accepting():
-		case k.silent(now), k.ejected(now) && !b.Off.Has(ablator.Ejection):
+		case k.silent(now), k.ejected(now) && !b.Disabled.Has(ablator.Ejection):
 			c.suspected = append(c.suspected, k)
 		case slices.Contains(w.Avoid, k.info.GetId()):
 			c.alreadyTried = append(c.alreadyTried, k)
@@ -100,7 +100,7 @@
 	if usesSlotGrants {
 		score = b.scoreForSlotGrant
 	}
-	if b.Off.Has(ablator.TwoChoices) {
+	if b.Disabled.Has(ablator.TwoChoices) {
 		return slices.MinFunc(available, func(one, other *backend) int { return cmp.Compare(score(now, one), score(now, other)) })
 	}
 	first := b.intN(len(available))
@@ -120,7 +120,7 @@
 func (b *Balancer) score(now time.Time, k *backend) float64 {
 	score := k.load() + k.currentFailureRate(now)*failurePenalty + b.float64()*jitter
 	score += float64(k.remainingBacklog(now)) / float64(fullBacklog)
-	if k.info.GetZone() != b.Zone && !b.Off.Has(ablator.ZonePenalty) {
+	if k.info.GetZone() != b.Zone && !b.Disabled.Has(ablator.ZonePenalty) {
 		score += zonePenalty
 	}
 	return score
--- a/pkg/placer/ablation_test.go
+++ b/pkg/placer/ablation_test.go
@@ -13,7 +13,7 @@
 // placerWithout returns a placer of three empty engines, with mechanisms disabled.
 func placerWithout(off ...ablator.Mechanism) *Placer {
 	policy := DefaultPolicy()
-	policy.Off = ablator.Disable(off...)
+	policy.Disabled = ablator.Disable(off...)
 	p := New(policy)
 	p.SetTable(&wire.RoutingTable{Services: []*wire.RoutedService{{Name: "s", Engine: &wire.EngineLimits{AdapterSlots: 4}}}})
 	for _, id := range []string{"a", "b", "c"} {
--- a/pkg/placer/assigner.go
+++ b/pkg/placer/assigner.go
@@ -216,10 +216,10 @@
 
 func (p *Placer) cost(now time.Time, e *engine, id, adapter string) float64 {
 	cost := e.usage.Requests / float64(max(1, e.info.GetSlots()))
-	if !p.policy.Off.Has(ablator.Homes) {
+	if !p.policy.Disabled.Has(ablator.Homes) {
 		cost += affinityWeight * hashDistance(adapter, id)
 	}
-	if !p.isCached(e, adapter) && !p.policy.Off.Has(ablator.WarmFirst) {
+	if !p.isCached(e, adapter) && !p.policy.Disabled.Has(ablator.WarmFirst) {
 		cost += coldWeight
 	}
 	cost += queueWeight * float64(len(e.queue)+e.loadingCount())
--- a/pkg/placer/knowledge.go
+++ b/pkg/placer/knowledge.go
@@ -64,7 +64,7 @@
 // peakRate returns the higher of the two rates: rising demand gets its replicas soon, and
 // demand that has paused for a moment keeps them.
 func (d *demand) peakRate(now time.Time, policy *Policy) float64 {
-	if policy.Off.Has(ablator.RisingCopies) {
+	if policy.Disabled.Has(ablator.RisingCopies) {
 		return d.rateAt(now, policy.DemandHalfLife)
 	}
 	burst := d.burstRate * decayFactor(float64(now.Sub(d.lastRequest))/float64(policy.BurstHalfLife))
--- a/pkg/placer/learner.go
+++ b/pkg/placer/learner.go
@@ -28,11 +28,11 @@
 func (p *Placer) learnLoadTime(now time.Time, slot *adapterSlot) {
 	took := now.Sub(slot.orderedAt)
 	quick := took < p.coldLoad/2
-	if !quick && !slot.timingInvalid && !p.policy.Off.Has(ablator.LearntStore) {
+	if !quick && !slot.timingInvalid && !p.policy.Disabled.Has(ablator.LearntStore) {
 		p.learnColdLoad(slot, took)
 	}
 	switch {
-	case slot.reuseDistance < 0 || p.policy.Off.Has(ablator.LearntHost):
+	case slot.reuseDistance < 0 || p.policy.Disabled.Has(ablator.LearntHost):
 	case quick:
 		p.hostAdapters = max(p.hostAdapters, slot.reuseDistance+1)
 	case slot.reuseDistance < p.hostAdapters && !slot.timingInvalid:
--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -51,8 +51,8 @@
 	// UnloadCheckInterval is the time between two checks whether an unload has ended that waits
 	// for running requests.
 	UnloadCheckInterval time.Duration
-	// Off are the mechanisms that an experiment disables.
-	Off ablator.Disabled
+	// Disabled are the mechanisms that an experiment disables.
+	Disabled ablator.Disabled
 }
 
 // DefaultPolicy returns the default limits; docs/MEASURED.md has the runs.
