--- a/controller/routecoordinator/isolation.go
+++ b/controller/routecoordinator/isolation.go
@@ -28,7 +28,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), proposalTimeout)
 		defer cancel()
 		if _, err := c.Raft.Propose(ctx, cmd); err != nil {
-			c.Log.Warn("quarantine change not committed", "Change", fmt.Sprintf("%T", cmd.GetBody()), "Error", err.Error())
+			c.Log.Warn("a quarantine decision was not committed", "Change", fmt.Sprintf("%T", cmd.GetBody()), "Error", err.Error())
 		}
 	}()
 }
--- a/controller/routecoordinator/learning.go
+++ b/controller/routecoordinator/learning.go
@@ -26,7 +26,7 @@
 		}
 		changed, complete := c.leaderHoldings.Apply(res.GetHoldingRevision(), res.GetHoldingsSince(), res.GetHoldings())
 		if !complete {
-			c.Log.Warn("difference of the leader's holdings does not follow the known revision; requesting the complete holdings", "Since", res.GetHoldingsSince())
+			c.Log.Warn("holdings difference does not follow the known revision; requesting the complete holdings", "Since", res.GetHoldingsSince())
 			c.leaderHoldings.Reset(0)
 			return
 		}
--- a/controller/routecoordinator/mesh.go
+++ b/controller/routecoordinator/mesh.go
@@ -52,7 +52,7 @@
 		cmd.Body = &wire.Command_PutAdapterVersion{PutAdapterVersion: change.Version}
 	case *wire.PutRequest_ReleaseHeld:
 		cmd.Body = &wire.Command_ReleaseHeld{ReleaseHeld: change.ReleaseHeld}
-		m.Coordinator.Log.Info("quarantined request released", "Fingerprint", change.ReleaseHeld.GetFingerprint(),
+		m.Coordinator.Log.Info("a request was released from quarantine", "Fingerprint", change.ReleaseHeld.GetFingerprint(),
 			"Reason", change.ReleaseHeld.GetReason())
 	}
 	if err := m.commit(ctx, cmd); err != nil {
--- a/controller/routecoordinator/routecoordinator.go
+++ b/controller/routecoordinator/routecoordinator.go
@@ -219,7 +219,7 @@
 
 func (c *Coordinator) tableChanged() {
 	table := c.state.Table().GetTable()
-	c.Log.Info("routing table in force", "Version", table.GetVersion(), "Routes", len(table.GetRoutes()))
+	c.Log.Info("a table is in force", "Version", table.GetVersion(), "Routes", len(table.GetRoutes()))
 	if c.allocator != nil {
 		c.allocator.SetCustomers(c.Clock.Now(), table.GetCustomers())
 	}
@@ -246,7 +246,7 @@
 	state, err := applier.Restore(s.GetState())
 	if err != nil {
 		// The snapshot's checksum was valid, so another version wrote it.
-		c.Log.Error("cannot decode the snapshot", "Error", err.Error())
+		c.Log.Error("a snapshot can't be decoded", "Error", err.Error())
 		return
 	}
 	c.state = state
@@ -266,7 +266,7 @@
 		defer c.compacting.Store(false)
 		data, err := applier.Encode(frozen)
 		if err != nil {
-			c.Log.Error("cannot encode the state", "Error", err.Error())
+			c.Log.Error("the state can't be encoded", "Error", err.Error())
 			return
 		}
 		c.Raft.Compact(frozen.GetApplied(), data)
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -163,7 +163,7 @@
 		if f.QuotaEnforcer != nil {
 			f.QuotaEnforcer.SetCustomers(t.GetCustomers())
 		}
-		f.Log.Info("applied a routing table", "Version", t.GetVersion(), "Controller", controller, "Routes", len(t.GetRoutes()))
+		f.Log.Info("a table is in force", "Version", t.GetVersion(), "Controller", controller, "Routes", len(t.GetRoutes()))
 	}
 	f.applyAnnouncements(now, res.GetAnnouncements())
 	for _, v := range res.GetVersions() {
