--- a/gateway/forwarder/attempt.go
+++ b/gateway/forwarder/attempt.go
@@ -34,7 +34,7 @@
 		return false
 	}
 	if d.Backend == nil {
-		f.giveUp(j, d.Reason, d.RetryAfter)
+		f.refuseOrFail(j, d.Reason, d.RetryAfter)
 		return false
 	}
 	if j.usesSlotGrants && !f.acquireSlot(ctx, j, d.Backend) {
@@ -154,7 +154,7 @@
 		if j.sends < maxSends {
 			return true
 		}
-		f.giveUp(j, "no backend server could be reached", retryAfterRejection)
+		f.refuseOrFail(j, "no backend server could be reached", retryAfterRejection)
 		return false
 	}
 	j.runs++
@@ -206,7 +206,7 @@
 		j.reply.Abort()
 		return false
 	}
-	f.giveUp(j, "backend servers refused", retryAfterRejection)
+	f.refuseOrFail(j, "backend servers refused", retryAfterRejection)
 	return false
 }
 
@@ -243,12 +243,13 @@
 		f.logEvent(j, nil, "the time is over", statusTimeout)
 		f.fail(j, statusTimeout)
 	default:
-		f.giveUp(j, balancer.ReasonTimeout, retryAfterRejection)
+		f.refuseOrFail(j, balancer.ReasonTimeout, retryAfterRejection)
 	}
 }
 
-// giveUp refuses a request. If no attempt of it may have run, the refusal says so.
-func (f *Forwarder) giveUp(j *job, reason string, retryAfter time.Duration) {
+// refuseOrFail ends a request that can't be served. It aborts a reply that has begun, fails the
+// request if an attempt of it may have run, and otherwise refuses it.
+func (f *Forwarder) refuseOrFail(j *job, reason string, retryAfter time.Duration) {
 	switch {
 	case j.reply.Begun():
 		f.logEvent(j, nil, reason, 0)
--- a/gateway/forwarder/isolation.go
+++ b/gateway/forwarder/isolation.go
@@ -58,7 +58,7 @@
 		return false
 	}
 	f.Meter.Increment("requests_held_back", "service", j.service)
-	f.giveUp(j, reasonQuarantined, decision.Remaining)
+	f.refuseOrFail(j, reasonQuarantined, decision.Remaining)
 	return true
 }
 
--- a/gateway/forwarder/key.go
+++ b/gateway/forwarder/key.go
@@ -54,9 +54,9 @@
 func (f *Forwarder) refuseKey(j *job) {
 	switch {
 	case f.keysAreStale():
-		f.giveUp(j, reasonKeysStale, retryAfterUnknownKey)
+		f.refuseOrFail(j, reasonKeysStale, retryAfterUnknownKey)
 	case f.leaderAge() > maxCertainAge:
-		f.giveUp(j, reasonKeyUncertain, retryAfterUnknownKey)
+		f.refuseOrFail(j, reasonKeyUncertain, retryAfterUnknownKey)
 	default:
 		f.refuse(j, statusNoKey, reasonNoKey, 0)
 	}
@@ -91,7 +91,7 @@
 		return true
 	}
 	if j.runs > 0 {
-		f.giveUp(j, reasonNoKey, 0)
+		f.refuseOrFail(j, reasonNoKey, 0)
 		return false
 	}
 	f.refuseKey(j)
--- a/gateway/forwarder/limit.go
+++ b/gateway/forwarder/limit.go
@@ -58,9 +58,9 @@
 	case ctx.Err() != nil:
 		f.handleExpiry(ctx, j)
 	case !decision.OverLimit:
-		f.giveUp(j, reasonLimitUnknown, retryWithoutLeader)
+		f.refuseOrFail(j, reasonLimitUnknown, retryWithoutLeader)
 	case j.runs > 0 || j.reply.Begun():
-		f.giveUp(j, reasonOverLimit, 0)
+		f.refuseOrFail(j, reasonOverLimit, 0)
 	default:
 		f.refuse(j, statusTooMany, reasonOverLimit, decision.RetryIn)
 	}
--- a/gateway/forwarder/prompt.go
+++ b/gateway/forwarder/prompt.go
@@ -135,7 +135,7 @@
 		return false
 	}
 	if !f.Clock.Now().Before(j.sendBy) {
-		f.giveUp(j, balancer.ReasonTimeout, retryAfterRejection)
+		f.refuseOrFail(j, balancer.ReasonTimeout, retryAfterRejection)
 		return false
 	}
 	return true
--- a/gateway/forwarder/slot.go
+++ b/gateway/forwarder/slot.go
@@ -92,6 +92,6 @@
 		return f.chooseAgain(ctx, j, backend)
 	}
 	f.recordOutcome(j, backend.GetId(), balancer.Abandoned)
-	f.giveUp(j, reasonOverloaded, retryAfterOverload)
+	f.refuseOrFail(j, reasonOverloaded, retryAfterOverload)
 	return false
 }
--- a/pkg/quotaallocator/quotaallocator.go
+++ b/pkg/quotaallocator/quotaallocator.go
@@ -1,6 +1,6 @@
 // Package quotaallocator enforces a customer's limit over all gateways together. The leader
 // grants quota leases, and each gateway sends requests from its lease. It has no side effects:
-// calls and the time go in, leases come out. The curator calls it on the leader, the
+// calls and the time go in, leases come out. The routecoordinator calls it on the leader, the
 // quotaenforcer on gateways.
 //
 // In any window the leader grants no more than rate and burst allow. Quota that was granted
--- a/pkg/throttler/allocator_test.go
+++ b/pkg/throttler/allocator_test.go
@@ -13,8 +13,8 @@
 	c := qt.New(t)
 	var a Allocator
 	a.SetRate(at(0), 10)
-	request := func(key string, urgency uint32, received, giveUp int) GrantRequest {
-		return GrantRequest{Key: key, Urgency: urgency, ReceivedAt: at(received), Deadline: at(giveUp), CanWait: true}
+	request := func(key string, urgency uint32, received, deadline int) GrantRequest {
+		return GrantRequest{Key: key, Urgency: urgency, ReceivedAt: at(received), Deadline: at(deadline), CanWait: true}
 	}
 	c.Check(a.Submit(at(0), request("late", 1, 5, 2000)).Waiting, qt.IsTrue)
 	c.Check(a.Submit(at(0), request("early", 1, 0, 2000)).Waiting, qt.IsTrue)
