--- a/pkg/placer/policy.go
+++ b/pkg/placer/policy.go
@@ -55,7 +55,7 @@
 	Disabled ablator.Disabled
 }
 
-// DefaultPolicy returns the default limits; docs/MEASURED.md has the runs.
+// DefaultPolicy returns the default limits.
 func DefaultPolicy() Policy {
 	return Policy{
 		ReservedSlots: 1, MaxLoadsPerEngine: 4, ColdLoad: 250 * time.Millisecond, WarmLoad: 25 * time.Millisecond,
--- a/pkg/planner/leases.go
+++ b/pkg/planner/leases.go
@@ -11,8 +11,7 @@
 
 const (
 	termShift = 32
-	// A longer decay keeps earlier adapters in their slots when popularity shifts: of 5 min, 1
-	// min and 20 s the last gave the shortest load stalls.
+	// A longer decay keeps earlier adapters in their slots when popularity shifts.
 	popularityDecay = 20 * time.Second
 )
 
