--- a/controller/app/routed.go
+++ b/controller/app/routed.go
@@ -172,7 +172,7 @@
 	r.driver.Init(contents)
 	r.relay = &announcementRelay{log: r.Log, client: r.peers, self: self.GetAddress(), queues: map[string]chan []*wire.Announcement{}, ctx: ctx}
 	r.coordinator = &routecoordinator.Coordinator{
-		Clock: r.Clock, Log: r.Log, Raft: r.driver, Committed: commits, SendOrder: r.orders().send,
+		Clock: r.Clock, Log: r.Log, Raft: r.driver, Commits: commits, SendOrder: r.orders().send,
 		Relay: func(list []*wire.Announcement) { r.relay.send(r.addresses(), list) }, Controllers: r.addresses,
 		Limits: quotaallocator.Rule{Window: s.Limits.Window, Overage: s.Limits.Overage, Slack: s.Limits.Slack},
 		Policy: r.policy(), SilentAfter: silentAnnouncements * s.Timing.Announcements, HandoverDelay: s.handoverDelay(),
@@ -213,7 +213,7 @@
 func (r *Routed) policy() placer.Policy {
 	policy, s := placer.DefaultPolicy(), r.Settings.Placement
 	policy.ReservedSlots, policy.ColdLoad, policy.WarmLoad, policy.FillPerReplica = s.Reserve, s.ColdLoad, s.WarmLoad, s.FillPerCopy
-	policy.Off = r.Settings.off()
+	policy.Disabled = r.Settings.off()
 	return policy
 }
 
@@ -265,7 +265,7 @@
 
 // leader returns the leader's address, or "".
 func (r *Routed) leader() string {
-	status := r.driver.Standing()
+	status := r.driver.Status()
 	for _, m := range status.Configuration.GetVoters() {
 		if m.GetId() == status.Leader && m.GetId() != r.id {
 			return m.GetAddress()
@@ -277,7 +277,7 @@
 // addresses returns the addresses of all known controllers.
 func (r *Routed) addresses() []string {
 	list := r.Settings.seedAddresses()
-	config := r.driver.Standing().Configuration
+	config := r.driver.Status().Configuration
 	if len(config.GetVoters()) > 0 {
 		list = nil
 	}
--- a/controller/coordinator/coordinator.go
+++ b/controller/coordinator/coordinator.go
@@ -24,14 +24,14 @@
 )
 
 const (
-	callQueueSize           = 8192
-	tickInterval            = 20 * time.Millisecond
-	defaultSnapshotInterval = 20_000
+	callQueueSize          = 8192
+	tickInterval           = 20 * time.Millisecond
+	defaultSnapshotEntries = 20_000
 )
 
 // RaftDriver is the part of the replicated log that the coordinator uses.
 type RaftDriver interface {
-	Standing() *raftdriver.Status
+	Status() *raftdriver.Status
 	ProposeAsync(cmd *wire.Command, done func(applier.Result, error))
 	// Compact may take long, and may be called from any goroutine.
 	Compact(index uint64, state []byte)
@@ -57,7 +57,8 @@
 	Policy             planner.Policy
 	Lease              time.Duration
 	MaxRequestDuration time.Duration
-	SnapshotInterval   uint64
+	// SnapshotEntries is the number of entries after which a snapshot replaces the log.
+	SnapshotEntries uint64
 
 	// CountQuarantine counts requests that are quarantined, and those that no longer are; nil
 	// counts nothing.
@@ -99,8 +100,8 @@
 	c.calls = sequencer.New(callQueueSize)
 	c.state = applier.New()
 	c.initArbiter()
-	if c.SnapshotInterval == 0 {
-		c.SnapshotInterval = defaultSnapshotInterval
+	if c.SnapshotEntries == 0 {
+		c.SnapshotEntries = defaultSnapshotEntries
 	}
 }
 
@@ -142,7 +143,7 @@
 	}
 	c.arbiter.SyncState(c.Clock.Now())
 	c.admitted.Store(&raftdriver.Admission{Names: c.state.AdmittedMembers(), Applied: c.state.Applied()})
-	if c.state.Applied() >= c.snapshotIndex+c.SnapshotInterval {
+	if c.state.Applied() >= c.snapshotIndex+c.SnapshotEntries {
 		c.compact()
 	}
 }
@@ -165,7 +166,7 @@
 func (c *Coordinator) compact() {
 	c.snapshotIndex = c.state.Applied()
 	if !c.compacting.CompareAndSwap(false, true) {
-		// The next attempt follows after SnapshotInterval more entries.
+		// The next attempt follows after SnapshotEntries more entries.
 		return
 	}
 	frozen := c.state.Freeze()
@@ -183,7 +184,7 @@
 // followLeadership begins a term as leader, once all that was committed before has been
 // applied, and ends it.
 func (c *Coordinator) followLeadership() {
-	status := c.Raft.Standing()
+	status := c.Raft.Status()
 	leads := status.Leads(c.Clock.Now())
 	switch {
 	case leads && c.term != status.Term && c.state.Applied() >= status.TermStart:
@@ -227,7 +228,7 @@
 
 // leads reports whether the instance may answer reads and issue orders now.
 func (c *Coordinator) leads(now time.Time) bool {
-	status := c.Raft.Standing()
+	status := c.Raft.Status()
 	return c.term != 0 && c.term == status.Term && status.Leads(now)
 }
 
--- a/controller/routecoordinator/routecoordinator.go
+++ b/controller/routecoordinator/routecoordinator.go
@@ -53,7 +53,7 @@
 
 // Raft is what the coordinator uses of the replicated log.
 type Raft interface {
-	Standing() *raftdriver.Status
+	Status() *raftdriver.Status
 	Leads() bool
 	Propose(ctx context.Context, cmd *wire.Command) (applier.Result, error)
 	Compact(index uint64, state []byte)
@@ -64,8 +64,8 @@
 	Clock clockwork.Clock
 	Log   *slog.Logger
 	Raft  Raft
-	// Committed delivers committed entries.
-	Committed <-chan raftdriver.CommittedBatch
+	// Commits delivers committed entries.
+	Commits <-chan raftdriver.CommittedBatch
 	// SendOrder sends orders to engines and reports the outcome of each. It must not block.
 	SendOrder func(order placer.Order, term uint64, done func(placer.Outcome, *placer.EngineState))
 	// Relay forwards announcements to the other controllers. It must not block.
@@ -180,7 +180,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case item := <-c.Committed:
+		case item := <-c.Commits:
 			c.apply(item)
 		case call := <-c.calls.Calls():
 			call(c.Clock.Now())
@@ -219,7 +219,7 @@
 
 func (c *Coordinator) tableChanged() {
 	table := c.state.Table().GetTable()
-	c.Log.Info("routing table in force", "Version", table.GetVersion(), "Routes", len(table.GetRoutes()))
+	c.Log.Info("a table is in force", "Version", table.GetVersion(), "Routes", len(table.GetRoutes()))
 	if c.allocator != nil {
 		c.allocator.SetCustomers(c.Clock.Now(), table.GetCustomers())
 	}
@@ -246,7 +246,7 @@
 	state, err := applier.Restore(s.GetState())
 	if err != nil {
 		// The snapshot's checksum was valid, so another version wrote it.
-		c.Log.Error("cannot decode the snapshot", "Error", err.Error())
+		c.Log.Error("a snapshot can't be decoded", "Error", err.Error())
 		return
 	}
 	c.state = state
@@ -266,7 +266,7 @@
 		defer c.compacting.Store(false)
 		data, err := applier.Encode(frozen)
 		if err != nil {
-			c.Log.Error("cannot encode the state", "Error", err.Error())
+			c.Log.Error("the state can't be encoded", "Error", err.Error())
 			return
 		}
 		c.Raft.Compact(frozen.GetApplied(), data)
@@ -301,7 +301,7 @@
 // followLeadership begins a term as leader, once all entries committed before it have been
 // applied, and ends it.
 func (c *Coordinator) followLeadership(now time.Time) {
-	status := c.Raft.Standing()
+	status := c.Raft.Status()
 	leads := status.Leads(now)
 	c.leaderKnown = c.leaderKnown || leads || status.Leader != ""
 	switch {
@@ -335,7 +335,7 @@
 
 // leads reports whether the instance may give orders now.
 func (c *Coordinator) leads(now time.Time) bool {
-	status := c.Raft.Standing()
+	status := c.Raft.Status()
 	return c.term != 0 && c.term == status.Term && status.Leads(now)
 }
 
--- a/controller/routecoordinator/routecoordinator_test.go
+++ b/controller/routecoordinator/routecoordinator_test.go
@@ -26,9 +26,9 @@
 	mu     sync.Mutex
 }
 
-func (k *fakeRaft) Standing() *raftdriver.Status { return &k.status }
-func (k *fakeRaft) Leads() bool                  { return k.status.Role != 0 }
-func (k *fakeRaft) Compact(uint64, []byte)       {}
+func (k *fakeRaft) Status() *raftdriver.Status { return &k.status }
+func (k *fakeRaft) Leads() bool                { return k.status.Role != 0 }
+func (k *fakeRaft) Compact(uint64, []byte)     {}
 
 func (k *fakeRaft) Propose(_ context.Context, cmd *wire.Command) (applier.Result, error) {
 	k.in <- k.item(cmd)
@@ -62,7 +62,7 @@
 func newCoordinator() (*Coordinator, *fakeRaft) {
 	k := &fakeRaft{in: make(chan raftdriver.CommittedBatch, 16)}
 	c := &Coordinator{
-		Clock: clockwork.NewFakeClock(), Log: slog.New(slog.DiscardHandler), Raft: k, Committed: k.in,
+		Clock: clockwork.NewFakeClock(), Log: slog.New(slog.DiscardHandler), Raft: k, Commits: k.in,
 		SendOrder: func(placer.Order, uint64, func(placer.Outcome, *placer.EngineState)) {}, Relay: func([]*wire.Announcement) {},
 		Controllers: func() []string { return nil }, Policy: placer.DefaultPolicy(), SilentAfter: 4 * time.Second,
 		SnapshotEntries: 1000, SnapshotBytes: 1 << 20,
--- a/gateway/forwarder/forwarder.go
+++ b/gateway/forwarder/forwarder.go
@@ -44,7 +44,7 @@
 	maxSends = 4
 	// runReserveDivisor gives the part of a request's time that is reserved for its run.
 	runReserveDivisor = 5
-	// maxRunReserve bounds that time: the longest runs that were measured under light load.
+	// maxRunReserve bounds the time that is reserved for a run.
 	maxRunReserve = 400 * time.Millisecond
 )
 
@@ -65,8 +65,8 @@
 	Meter  *meter.Meter
 	Budget RetryBudget
 	Keys   KeyPolicy
-	// Off are the mechanisms that an experiment disables.
-	Off ablator.Disabled
+	// Disabled are the mechanisms that an experiment disables.
+	Disabled ablator.Disabled
 	// Regulator paces prompts; nil sends them at once.
 	Regulator *regulator.Regulator
 	// Isolator quarantines the requests that crash backend servers.
@@ -111,7 +111,7 @@
 func (f *Forwarder) Init() {
 	f.startedAt = f.Clock.Now()
 	f.tableKnown = make(chan struct{})
-	f.balancer = &balancer.Balancer{Zone: f.Zone, Off: f.Off}
+	f.balancer = &balancer.Balancer{Zone: f.Zone, Disabled: f.Disabled}
 	f.retryLimiters = map[string]*retrylimiter.Limiter{}
 	f.waiting = map[*balancer.Waiter]chan balancer.Decision{}
 	f.demand = map[string]uint32{}
@@ -163,7 +163,7 @@
 		if f.QuotaEnforcer != nil {
 			f.QuotaEnforcer.SetCustomers(t.GetCustomers())
 		}
-		f.Log.Info("applied a routing table", "Version", t.GetVersion(), "Controller", controller, "Routes", len(t.GetRoutes()))
+		f.Log.Info("a table is in force", "Version", t.GetVersion(), "Controller", controller, "Routes", len(t.GetRoutes()))
 	}
 	f.applyAnnouncements(now, res.GetAnnouncements())
 	for _, v := range res.GetVersions() {
--- a/gateway/forwarder/key.go
+++ b/gateway/forwarder/key.go
@@ -29,9 +29,9 @@
 	StaleAfter time.Duration
 }
 
-// Screen refuses a request by its head alone if its route requires a key and no customer holds
-// the request's key. It reports whether it did.
-func (f *Forwarder) Screen(req *acceptor.Request, reply *acceptor.Reply) bool {
+// CheckHead refuses a request by its head alone if its route requires a key and no customer
+// holds the request's key. It reports whether it did.
+func (f *Forwarder) CheckHead(req *acceptor.Request, reply *acceptor.Reply) bool {
 	f.mu.Lock()
 	table := f.table
 	f.mu.Unlock()
@@ -54,9 +54,9 @@
 func (f *Forwarder) refuseKey(j *job) {
 	switch {
 	case f.keysAreStale():
-		f.giveUp(j, reasonKeysStale, retryAfterUnknownKey)
+		f.refuseOrFail(j, reasonKeysStale, retryAfterUnknownKey)
 	case f.leaderAge() > maxCertainAge:
-		f.giveUp(j, reasonKeyUncertain, retryAfterUnknownKey)
+		f.refuseOrFail(j, reasonKeyUncertain, retryAfterUnknownKey)
 	default:
 		f.refuse(j, statusNoKey, reasonNoKey, 0)
 	}
@@ -91,7 +91,7 @@
 		return true
 	}
 	if j.runs > 0 {
-		f.giveUp(j, reasonNoKey, 0)
+		f.refuseOrFail(j, reasonNoKey, 0)
 		return false
 	}
 	f.refuseKey(j)
